--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
@@ -48,7 +48,7 @@
             entry_address(number), 1, self._requests, 0.0, 0
         )
         sender = entry_address(number).peer_address
-        self._hub.lease_requested(sender, request)
+        self._hub.handle_lease_request(sender, request)
 
     def deliver(self, link: ControlLink) -> None:
         """Tell a link what it is to know now."""
--- a/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
@@ -63,7 +63,7 @@
                     while len(engine.versions) < 2:
                         sequence += 1
                         announced = engine.announcement(address, sequence)
-                        process.tables.announced(announced)
+                        process.tables.handle_announcement(announced)
                         await anyio.sleep(0.1)
                 stop.set()
         assert sorted(engine.versions) == ["nest-large@1", "nest-small@1"]
@@ -148,7 +148,7 @@
         sequence += 1
         announced = engine.announcement(address, sequence)
         for voter in voters:
-            voter.process.tables.announced(announced)
+            voter.process.tables.handle_announcement(announced)
         await anyio.sleep(0.2)
 
 
--- a/packages/sycamorestand-bench/tests/test_explore_repair.py
+++ b/packages/sycamorestand-bench/tests/test_explore_repair.py
@@ -12,8 +12,8 @@
 from sycamorestand_bench.explore.cluster import Cluster
 from sycamorestand_bench.explore.node import Node
 from sycamorestand_consensus.settings import ReplicaSettings
-from sycamorestand_control.voter_repair import next_step
-from sycamorestand_control.voter_repair import Seen
+from sycamorestand_control.voter_repair import next_change
+from sycamorestand_control.voter_repair import ObservedMember
 from sycamorestand_control.voter_repair import SILENCE_S
 
 RUNS: Final = 60
@@ -30,7 +30,7 @@
     for leader in cluster.leaders():
         nodes = {node.name: node for node in cluster.nodes}
         members = [
-            Seen(
+            ObservedMember(
                 member.member_id,
                 member.address,
                 _silent_s(nodes[member.member_id], leader, draw),
@@ -39,10 +39,10 @@
             for member in leader.core.state.membership
         ]
         asking = [
-            Seen(node.name, f"at-{node.name}", 0.1)
+            ObservedMember(node.name, f"at-{node.name}", 0.1)
             for node in cluster.running()
         ]
-        step = next_step(leader.name, members, asking, 3)
+        step = next_change(leader.name, members, asking, 3)
         if step is None:
             continue
         steps += 1
--- a/packages/sycamorestand-control/src/sycamorestand_control/hub.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/hub.py
@@ -83,7 +83,7 @@
         """Return the peer addresses of the entries served here."""
         return tuple(self._attached)
 
-    def lease_requested(self, sender: str, message: LeaseRequest) -> None:
+    def handle_lease_request(self, sender: str, message: LeaseRequest) -> None:
         """Renew an entry's lease, and send it what it lacks."""
         entry = self._entry(sender, message)
         self._tables.entry_heard(sender, message)
--- a/packages/sycamorestand-control/src/sycamorestand_control/leader_spread.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
@@ -53,7 +53,7 @@
     return {shard: order[n % len(order)] for n, shard in enumerate(shards)}
 
 
-class LeaderSpread:
+class LeaderBalancer:
     """Hands shards over to their preferred leaders, one at a time."""
 
     def __init__(
@@ -114,4 +114,4 @@
         return heard and last_index - member.match_index <= MAX_LAG_ENTRIES
 
 
-__all__ = ["LeaderSpread", "preferred_leaders"]
+__all__ = ["LeaderBalancer", "preferred_leaders"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -14,8 +14,8 @@
 from sycamorestand_control.groups import CONFIGURATION_GROUP
 from sycamorestand_control.joining import BELONGS
 from sycamorestand_control.joining import is_voter
-from sycamorestand_control.voter_repair import next_step
-from sycamorestand_control.voter_repair import Seen
+from sycamorestand_control.voter_repair import next_change
+from sycamorestand_control.voter_repair import ObservedMember
 from sycamorestand_peer.clock import boottime_s
 from sycamorestand_peer.messages import CallReply
 from sycamorestand_peer.messages import JoinRequest
@@ -182,7 +182,7 @@
         members = replica.status().members
         own_id = replica.member_id
         seen = [
-            Seen(
+            ObservedMember(
                 member.member_id,
                 member.address,
                 0.0
@@ -193,11 +193,13 @@
             for member in members
         ]
         asking = [
-            Seen(joiner.member_id, joiner.address, self._unasked_s(joiner))
+            ObservedMember(
+                joiner.member_id, joiner.address, self._unasked_s(joiner)
+            )
             for joiner in self._joiners.values()
             if self._is_alive(joiner)
         ]
-        step = next_step(own_id, seen, asking, self._voters_wanted)
+        step = next_change(own_id, seen, asking, self._voters_wanted)
         if step is None:
             return
         if step.kind == "add":
--- a/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from sycamorestand_control.arrival_lender import ArrivalLender
-    from sycamorestand_control.leader_spread import LeaderSpread
+    from sycamorestand_control.leader_balancer import LeaderBalancer
     from sycamorestand_control.ledger_writer import LedgerWriter
     from sycamorestand_control.operator_backend import Parts
     from sycamorestand_control.orders.service import Orders
@@ -33,7 +33,7 @@
         parts: Parts,
         writers: list[LedgerWriter],
         orders: Orders,
-        spread: LeaderSpread,
+        spread: LeaderBalancer,
         lender: ArrivalLender,
     ) -> None:
         self._parts = parts
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
@@ -52,7 +52,7 @@
     from sycamorestand_control.operator_api.types import ChangeRequest
     from sycamorestand_control.operator_api.types import ReplaceVoterRequest
     from sycamorestand_control.tables import SharedTables
-    from sycamorestand_control.version_keeper import VersionKeeper
+    from sycamorestand_control.version_controller import VersionController
     from sycamorestand_peer.mesh import PeerMesh
     from sycamorestand_state.configuration import ConfigurationMachine
 
@@ -83,7 +83,7 @@
     tables: SharedTables
     ledger: LedgerReader
     admissions: Admissions
-    keeper: VersionKeeper
+    keeper: VersionController
     cluster_key: Callable[[], bytes]
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/service.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from sycamorestand_control.groups import LogGroups
     from sycamorestand_control.tables import SharedTables
-    from sycamorestand_control.version_keeper import VersionKeeper
+    from sycamorestand_control.version_controller import VersionController
     from sycamorestand_state.configuration import ConfigurationMachine
 
 
@@ -38,7 +38,7 @@
     groups: LogGroups,
     configuration: ConfigurationMachine,
     tables: SharedTables,
-    keeper: VersionKeeper,
+    keeper: VersionController,
     settings: OrderSettings,
 ) -> Orders:
     """Return the parts, of which channel and planner want to be run."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -24,7 +24,7 @@
 from sycamorestand_control.groups import LogGroups
 from sycamorestand_control.hub import EntryHub
 from sycamorestand_control.joining import ask_to_join
-from sycamorestand_control.leader_spread import LeaderSpread
+from sycamorestand_control.leader_balancer import LeaderBalancer
 from sycamorestand_control.lease_service import LeaseService
 from sycamorestand_control.ledger_reader import LedgerReader
 from sycamorestand_control.ledger_writer import LedgerWriter
@@ -41,7 +41,7 @@
 from sycamorestand_control.session_relay import SessionRelay
 from sycamorestand_control.tables import ControlName
 from sycamorestand_control.tables import SharedTables
-from sycamorestand_control.version_keeper import VersionKeeper
+from sycamorestand_control.version_controller import VersionController
 from sycamorestand_model.ledger import LedgerResult
 from sycamorestand_peer.mesh import PeerMesh
 from sycamorestand_peer.messages import AnnouncementRelay
@@ -111,7 +111,7 @@
             self._others,
             self._voters,
         )
-        self.keeper = VersionKeeper(self.groups, self.configuration)
+        self.keeper = VersionController(self.groups, self.configuration)
         self.ratings = RatingExchange(
             self.mesh, self.hub.attached_addresses, self._others
         )
@@ -136,7 +136,7 @@
             settings.voters_wanted,
             settings.replace_lost_voters,
         )
-        self.spread = LeaderSpread(self.mesh, self.groups)
+        self.spread = LeaderBalancer(self.mesh, self.groups)
         self.writers = [
             LedgerWriter(self._shard_proposer(number))
             for number in range(settings.ledger_shards)
@@ -285,7 +285,7 @@
     def _handler_table(self) -> dict[type, Callable[[str, Any], None]]:
         return {
             ReplicaPayload: self.groups.receive,
-            LeaseRequest: self.hub.lease_requested,
+            LeaseRequest: self.hub.handle_lease_request,
             AnnouncementRelay: self._announced,
             TableUpdate: self.tables.update_received,
             TableResync: self.tables.resync_received,
@@ -302,7 +302,7 @@
         }
 
     def _announced(self, sender: str, message: AnnouncementRelay) -> None:
-        self.tables.announced(message.announcement)
+        self.tables.handle_announcement(message.announcement)
 
     def _lease_granted(
         self, sender: str, message: ControlLeaseGranted
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -98,7 +98,7 @@
         }
         self.resyncs = 0
 
-    def announced(self, announcement: Announcement) -> None:
+    def handle_announcement(self, announcement: Announcement) -> None:
         """Take an announcement that an entry of this process received."""
         if self._servers.announce(announcement, boottime_s()):
             self._log_server(announcement)
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_keeper.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -61,7 +61,7 @@
     monitor: RolloutMonitor
 
 
-class VersionKeeper:
+class VersionController:
     """Adds up what entries report and acts on it while it leads.
 
     Counts are soft state: a new leader begins with none and with the step
@@ -299,4 +299,4 @@
     return text[:MAX_REASON_CHARACTERS]
 
 
-__all__ = ["VersionKeeper"]
+__all__ = ["VersionController"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
@@ -33,7 +33,7 @@
 MAX_LEARNERS: Final = 2
 
 
-class Seen(NamedTuple):
+class ObservedMember(NamedTuple):
     """A member, or a process that asks to be one, and its silence."""
 
     member_id: str
@@ -42,7 +42,7 @@
     voter: bool = False
 
 
-class Step(NamedTuple):
+class MembershipChange(NamedTuple):
     """One change of the membership."""
 
     kind: Literal["add", "promote", "remove"]
@@ -50,12 +50,12 @@
     address: str = ""
 
 
-def next_step(
+def next_change(
     own_id: str,
-    members: Sequence[Seen],
-    joiners: Sequence[Seen],
+    members: Sequence[ObservedMember],
+    joiners: Sequence[ObservedMember],
     voters_wanted: int,
-) -> Step | None:
+) -> MembershipChange | None:
     """Return the change that the leader ``own_id`` makes next, if any.
 
     ``joiners`` ask at present; those that are members already are in
@@ -76,13 +76,15 @@
     )
 
 
-def _is_lost(voter: Seen, heard: Sequence[Seen]) -> bool:
+def _is_lost(voter: ObservedMember, heard: Sequence[ObservedMember]) -> bool:
     if voter.silent_s >= SILENCE_S:
         return True
     return voter.silent_s >= TAKEN_OVER_S and _is_taken_over(voter, heard)
 
 
-def _is_taken_over(member: Seen, heard: Sequence[Seen]) -> bool:
+def _is_taken_over(
+    member: ObservedMember, heard: Sequence[ObservedMember]
+) -> bool:
     return any(
         other.address == member.address
         and other.member_id != member.member_id
@@ -92,8 +94,10 @@
 
 
 def _remove_dead_learner(
-    learners: Sequence[Seen], joiners: Sequence[Seen], members: Sequence[Seen]
-) -> Step | None:
+    learners: Sequence[ObservedMember],
+    joiners: Sequence[ObservedMember],
+    members: Sequence[ObservedMember],
+) -> MembershipChange | None:
     """Free the place of a learner that no longer asks, or lost its disk."""
     asking = {joiner.member_id for joiner in joiners}
     for learner in learners:
@@ -101,13 +105,15 @@
         if (gone and learner.silent_s >= SILENCE_S) or _is_taken_over(
             learner, (*members, *joiners)
         ):
-            return Step("remove", learner.member_id)
+            return MembershipChange("remove", learner.member_id)
     return None
 
 
 def _remove_surplus(
-    voters: Sequence[Seen], lost: Sequence[Seen], voters_wanted: int
-) -> Step | None:
+    voters: Sequence[ObservedMember],
+    lost: Sequence[ObservedMember],
+    voters_wanted: int,
+) -> MembershipChange | None:
     if len(voters) <= voters_wanted or not lost:
         return None
     rest = [voter for voter in voters if voter != lost[0]]
@@ -115,15 +121,15 @@
     # lost meanwhile does not stop it.
     if _alive(rest) <= len(rest) // 2:
         return None
-    return Step("remove", lost[0].member_id)
+    return MembershipChange("remove", lost[0].member_id)
 
 
 def _promote(
-    voters: Sequence[Seen],
-    lost: Sequence[Seen],
-    learners: Sequence[Seen],
+    voters: Sequence[ObservedMember],
+    lost: Sequence[ObservedMember],
+    learners: Sequence[ObservedMember],
     voters_wanted: int,
-) -> Step | None:
+) -> MembershipChange | None:
     """Make a learner a voter where one is missing.
 
     With one more voter the majority may be larger by one: it must be there
@@ -138,32 +144,34 @@
         return None
     places = {voter.address for voter in lost}
     chosen = max(learners, key=lambda each: each.address in places)
-    return Step("promote", chosen.member_id)
+    return MembershipChange("promote", chosen.member_id)
 
 
 def _add(
-    members: Sequence[Seen],
-    learners: Sequence[Seen],
-    joiners: Sequence[Seen],
-    lost: Sequence[Seen],
-) -> Step | None:
+    members: Sequence[ObservedMember],
+    learners: Sequence[ObservedMember],
+    joiners: Sequence[ObservedMember],
+    lost: Sequence[ObservedMember],
+) -> MembershipChange | None:
     known = {member.member_id for member in members}
     places = {voter.address for voter in lost}
     for joiner in joiners:
         if joiner.member_id in known:
             continue
         if len(learners) < MAX_LEARNERS or joiner.address in places:
-            return Step("add", joiner.member_id, joiner.address)
+            return MembershipChange("add", joiner.member_id, joiner.address)
     return None
 
 
-def _asking(learners: Sequence[Seen], joiners: Sequence[Seen]) -> list[Seen]:
+def _asking(
+    learners: Sequence[ObservedMember], joiners: Sequence[ObservedMember]
+) -> list[ObservedMember]:
     asking = {joiner.member_id for joiner in joiners}
     return [each for each in learners if each.member_id in asking]
 
 
-def _alive(members: Sequence[Seen]) -> int:
+def _alive(members: Sequence[ObservedMember]) -> int:
     return sum(member.silent_s < ALIVE_S for member in members)
 
 
-__all__ = ["next_step", "Seen", "SILENCE_S", "Step"]
+__all__ = ["next_change", "ObservedMember", "SILENCE_S", "MembershipChange"]
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -108,7 +108,7 @@
         request = LeaseRequest(
             address, 5, self._sequence, 77.0, acked_revision
         )
-        self.hub.lease_requested(sender, request)
+        self.hub.handle_lease_request(sender, request)
 
 
 @pytest.fixture
@@ -284,7 +284,7 @@
         scene._sequence += 1
         stopping = EntryAddress("vm-2", "dalton", "127.0.0.1", 80, True)
         request = LeaseRequest(stopping, 5, scene._sequence, 1.0, 1)
-        scene.hub.lease_requested("127.0.0.1:9002", request)
+        scene.hub.handle_lease_request("127.0.0.1:9002", request)
         assert scene.tables.stopping_vms() == {"vm-2"}
         scene.hub._push_addresses()
         second = scene.mesh.take(AddressList)
--- a/packages/sycamorestand-control/tests/test_leader_spread.py
+++ b/packages/sycamorestand-control/tests/test_leader_balancer.py
@@ -6,10 +6,10 @@
 import pytest
 
 from sycamorestand_consensus.replica_types import MemberStatus
-from sycamorestand_control.leader_spread import LeaderSpread
-from sycamorestand_control.leader_spread import MAX_LAG_ENTRIES
-from sycamorestand_control.leader_spread import PAUSE_S
-from sycamorestand_control.leader_spread import preferred_leaders
+from sycamorestand_control.leader_balancer import LeaderBalancer
+from sycamorestand_control.leader_balancer import MAX_LAG_ENTRIES
+from sycamorestand_control.leader_balancer import PAUSE_S
+from sycamorestand_control.leader_balancer import preferred_leaders
 
 pytestmark = pytest.mark.anyio
 VOTERS = ("a", "b", "c")
@@ -62,7 +62,7 @@
         self.silent: set[str] = set()
         self.now_s = 0.0
         fake: Any = self
-        self.spread = LeaderSpread(fake, fake, lambda: self.now_s)
+        self.spread = LeaderBalancer(fake, fake, lambda: self.now_s)
 
     def unheard_s(self, address: str) -> float:
         return 60.0 if address in self.silent else 0.1
@@ -80,7 +80,7 @@
         )
 
 
-class TestLeaderSpread:
+class TestLeaderBalancer:
     async def test_shards_go_to_all_voters(self) -> None:
         scene = Scene(shards=6)
         await scene.looks(10)
--- a/packages/sycamorestand-control/tests/test_version_keeper.py
+++ b/packages/sycamorestand-control/tests/test_version_controller.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from sycamorestand_control.version_keeper import _passed_s
-from sycamorestand_control.version_keeper import VersionKeeper
+from sycamorestand_control.version_controller import _passed_s
+from sycamorestand_control.version_controller import VersionController
 from sycamorestand_decisions.stats_rows import to_rows
 from sycamorestand_decisions.version_stats import add_sample
 from sycamorestand_decisions.version_stats import empty_stats
@@ -84,7 +84,7 @@
     def take_over(self) -> None:
         """Have a new leader go on, which has seen no reports."""
         self.groups = FakeGroups(self.machine)
-        self.keeper = VersionKeeper(
+        self.keeper = VersionController(
             self.groups,  # type: ignore[arg-type]
             self.machine,
         )
--- a/packages/sycamorestand-control/tests/test_voter_repair.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair.py
@@ -4,24 +4,26 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sycamorestand_control.voter_repair import next_step
-from sycamorestand_control.voter_repair import Seen
+from sycamorestand_control.voter_repair import MembershipChange
+from sycamorestand_control.voter_repair import next_change
+from sycamorestand_control.voter_repair import ObservedMember
 from sycamorestand_control.voter_repair import SILENCE_S
-from sycamorestand_control.voter_repair import Step
 
-LEADER = Seen("a", "a:1", 0.0, voter=True)
-OTHER = Seen("b", "b:1", 0.1, voter=True)
-WELL = Seen("c", "c:1", 0.1, voter=True)
+LEADER = ObservedMember("a", "a:1", 0.0, voter=True)
+OTHER = ObservedMember("b", "b:1", 0.1, voter=True)
+WELL = ObservedMember("c", "c:1", 0.1, voter=True)
 # Restarting, or on a busy VM: silent, and not for long.
-SLOW = Seen("c", "c:1", SILENCE_S - 0.1, voter=True)
-LOST = Seen("c", "c:1", SILENCE_S, voter=True)
-SPARE = Seen("n", "n:1", 0.2)
-WIPED = Seen("n", "c:1", 0.2)
+SLOW = ObservedMember("c", "c:1", SILENCE_S - 0.1, voter=True)
+LOST = ObservedMember("c", "c:1", SILENCE_S, voter=True)
+SPARE = ObservedMember("n", "n:1", 0.2)
+WIPED = ObservedMember("n", "c:1", 0.2)
 WANTED = 3
 
 
-def step(members: list[Seen], *joiners: Seen) -> Step | None:
-    return next_step("a", members, joiners, WANTED)
+def step(
+    members: list[ObservedMember], *joiners: ObservedMember
+) -> MembershipChange | None:
+    return next_change("a", members, joiners, WANTED)
 
 
 class TestLostDisk:
@@ -33,11 +35,11 @@
         """
         wiped = SLOW._replace(silent_s=1.0)
         members = [LEADER, OTHER, wiped]
-        assert step(members, WIPED) == Step("add", "n", "c:1")
+        assert step(members, WIPED) == MembershipChange("add", "n", "c:1")
         members.append(WIPED)
-        assert step(members, WIPED) == Step("promote", "n")
+        assert step(members, WIPED) == MembershipChange("promote", "n")
         members[-1] = WIPED._replace(voter=True)
-        assert step(members, WIPED) == Step("remove", "c")
+        assert step(members, WIPED) == MembershipChange("remove", "c")
 
     def test_the_old_disk_is_back(self) -> None:
         """A VM starts on an empty folder, then on its old disk.
@@ -45,24 +47,26 @@
         The old id answers later than the new one, so it stays.
         """
         empty = WIPED._replace(silent_s=1.0)
-        assert step([LEADER, OTHER, WELL, empty], empty) == Step("remove", "n")
+        assert step([LEADER, OTHER, WELL, empty], empty) == MembershipChange(
+            "remove", "n"
+        )
 
     def test_lost_twice(self) -> None:
         """The newcomer loses its disk as well and asks under a third id."""
         first = WIPED._replace(silent_s=1.0)
-        third = Seen("m", "c:1", 0.1)
+        third = ObservedMember("m", "c:1", 0.1)
         members = [LEADER, OTHER, LOST, first]
-        assert step(members, third) == Step("remove", "n")
-        assert step(members[:3], third) == Step("add", "m", "c:1")
+        assert step(members, third) == MembershipChange("remove", "n")
+        assert step(members[:3], third) == MembershipChange("add", "m", "c:1")
 
 
 class TestLostVm:
     def test_a_spare_waits_until_a_voter_is_silent_for_long(self) -> None:
         members = [LEADER, OTHER, SLOW]
-        assert step(members, SPARE) == Step("add", "n", "n:1")
+        assert step(members, SPARE) == MembershipChange("add", "n", "n:1")
         assert step([*members, SPARE], SPARE) is None
         lost = [LEADER, OTHER, LOST, SPARE]
-        assert step(lost, SPARE) == Step("promote", "n")
+        assert step(lost, SPARE) == MembershipChange("promote", "n")
 
     def test_nobody_asks(self) -> None:
         """A voter is away for hours and no other machine is there."""
@@ -71,7 +75,9 @@
     def test_a_new_leader_ends_what_another_began(self) -> None:
         """The leader ends between the promotion and the removal."""
         newcomer = SPARE._replace(voter=True)
-        assert step([LEADER, OTHER, LOST, newcomer]) == Step("remove", "c")
+        assert step([LEADER, OTHER, LOST, newcomer]) == MembershipChange(
+            "remove", "c"
+        )
 
     def test_all_four_are_there(self) -> None:
         newcomer = SPARE._replace(voter=True)
@@ -84,11 +90,13 @@
 
     def test_a_learner_that_went_frees_its_place(self) -> None:
         gone = SPARE._replace(silent_s=SILENCE_S)
-        assert step([LEADER, OTHER, WELL, gone]) == Step("remove", "n")
+        assert step([LEADER, OTHER, WELL, gone]) == MembershipChange(
+            "remove", "n"
+        )
 
 
 seen = st.builds(
-    Seen,
+    ObservedMember,
     st.sampled_from("bcdefg"),
     st.sampled_from(["b:1", "c:1", "d:1"]),
     st.floats(0.0, 10.0),
@@ -103,11 +111,11 @@
         st.lists(seen, max_size=3, unique_by=lambda each: each.member_id),
     )
     def test_a_change_leaves_a_live_majority(
-        self, others: list[Seen], joiners: list[Seen]
+        self, others: list[ObservedMember], joiners: list[ObservedMember]
     ) -> None:
         """Whatever is heard, no voter goes without need or majority."""
         members = {each.member_id: each for each in [LEADER, *others]}
-        found = next_step("a", list(members.values()), joiners, WANTED)
+        found = next_change("a", list(members.values()), joiners, WANTED)
         if found is None:
             return
         assert found.member_id != "a"
--- a/packages/sycamorestand/tests/system/test_voters.py
+++ b/packages/sycamorestand/tests/system/test_voters.py
@@ -20,7 +20,7 @@
 from sycamorestand_bench.system.system import System
 from sycamorestand_bench.system.system import VICTIM
 from sycamorestand_bench.system.system import wait_for
-from sycamorestand_control.leader_spread import preferred_leaders
+from sycamorestand_control.leader_balancer import preferred_leaders
 
 CHANGES = 220
 CHANGES_AFTER_LOSS = 10
