--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -75,7 +75,7 @@
         self.entry_addresses: tuple[EntryAddress, ...] = ()
         self.entries = 0
         self.samples: list[VersionSample] = []
-        self.told: list[Message] = []
+        self.sent_messages: list[Message] = []
         self.listeners: dict[type, Callable[[Any], None]] = {}
         self.stopping = False
         self.ledger_delay_s = 0.0
@@ -101,7 +101,7 @@
         self.samples.append(sample)
 
     def tell(self, message: Message) -> None:
-        self.told.append(message)
+        self.sent_messages.append(message)
 
     def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
         self.listeners[kind] = listener
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
@@ -19,7 +19,7 @@
 from sycamorestand_bench.fakes.raw_server import read_request
 from sycamorestand_bench.fakes.raw_server import serve_stream
 from sycamorestand_entry.routed.application import make_routed_application
-from sycamorestand_entry.routed.wire import RouteWire
+from sycamorestand_entry.routed.header_names import HeaderNames
 from sycamorestand_entry.server import RunningEntry
 from sycamorestand_entry.server import serve_entry
 from sycamorestand_entry.settings import EntrySettings
@@ -29,7 +29,7 @@
 from sycamorestand_model.routes import RouteTarget
 
 HOST: Final = "nest.example"
-WIRE: Final = RouteWire(
+WIRE: Final = HeaderNames(
     attempt=b"x-attempt",
     deadline_ms=b"x-deadline-ms",
     server=b"x-server",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
@@ -56,7 +56,7 @@
         sent, self._mesh.sent = self._mesh.sent, []
         for address, message in sent:
             if address == link.mesh.address:
-                link._received(CONTROL, message)
+                link._handle_message(CONTROL, message)
 
 
 def entry_address(number: int) -> EntryAddress:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/application.py
@@ -28,7 +28,7 @@
 from sycamorestand_entry.listings import answer_models
 from sycamorestand_entry.listings import answer_readiness
 from sycamorestand_entry.routed.application import RoutedEntry
-from sycamorestand_entry.routed.wire import OWN_WIRE
+from sycamorestand_entry.routed.header_names import DEFAULT_HEADER_NAMES
 from sycamorestand_entry.services import answer_service
 from sycamorestand_entry.services import PREFIX as SERVICES
 
@@ -54,7 +54,7 @@
 def make_application(context: EntryContext) -> Application:
     """Return the application that answers every request of the entry."""
 
-    routed = RoutedEntry(context, OWN_WIRE)
+    routed = RoutedEntry(context, DEFAULT_HEADER_NAMES)
 
     async def application(scope: Any, receive: Receive, send: Send) -> None:
         if _is_routed(context, scope["path"]):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -109,7 +109,7 @@
         self.mesh = PeerMesh(
             settings.peer_address,
             as_key_source(settings.cluster_keys),
-            self._received,
+            self._handle_message,
             settings.peer_listen or None,
             settings.tls,
         )
@@ -275,7 +275,7 @@
                 "control changed", extra={"control": self.control_address()}
             )
 
-    def _received(self, sender: str, message: Any) -> None:
+    def _handle_message(self, sender: str, message: Any) -> None:
         match message:
             case LeaseGrantMessage():
                 self._take_grant(message)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -56,8 +56,8 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.http_messages import Receive
     from sycamorestand_entry.http_messages import Send
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import WholeAnswer
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_model.in_force import InForce
     from sycamorestand_model.routes import Route
 
@@ -80,7 +80,7 @@
 class RoutedEntry:
     """Answers routed requests of one entry process."""
 
-    def __init__(self, context: EntryContext, wire: RouteWire) -> None:
+    def __init__(self, context: EntryContext, wire: HeaderNames) -> None:
         self._context = context
         self._wire = wire
         self._table = _Table(-1, RouteTable({}))
@@ -339,7 +339,7 @@
 
 
 def make_routed_application(
-    wire: RouteWire,
+    wire: HeaderNames,
 ) -> Callable[[EntryContext], Application]:
     """Return what makes the application of an entry process."""
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -33,8 +33,8 @@
 
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.routed.call import RoutedCall
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import Wanted
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
@@ -61,7 +61,7 @@
     """
 
     def __init__(
-        self, context: EntryContext, wire: RouteWire, call: RoutedCall
+        self, context: EntryContext, wire: HeaderNames, call: RoutedCall
     ) -> None:
         self.context = context
         self.wire = wire
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from sycamorestand_entry.routed.decision_log import DecisionLog
-    from sycamorestand_entry.routed.wire import RouteWire
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_model.routes import Route
 
 ANONYMOUS: Final = ""
@@ -76,7 +76,7 @@
 
 
 def read_deadline_s(
-    values: dict[bytes, bytes], wire: RouteWire, route: Route, read_s: float
+    values: dict[bytes, bytes], wire: HeaderNames, route: Route, read_s: float
 ) -> float:
     """Return until when the caller waits, on the monotonic clock."""
     limit_ms = route.timeout_ms
@@ -88,7 +88,7 @@
     return read_s + limit_ms / 1000
 
 
-def passed_headers(raw: RawHeaders, wire: RouteWire) -> RawHeaders:
+def passed_headers(raw: RawHeaders, wire: HeaderNames) -> RawHeaders:
     """Return the headers that a server gets as the caller sent them.
 
     Without the key: a server, or whoever reads its logs, could call with
@@ -106,7 +106,7 @@
     ]
 
 
-def read_values(raw: RawHeaders, wire: RouteWire) -> dict[bytes, bytes]:
+def read_values(raw: RawHeaders, wire: HeaderNames) -> dict[bytes, bytes]:
     """Return the headers by name, refusing contradictions.
 
     Two values for what decides about a request would let the entry judge
@@ -121,7 +121,7 @@
     return values
 
 
-def _lasting(wire: RouteWire) -> frozenset[bytes]:
+def _lasting(wire: HeaderNames) -> frozenset[bytes]:
     return frozenset(
         {
             b"host",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -32,8 +32,8 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.errors import RequestError
     from sycamorestand_entry.routed.call import RoutedCall
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import Aim
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_entry.upstream import ResponseHead
     from sycamorestand_entry.upstream import UpstreamConnection
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         context: EntryContext,
-        wire: RouteWire,
+        wire: HeaderNames,
         call: RoutedCall,
         aim: Aim,
         connection: UpstreamConnection,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/wire.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/header_names.py
@@ -1,7 +1,7 @@
 """How routed requests speak on the wire: the names of headers.
 
 The data path knows what a header means, not what an installation calls it.
-An installation that has its own names hands in another `RouteWire`.
+An installation that has its own names passes another `HeaderNames`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 
-class RouteWire(NamedTuple):
+class HeaderNames(NamedTuple):
     """Names of headers, all in lower case.
 
     ``attempt`` names a caller's attempt and is echoed by servers;
@@ -42,7 +42,7 @@
 
 
 # The names of the project's own interface, see ``docs/callers.md``.
-OWN_WIRE: Final = RouteWire(
+DEFAULT_HEADER_NAMES: Final = HeaderNames(
     attempt=b"x-request-key",
     deadline_ms=b"x-deadline-ms",
     server=b"x-backend-server",
@@ -70,4 +70,4 @@
     ),
 )
 
-__all__ = ["OWN_WIRE", "RouteWire"]
+__all__ = ["DEFAULT_HEADER_NAMES", "HeaderNames"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from sycamorestand_entry.routed.call import RoutedCall
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.headers import RawHeaders
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_entry.upstream import ResponseHead
     from sycamorestand_model.backend_servers import Announcement
 
@@ -62,12 +62,12 @@
     not_run: bool
 
 
-def says_not_run(head: ResponseHead, wire: RouteWire) -> bool:
+def says_not_run(head: ResponseHead, wire: HeaderNames) -> bool:
     """Tell whether the server says that it did not run the request."""
     return head.status == WRONG_SERVER or wire.not_run in head.headers
 
 
-def foreign(head: ResponseHead, wire: RouteWire, call: RoutedCall) -> str:
+def foreign(head: ResponseHead, wire: HeaderNames, call: RoutedCall) -> str:
     """Return why an answer cannot be the server's own to this call.
 
     A success counts with the server's stamp only, where servers stamp
@@ -104,7 +104,7 @@
     return headers
 
 
-def encode_request(wire: RouteWire, call: RoutedCall, aim: Aim) -> bytes:
+def encode_request(wire: HeaderNames, call: RoutedCall, aim: Aim) -> bytes:
     """Return the request as the server gets it."""
     wanted = aim.wanted
     lines = [b"%s %s HTTP/1.1" % (call.method, call.target)]
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -65,8 +65,8 @@
             peers.append(
                 EntryAddress(name, "a", "10.0.0.9", 80, peer_address=peer)
             )
-        link._received(CONTROL, AddressList(tuple(peers)))
-        link._received(CONTROL, LeaseGrantMessage(100.0, 2.0, 0))
+        link._handle_message(CONTROL, AddressList(tuple(peers)))
+        link._handle_message(CONTROL, LeaseGrantMessage(100.0, 2.0, 0))
         return link, mesh
 
     def test_answered_it_asks_directly(
@@ -118,8 +118,8 @@
         monkeypatch.setattr(link_module, "boottime_s", lambda: 100.0)
         settings = LinkSettings("vm-1", "a", OWN, (CONTROL,), (b"k" * 32,))
         link = ControlLink(settings, lambda: ADDRESS)
-        link._received(CONTROL, AddressList((ADDRESS,)))
-        link._received(LEFT, AddressList(()))
+        link._handle_message(CONTROL, AddressList((ADDRESS,)))
+        link._handle_message(LEFT, AddressList(()))
         assert link.addresses() == (ADDRESS,)
 
 
@@ -140,7 +140,7 @@
         link = ControlLink(settings, lambda: ADDRESS)
         caplog.set_level("INFO")
         link._log_lease_change()
-        link._received(CONTROL, LeaseGrantMessage(100.0, 2.0, 0))
+        link._handle_message(CONTROL, LeaseGrantMessage(100.0, 2.0, 0))
         link._log_lease_change()
         link._log_lease_change()
         now_s = 103.0
@@ -158,7 +158,7 @@
     ) -> None:
         """Control tells a list once; a data centre's callers got none."""
         link = link_of(1)
-        link._received(LEFT, AddressList((ADDRESS,)))
+        link._handle_message(LEFT, AddressList((ADDRESS,)))
         assert link.addresses() == ()
         monkeypatch.setattr(link, "control_address", lambda: LEFT)
         assert link.addresses() == (ADDRESS,)
@@ -167,7 +167,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         link = link_of(1)
-        link._received(link.control_address(), AddressList((ADDRESS,)))
+        link._handle_message(link.control_address(), AddressList((ADDRESS,)))
         assert link.addresses() == (ADDRESS,)
         monkeypatch.setattr(link, "control_address", lambda: LEFT)
         assert link.addresses() == (ADDRESS,)
@@ -184,5 +184,5 @@
         link.listen(SessionsStay, heard.append)
         link.tell(self.STAY)
         assert mailbox.sent == [(link.control_address(), self.STAY)]
-        link._received(link.control_address(), self.STAY)
+        link._handle_message(link.control_address(), self.STAY)
         assert heard == [self.STAY]
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -69,7 +69,7 @@
         return target
 
     def hear(self, other: Scene) -> None:
-        for told in other.control.told:
+        for told in other.control.sent_messages:
             step = Step(told.service, told.version, told.step)
             self.context.staying.keep(step, told.places)
 
@@ -215,7 +215,7 @@
         scene = Scene(new=0)
         scene.share(0.13)
         scene.serve("")
-        assert not scene.control.told
+        assert not scene.control.sent_messages
 
 
 class TestPace:
--- a/packages/sycamorestand-entry/tests/test_loans.py
+++ b/packages/sycamorestand-entry/tests/test_loans.py
@@ -36,7 +36,7 @@
 
     def trade(self) -> ArrivalTrade:
         """Return the trade that was sent last."""
-        trade = self.control.told[-1]
+        trade = self.control.sent_messages[-1]
         assert isinstance(trade, ArrivalTrade)
         return trade
 
@@ -77,7 +77,7 @@
             entry.now_s += 2.0
         given = [
             message.given
-            for message in entry.control.told
+            for message in entry.control.sent_messages
             if isinstance(message, ArrivalTrade)
         ]
         assert len(given) > 3
