--- a/packages/sycamorestand-bench/tests/fakes/test_order_races.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_order_races.py
@@ -24,7 +24,7 @@
 from sycamorestand_state.commands import RecordOrder
 from sycamorestand_state.order_book import UNFINISHED_PHASES
 from sycamorestand_state.orders import ENGINE_DELAY_S
-from sycamorestand_state.orders import ORDER_FLIGHT_S
+from sycamorestand_state.orders import ORDER_TIMEOUT_S
 
 from .leading import Cluster
 from .leading import Leader
@@ -191,7 +191,7 @@
         if self.fate == "refused":
             return EngineOutcome("failed", "")
         if self.fate == "late":
-            until_s = self.cluster.now_s + ORDER_FLIGHT_S + ENGINE_DELAY_S
+            until_s = self.cluster.now_s + ORDER_TIMEOUT_S + ENGINE_DELAY_S
             self.on_way.append(Late(until_s, record))
         return EngineOutcome("unknown", "")
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -85,7 +85,7 @@
 
     def live_entries(self) -> tuple[str, ...]:
         """Return the entries whose lease may still run."""
-        return self._entries.live(boottime_s())
+        return self._entries.live_holders(boottime_s())
 
     def in_force(self, revision: int) -> InForceStatus | None:
         """Return the leader's answer, None while this process is none."""
@@ -97,7 +97,7 @@
     def live_controls(self) -> tuple[str, ...]:
         """Return the control processes whose lease may still run."""
         table = self._leading_table()
-        return () if table is None else table.live(boottime_s())
+        return () if table is None else table.live_holders(boottime_s())
 
     def request_received(
         self, sender: str, message: ControlLeaseRequest
@@ -110,7 +110,7 @@
     def granted(self, message: ControlLeaseGranted) -> None:
         """Take a lease from the leader."""
         grant = LeaseGrant(message.length_s, message.revision)
-        self._held.renewed(message.sent_at_s, grant)
+        self._held.renew(message.sent_at_s, grant)
 
     async def run(self) -> None:
         """Renew this process's own lease until cancelled."""
@@ -157,7 +157,9 @@
         LOG.info("control lease held" if held else "control lease lost")
 
     def _acked(self) -> int:
-        return self._entries.acknowledged(self._revision(), boottime_s())
+        return self._entries.revision_to_acknowledge(
+            self._revision(), boottime_s()
+        )
 
     def _grant_control(
         self, message: ControlLeaseRequest
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/engine_call.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/engine_call.py
@@ -19,7 +19,7 @@
 
     from sycamorestand_state.commands import RecordOrder
 
-# Below `ORDER_FLIGHT_S`, after which others count on nothing of the order
+# Below `ORDER_TIMEOUT_S`, after which others count on nothing of the order
 # being on its way; the rest is for a loop that is late to cancel.
 ENGINE_TIMEOUT_S: Final = 4.0
 DONE_STATUSES: Final = frozenset({200, 202})
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -302,7 +302,7 @@
     def _take_grant(self, message: LeaseGrantMessage) -> None:
         self._attachment.granted(boottime_s())
         grant = LeaseGrant(message.length_s, message.revision)
-        self._lease.renewed(message.sent_at_s, grant)
+        self._lease.renew(message.sent_at_s, grant)
         self._ready.set()
 
     def _take_denial(self, sender: str, message: LeaseDenied) -> None:
--- a/packages/sycamorestand-state/src/sycamorestand_state/leases.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/leases.py
@@ -154,7 +154,7 @@
             in_force, revision, missing, self._earliest_in_force_s
         )
 
-    def acknowledged(self, own_revision: int, now_s: float) -> int:
+    def revision_to_acknowledge(self, own_revision: int, now_s: float) -> int:
         """Return what this process may acknowledge to its own granter.
 
         Its own revision once that is in force below it, otherwise the
@@ -172,7 +172,7 @@
         self.require(lowest)
         return lowest
 
-    def live(self, now_s: float) -> tuple[str, ...]:
+    def live_holders(self, now_s: float) -> tuple[str, ...]:
         """Return the names of all holders whose lease may still live."""
         return tuple(
             name
@@ -215,7 +215,7 @@
     def __init__(self) -> None:
         self._expires_s = float("-inf")
 
-    def renewed(self, sent_at_s: float, grant: LeaseGrant) -> None:
+    def renew(self, sent_at_s: float, grant: LeaseGrant) -> None:
         """Take a grant for the request that was sent at ``sent_at_s``.
 
         Grants may come late and out of order; none shortens another, as
--- a/packages/sycamorestand-state/src/sycamorestand_state/orders.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/orders.py
@@ -27,7 +27,7 @@
 
 # The sender's whole call, connection and answer, ends within this, and
 # closes its connection. What the engine has read by then it acts on.
-ORDER_FLIGHT_S: Final = 5.0
+ORDER_TIMEOUT_S: Final = 5.0
 # An engine may act a moment after it has read the last byte.
 ENGINE_DELAY_S: Final = 1.0
 # Sending begins within this after the record was committed, else the
@@ -219,7 +219,7 @@
 
 
 def _settle_s() -> float:
-    return _guarded(ORDER_FLIGHT_S + ENGINE_DELAY_S)
+    return _guarded(ORDER_TIMEOUT_S + ENGINE_DELAY_S)
 
 
 def _guarded(length_s: float) -> float:
@@ -229,7 +229,7 @@
 __all__ = [
     "ENGINE_DELAY_S",
     "FencingNumber",
-    "ORDER_FLIGHT_S",
+    "ORDER_TIMEOUT_S",
     "OrderIssuer",
     "SEND_WITHIN_S",
 ]
--- a/packages/sycamorestand-state/tests/test_leases.py
+++ b/packages/sycamorestand-state/tests/test_leases.py
@@ -120,8 +120,8 @@
         control.grant("b", 1, 0.0, 2.4)
         control.require(2)
         control.acknowledge("a", 2)
-        assert control.acknowledged(2, 0.1) == 1
-        assert control.acknowledged(2, 2.1) == 2
+        assert control.revision_to_acknowledge(2, 0.1) == 1
+        assert control.revision_to_acknowledge(2, 2.1) == 2
 
     def test_a_restarted_control_process_acknowledges_late(self) -> None:
         """Leases from before a restart are known to nobody.
@@ -130,22 +130,22 @@
         entries still work on the old revision for up to 2 s.
         """
         table = control_table(started_s=0.0)
-        assert table.acknowledged(5, 2.0) == 0
-        assert table.acknowledged(5, table.earliest_in_force_s) == 5
+        assert table.revision_to_acknowledge(5, 2.0) == 0
+        assert table.revision_to_acknowledge(5, table.earliest_in_force_s) == 5
 
 
 class TestHeldLease:
     def test_it_counts_from_the_sending(self) -> None:
         held = HeldLease()
         assert held.remaining_s(0.0) == 0.0
-        held.renewed(1.0, LeaseGrant(2.0, 1))
+        held.renew(1.0, LeaseGrant(2.0, 1))
         assert held.remaining_s(1.5) == 1.5
         assert held.remaining_s(9.0) == 0.0
 
     def test_a_late_grant_does_not_shorten_it(self) -> None:
         held = HeldLease()
-        held.renewed(1.0, LeaseGrant(2.0, 1))
-        held.renewed(0.6, LeaseGrant(2.0, 1))
+        held.renew(1.0, LeaseGrant(2.0, 1))
+        held.renew(0.6, LeaseGrant(2.0, 1))
         assert held.remaining_s(1.0) == 2.0
 
     def test_it_survives_a_leader_change(self) -> None:
@@ -156,7 +156,7 @@
         and the entry's next renewals are due each 0.4 s.
         """
         own = HeldLease()
-        own.renewed(0.0, LeaseGrant(CONTROL_LEASE_S, 1))
+        own.renew(0.0, LeaseGrant(CONTROL_LEASE_S, 1))
         table = control_table(started_s=-100.0)
         held = HeldLease()
         died_s = RENEW_INTERVAL_S
@@ -164,7 +164,7 @@
         while now_s <= died_s + 1.5:
             grant = table.grant("e", 1, now_s, own.remaining_s(now_s))
             if grant is not None:
-                held.renewed(now_s, grant)
+                held.renew(now_s, grant)
             now_s += RENEW_INTERVAL_S
         assert held.remaining_s(died_s + 1.5) > 0.0
 
@@ -248,7 +248,7 @@
     def control_asks(self, name: str, doubled: bool) -> None:
         held = self.revisions[name]
         now_s = self._clock_s(name)
-        acked = self.tables[name].acknowledged(held, now_s)
+        acked = self.tables[name].revision_to_acknowledge(held, now_s)
         request = Request(name, self.leader, now_s, acked, held)
         self.requests.extend([request] * (2 if doubled else 1))
 
@@ -289,7 +289,7 @@
         chosen = data.draw(st.integers(0, len(self.replies) - 1))
         reply = self.replies.pop(chosen)
         lease = self.leases[reply.holder]
-        lease.renewed(reply.sent_at_s, reply.grant)
+        lease.renew(reply.sent_at_s, reply.grant)
 
     @rule()
     def controls_renew(self) -> None:
@@ -312,7 +312,7 @@
         grant = self._grant(request)
         if grant is not None:
             lease = self.leases[request.holder]
-            lease.renewed(request.sent_at_s, grant)
+            lease.renew(request.sent_at_s, grant)
 
     @rule()
     def change_leader(self) -> None:
--- a/packages/sycamorestand-state/tests/test_orders.py
+++ b/packages/sycamorestand-state/tests/test_orders.py
@@ -9,7 +9,7 @@
 from sycamorestand_state.order_book import INTENDED
 from sycamorestand_state.order_book import MAX_FINISHED_ORDERS
 from sycamorestand_state.orders import FencingNumber
-from sycamorestand_state.orders import ORDER_FLIGHT_S
+from sycamorestand_state.orders import ORDER_TIMEOUT_S
 from sycamorestand_state.orders import OrderIssuer
 from sycamorestand_state.orders import SEND_WITHIN_S
 from sycamorestand_state.results import ChangeResult
@@ -159,7 +159,7 @@
         issuer.may_send(110.0, 1.0, record)
         unknown = issuer.outcome(record, "unknown", "no answer", WALL_S)
         assert ask(issuer, 117.0, [OrderRecord(*unknown)]) is None
-        assert ask(issuer, 110.0 + ORDER_FLIGHT_S) is None
+        assert ask(issuer, 110.0 + ORDER_TIMEOUT_S) is None
         assert ask(issuer, 117.0) is not None
 
     def test_an_answered_order_frees_the_server_at_once(
@@ -199,7 +199,7 @@
         issuer.may_send(111.0, 1.0, record)
         unknown = issuer.outcome(record, "unknown", "timeout", WALL_S)
         known = OrderRecord(*unknown)
-        assert issuer.unfinished([known], 111.0 + ORDER_FLIGHT_S) == ()
+        assert issuer.unfinished([known], 111.0 + ORDER_TIMEOUT_S) == ()
         assert issuer.unfinished([known], 118.0) == (known,)
 
     def test_finished_ones_stay_finished(self, issuer: OrderIssuer) -> None:
