--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
@@ -111,22 +111,22 @@
         name = self.selector.choose(self.candidates, now_s, key)
         if name is not None:
             self.server[number] = name
-            self.selector.started(name, now_s)
+            self.selector.record_start(name, now_s)
 
     def end(self, number: int, now_s: float) -> None:
         """Learn from the end of a request."""
         kind = request_class(RequestFeatures("review", 100 * (number % 50)))
         name = self.server.pop(number, None)
         if name is not None:
-            self.selector.first_byte(name, now_s, 0.1)
-            self.selector.finished(name, now_s, 1.0, "ok")
+            self.selector.record_first_byte(name, now_s, 0.1)
+            self.selector.record_finish(name, now_s, 1.0, "ok")
         self.admission.finish(number, now_s, 1.0, False)
         self.admission.start_ready(now_s)
         self.learner.accept(self.profile, 0, kind, 1.0)
         self.learner.observe(
             self.profile.name, "small@1", kind, True, 100.0, 400.0
         )
-        self.retries.succeeded(self.customers[0], now_s)
+        self.retries.record_success(self.customers[0], now_s)
 
 
 def _ticket(number: int, customer: str, now_s: float) -> Ticket:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -243,26 +243,26 @@
 
     def on_sent(self, attempt: Attempt) -> None:
         """Count the attempt."""
-        self.selector.started(attempt.server, self.clock.now_s)
+        self.selector.record_start(attempt.server, self.clock.now_s)
 
     def on_first_byte(self, attempt: Attempt) -> None:
         """Learn from the first byte."""
         now_s = self.clock.now_s
         latency_s = now_s - attempt.sent_s
-        self.selector.first_byte(attempt.server, now_s, latency_s)
+        self.selector.record_first_byte(attempt.server, now_s, latency_s)
 
     def on_finished(self, attempt: Attempt, outcome: str) -> None:
         """Learn from the end of the attempt."""
         now_s = self.clock.now_s
         latency_s = now_s - attempt.sent_s
-        self.selector.finished(
+        self.selector.record_finish(
             attempt.server,
             now_s,
             latency_s,
             outcome,  # type: ignore[arg-type]
         )
         if outcome == "ok":
-            self.retries.succeeded(attempt.request.customer, now_s)
+            self.retries.record_success(attempt.request.customer, now_s)
 
     def may_retry(self, attempt: Attempt) -> bool:
         """Ask the retry budget."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from sycamorestand_decisions.staying import Step
+from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_peer.messages import SessionsStay
 
 if TYPE_CHECKING:
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -146,7 +146,7 @@
                     "step": run.step,
                     "verdict": type(verdict).__name__,
                     "reason": verdict.reason,
-                    "signals": list(run.monitor.compared()),
+                    "signals": list(run.monitor.comparison_lines()),
                 },
             )
         if isinstance(verdict, Stop):
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
@@ -68,7 +68,7 @@
             account.left -= lent[service]
         return lent
 
-    def left(self) -> float:
+    def total_left(self) -> float:
         """Return what all services have left, as of their last trades."""
         return sum(account.left for account in self._accounts.values())
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
@@ -119,7 +119,7 @@
         self._is_open = False
         self._is_reached = False
 
-    def sent_first(self, service: str, now_s: float) -> None:
+    def record_first_arrival(self, service: str, now_s: float) -> None:
         """Count the first arrival of a request, which earns a part."""
         allowance = self._allowance
         if not allowance.ratio:
@@ -129,7 +129,7 @@
         account.forget_before(now_s - allowance.window_s)
         account.left += self._earned
 
-    def may_add(self, service: str, entries: int, now_s: float) -> bool:
+    def try_spend(self, service: str, entries: int, now_s: float) -> bool:
         """Spend one more arrival of a request, if there is one left.
 
         ``entries`` is how many entries there are, all of them: divided by
@@ -169,7 +169,7 @@
         return Share(entries, first, account.left, most)
 
     @property
-    def is_answered_soon(self) -> bool:
+    def expects_quick_reply(self) -> bool:
         """Return whether a trade is open, and the pool answered before."""
         return self._is_open and self._is_reached
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/patience.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/attempt_timeouts.py
@@ -46,7 +46,7 @@
 # The largest model of today's engines reads 13,000 to 16,000 tokens of a
 # prompt a second where nothing else runs; with some of it shared, a server
 # that needs longer than this has stopped or has a queue.
-READ_TOKENS_PER_S: Final = 10_000.0
+PREFILL_TOKENS_PER_S: Final = 10_000.0
 # A pause beyond the target is late already, and a preempted run goes on by
 # itself; three times the target is longer than any calm server's pause.
 GAP_TARGETS: Final = 3.0
@@ -84,14 +84,16 @@
     """
     bound_s = min(aim_s * EVENT_SHARE, left_s * LEFT_SHARE)
     overtaken_s = min(aim_s * OVERTAKEN_SHARE, bound_s)
-    read_s = prompt_tokens / READ_TOKENS_PER_S
+    read_s = prompt_tokens / PREFILL_TOKENS_PER_S
     return (
         max(MIN_EVENT_S, overtaken_s) + read_s,
         max(MIN_EVENT_S, bound_s) + read_s,
     )
 
 
-def quick_limit_s(aim_s: float, read_s: float, delay_s: float) -> float | None:
+def short_prefill_limit_s(
+    aim_s: float, read_s: float, delay_s: float
+) -> float | None:
     """Return after how long a request that reads quickly leaves a server.
 
     None where its prompt takes long to read, or where the usual wait now,
@@ -103,12 +105,12 @@
     True
     """
     limit_s = aim_s * QUICK_SHARE + 2 * read_s
-    if not reads_quickly(aim_s, read_s) or delay_s > limit_s / 2:
+    if not has_short_prefill(aim_s, read_s) or delay_s > limit_s / 2:
         return None
     return limit_s
 
 
-def reads_quickly(aim_s: float, read_s: float) -> bool:
+def has_short_prefill(aim_s: float, read_s: float) -> bool:
     """Tell whether a prompt is read in a small part of its aim."""
     return read_s <= aim_s * QUICK_READ_SHARE
 
@@ -153,25 +155,25 @@
         self._last: dict[str, deque[AnswerTime]] = {}
         self._running_since_s: dict[str, list[float]] = {}
 
-    def asked(self, route: str, at_s: float) -> None:
-        """Note a request that `over` is told of, with the same time."""
+    def record_started(self, route: str, at_s: float) -> None:
+        """Note a request that `record_stopped` is told of, with its time."""
         self._running_since_s.setdefault(route, []).append(at_s)
 
-    def over(self, route: str, at_s: float) -> None:
+    def record_stopped(self, route: str, at_s: float) -> None:
         """Note that a request of this time runs no more."""
         since_s = self._running_since_s[route]
         since_s.remove(at_s)
         if not since_s:
             del self._running_since_s[route]
 
-    def ended(self, route: str, answer: AnswerTime) -> None:
+    def record_answer(self, route: str, answer: AnswerTime) -> None:
         """Take in a whole answer."""
         if len(self._last) >= MAX_ROUTES and route not in self._last:
             self._last.clear()
         empty: deque[AnswerTime] = deque(maxlen=ANSWERS_KEPT)
         self._last.setdefault(route, empty).append(answer)
 
-    def high_s(self, route: str) -> float:
+    def max_answer_s(self, route: str) -> float:
         """Return what an answer hardly takes longer than, 0 if unknown.
 
         It counts from the first event.
@@ -179,7 +181,7 @@
         last = self._last.get(route, ())
         return max((answer.answer_s for answer in last), default=0.0)
 
-    def whole_s(self, route: str, pause_s: float, now_s: float) -> float:
+    def max_total_s(self, route: str, pause_s: float, now_s: float) -> float:
         """Return the same from the request on, as servers are now.
 
         ``pause_s`` is what lies between two events now. The answers that
@@ -200,14 +202,16 @@
         return max(past_s + running_s)
 
 
-class Progress:
+class ServerProgress:
     """Which servers have answered requests that were sent after others."""
 
     def __init__(self) -> None:
         self._latest_s: dict[str, float] = {}
         self._begun_s: dict[str, float] = {}
 
-    def begun(self, server: str, sent_s: float, now_s: float) -> None:
+    def record_first_event(
+        self, server: str, sent_s: float, now_s: float
+    ) -> None:
         """Note that the answer to a request of this time has begun."""
         if len(self._latest_s) >= MAX_SERVERS:
             self._latest_s.clear()
@@ -216,7 +220,7 @@
         self._latest_s[server] = max(latest_s, sent_s)
         self._begun_s[server] = now_s
 
-    def works_off(self, server: str, sent_s: float) -> bool:
+    def is_serving_in_order(self, server: str, sent_s: float) -> bool:
         """Tell whether the server has begun answers since, in their turn.
 
         A request that waits there waits for its turn and for nothing
@@ -239,7 +243,7 @@
     "first_event_limits_s",
     "gap_limit_s",
     "MIN_EVENT_S",
-    "Progress",
-    "quick_limit_s",
-    "reads_quickly",
+    "ServerProgress",
+    "short_prefill_limit_s",
+    "has_short_prefill",
 ]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/canary.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/canary.py
@@ -23,7 +23,7 @@
 MIN_SERVERS: Final = 2
 
 
-def first_servers(names: Iterable[str], share: float) -> frozenset[str]:
+def canary_servers(names: Iterable[str], share: float) -> frozenset[str]:
     """Return the servers that take part at a share of the work.
 
     >>> sorted(first_servers(["a", "b", "c", "d", "e"], 0.4))
@@ -34,4 +34,4 @@
     return frozenset(ordered[:count])
 
 
-__all__ = ["first_servers", "MIN_SERVERS"]
+__all__ = ["canary_servers", "MIN_SERVERS"]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -162,7 +162,7 @@
             subject = _escalated(step_version) if escalated else step_version
             self._rates.observe(subject, request_class, passed)
 
-    def learn(self, counts: Iterable[RatingCount]) -> None:
+    def observe_ratings(self, counts: Iterable[RatingCount]) -> None:
         """Take in ratings that other entries were given.
 
         Each entry alone sees few requests of a class: with ten of them
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
@@ -60,7 +60,7 @@
         self._limit *= capacity / self.capacity
         self.capacity = capacity
 
-    def first_byte(self, now_s: float, latency_s: float) -> None:
+    def record_first_byte(self, now_s: float, latency_s: float) -> None:
         """Learn from the time to the first byte of one answer."""
         self._samples += 1
         step = max(RECENT_STEP, 1.0 / self._samples)
@@ -73,9 +73,9 @@
         self._floor_s = min(self._recent_s, self._floor_s + max(0.0, rise_s))
         bound_s = max(QUEUEING_RATIO * self._floor_s, QUEUEING_MIN_S)
         if self._recent_s > bound_s:
-            self.overloaded(now_s)
+            self.record_overload(now_s)
 
-    def reported(
+    def record_report(
         self, now_s: float, running: int, queued: int, age_s: float
     ) -> None:
         """Learn from the server's own report of a queue.
@@ -90,13 +90,13 @@
         self._decreased_s = now_s
         self._limit = max(1.0, self._limit * max(MAX_CUT, min(1.0, factor)))
 
-    def overloaded(self, now_s: float) -> None:
+    def record_overload(self, now_s: float) -> None:
         """Lower the limit, once for each interval."""
         if now_s - self._decreased_s >= DECREASE_INTERVAL_S:
             self._decreased_s = now_s
             self._limit = max(1.0, self._limit * DECREASE)
 
-    def succeeded(self, now_s: float, in_flight: int) -> None:
+    def record_success(self, now_s: float, in_flight: int) -> None:
         """Raise the limit where it was in use and nothing queued."""
         if now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
@@ -69,7 +69,7 @@
         self.probing = False
         self.warm_since_s = float("-inf")
 
-    def is_out(self, now_s: float) -> bool:
+    def is_ejected(self, now_s: float) -> bool:
         """Tell whether the server gets no work now.
 
         After its time out one request goes to it as a probe.
@@ -85,12 +85,12 @@
             return 1.0
         return max(SLOW_START_FLOOR, elapsed_s / SLOW_START_S)
 
-    def started(self, now_s: float) -> None:
+    def record_start(self, now_s: float) -> None:
         """Note a request; on a half-open server it is the probe."""
         if self.half_open and now_s >= self.ejected_until_s:
             self.probing = True
 
-    def succeeded(
+    def record_success(
         self, now_s: float, latency_s: float, typical: Typical
     ) -> None:
         """Learn from an answer; a good probe starts the slow start."""
@@ -111,12 +111,12 @@
         self.samples = self.first_bytes = 0
         self.warm_since_s = now_s
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Count a failure, but for those sent before an ejection."""
         if now_s >= self.ejected_until_s:
             self.failures += 1
 
-    def first_byte(self, latency_s: float, typical: Typical) -> None:
+    def record_first_byte(self, latency_s: float, typical: Typical) -> None:
         """Learn from the time to a first byte, long before the end."""
         latency_s = _bounded(latency_s, typical.first_byte_s)
         self.first_bytes += 1
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/reading.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/prefill.py
@@ -42,13 +42,13 @@
 FIRST_RANK_S: Final = 0.015
 
 
-class ReadingRates:
+class PrefillRates:
     """What one entry has learned of the models' reading, by service."""
 
     def __init__(self) -> None:
         self._s_per_token: dict[tuple[str, str], float] = {}
 
-    def observed(
+    def observe(
         self, service: str, model: str, tokens: int, first_event_s: float
     ) -> None:
         """Take in the time from sending a prompt to its first event."""
@@ -66,7 +66,7 @@
         else:
             self._s_per_token[key] = known * (1 + STEP * QUANTILE)
 
-    def read_s(
+    def prefill_s(
         self, service: str, sizes: Sequence[str], size: int, tokens: int
     ) -> float:
         """Return how long a prompt takes the model with this index.
@@ -110,6 +110,6 @@
     "FIRST_RANK_S",
     "MIN_TOKENS",
     "RANKS",
-    "ReadingRates",
+    "PrefillRates",
     "UNKNOWN_S_PER_TOKEN",
 ]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
@@ -28,7 +28,7 @@
         self._sum_s = 0.0
         self._at_s = 0.0
 
-    def observed(self, now_s: float, waited_s: float) -> None:
+    def observe(self, now_s: float, waited_s: float) -> None:
         """Take in how long a request waited, or has waited in vain."""
         self._fade(now_s)
         self._weight += 1.0
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/staying.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
@@ -18,7 +18,7 @@
     from collections.abc import Iterable
 
 # Places are whole numbers below this one, as a checksum gives them.
-PLACES: Final = 2**32
+PLACE_COUNT: Final = 2**32
 # Sessions of the last seconds at one entry; a flood of names must not fill
 # the memory.
 MAX_SEEN: Final = 4096
@@ -26,7 +26,7 @@
 MAX_STEPS: Final = 64
 # Sessions of one step: where no new server comes for hours, the version in use
 # stands in for all that begin meanwhile.
-MAX_STAYING: Final = 65_536
+MAX_RETAINED: Final = 65_536
 
 
 class Step(NamedTuple):
@@ -37,7 +37,7 @@
     number: int
 
 
-class StayingSessions:
+class RetainedSessions:
     """What one entry knows of the sessions that stay.
 
     ``idle_s`` is how long after its last request a session may go on.
@@ -57,7 +57,7 @@
         self._staying: dict[Step, set[int]] = {}
         self._begun: set[Step] = set()
 
-    def served(self, service: str, place: int, now_s: float) -> None:
+    def record_served(self, service: str, place: int, now_s: float) -> None:
         """Note a session that the version in use serves."""
         key = (service, place)
         # The latest ones stand last.
@@ -68,7 +68,7 @@
         while len(self._seen) > MAX_SEEN:
             del self._seen[next(iter(self._seen))]
 
-    def begins(
+    def begin_step(
         self, step: Step, share: float, now_s: float
     ) -> tuple[int, ...]:
         """Return the places to tell the others, once for a step."""
@@ -82,21 +82,21 @@
         places = {
             place
             for service, place in self._seen
-            if service == step.service and place < share * PLACES
+            if service == step.service and place < share * PLACE_COUNT
         }
-        self.keep(step, places)
+        self.retain(step, places)
         return tuple(places)
 
-    def keep(self, step: Step, places: Iterable[int]) -> tuple[int, ...]:
+    def retain(self, step: Step, places: Iterable[int]) -> tuple[int, ...]:
         """Let sessions stay; return those that did not before."""
         staying = self._staying.setdefault(step, set())
-        if len(staying) >= MAX_STAYING:
+        if len(staying) >= MAX_RETAINED:
             return ()
         added = set(places) - staying
         staying |= added
         return tuple(added)
 
-    def stays(self, step: Step, place: int) -> bool:
+    def is_retained(self, step: Step, place: int) -> bool:
         """Tell whether a session goes on with the version in use."""
         return place in self._staying.get(step, ())
 
@@ -109,4 +109,10 @@
             del self._seen[oldest]
 
 
-__all__ = ["MAX_SEEN", "MAX_STAYING", "PLACES", "StayingSessions", "Step"]
+__all__ = [
+    "MAX_SEEN",
+    "MAX_RETAINED",
+    "PLACE_COUNT",
+    "RetainedSessions",
+    "Step",
+]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
@@ -63,7 +63,7 @@
         self.granted += 1
         return True
 
-    def succeeded(self, customer: str, now_s: float) -> None:
+    def record_success(self, customer: str, now_s: float) -> None:
         """Earn a share of a retry with each success."""
         self._own(customer).earn(self._share, now_s)
         self._fleet.earn(self._share, now_s)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
@@ -79,7 +79,7 @@
 EQUAL_WEIGHTS: Final = Objective()
 
 
-def judge(
+def evaluate_rollout(
     old: VersionStats,
     new: VersionStats,
     rollout: Rollout,
@@ -145,7 +145,7 @@
 
     def check(self, now_s: float) -> Verdict:
         """Judge the counts so far."""
-        return judge(
+        return evaluate_rollout(
             self.old,
             self.new,
             self.rollout,
@@ -154,7 +154,7 @@
             self._objective,
         )
 
-    def compared(self) -> tuple[str, ...]:
+    def comparison_lines(self) -> tuple[str, ...]:
         """Return what each signal shows, for who asks why it went on."""
         return tuple(e.text() for e in compare_all(self.old, self.new))
 
@@ -252,7 +252,7 @@
     "Advance",
     "Continue",
     "empty_stats",
-    "judge",
+    "evaluate_rollout",
     "merge",
     "RolloutMonitor",
     "StepStart",
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
@@ -116,20 +116,22 @@
         scores = tuple((c.name, self._score(c, now_s)) for c in candidates)
         return tuple(choice._replace(scores=scores) for choice in choices)
 
-    def started(self, name: str, now_s: float) -> None:
+    def record_start(self, name: str, now_s: float) -> None:
         """Count a request that was sent to the server."""
         server = self._server(name)
         server.own.change(1, now_s)
-        server.health.started(now_s)
+        server.health.record_start(now_s)
 
-    def first_byte(self, name: str, now_s: float, latency_s: float) -> None:
+    def record_first_byte(
+        self, name: str, now_s: float, latency_s: float
+    ) -> None:
         """Learn from the time to the first byte."""
         server = self._server(name)
-        server.limit.first_byte(now_s, latency_s)
-        server.health.first_byte(latency_s, self._typical)
+        server.limit.record_first_byte(now_s, latency_s)
+        server.health.record_first_byte(latency_s, self._typical)
         self._eject_outlier(server, now_s)
 
-    def finished(
+    def record_finish(
         self, name: str, now_s: float, latency_s: float, outcome: Outcome
     ) -> None:
         """Count the end of an attempt and learn from its outcome."""
@@ -137,15 +139,15 @@
         in_flight = server.own.in_flight
         server.own.change(-1, now_s)
         if outcome == "ok":
-            server.limit.succeeded(now_s, in_flight)
-            server.health.succeeded(now_s, latency_s, self._typical)
+            server.limit.record_success(now_s, in_flight)
+            server.health.record_success(now_s, latency_s, self._typical)
             self._learn_typical()
         elif outcome == "overloaded":
             # A refusal says that the server is full, not that it fails:
             # ejecting it would push its load onto the others.
-            server.limit.overloaded(now_s)
+            server.limit.record_overload(now_s)
         elif outcome in ("error", "timeout"):
-            server.health.failed(now_s)
+            server.health.record_failure(now_s)
         if outcome == "cancelled" or outcome == "overloaded":
             server.health.probing = False
         self._eject_outlier(server, now_s)
@@ -154,9 +156,9 @@
         """Return how many requests this entry has running on the server."""
         return self._server(name).own.in_flight
 
-    def is_out(self, name: str, now_s: float) -> bool:
+    def is_ejected(self, name: str, now_s: float) -> bool:
         """Tell whether the server is ejected and gets no work now."""
-        return self._server(name).health.is_out(now_s)
+        return self._server(name).health.is_ejected(now_s)
 
     def limit(self, name: str) -> int:
         """Return how many requests this entry may run on the server."""
@@ -171,10 +173,10 @@
         total = 0
         for candidate in candidates:
             server = self._known(candidate)
-            server.limit.reported(
+            server.limit.record_report(
                 now_s, candidate.running, candidate.queued, candidate.age_s
             )
-            if not server.health.is_out(now_s):
+            if not server.health.is_ejected(now_s):
                 warmth = server.health.warmth(now_s)
                 total += max(1, int(server.limit.limit * warmth))
         return total
@@ -196,7 +198,7 @@
                 in_flight=server.own.in_flight,
                 limit=server.limit.limit,
                 latency_s=server.health.latency_s,
-                ejected=server.health.is_out(now_s),
+                ejected=server.health.is_ejected(now_s),
             )
             for name, server in self._servers.items()
         }
@@ -240,7 +242,7 @@
     ) -> bool:
         if candidate.name in exclude:
             return False
-        return not self._known(candidate).health.is_out(now_s)
+        return not self._known(candidate).health.is_ejected(now_s)
 
     def _score(self, candidate: Candidate, now_s: float) -> float:
         server = self._servers[candidate.name]
@@ -284,7 +286,7 @@
         server = self._servers[candidate.name]
         if candidate.name in exclude:
             return "tried before"
-        if server.health.is_out(now_s):
+        if server.health.is_ejected(now_s):
             return "ejected"
         if not self._usable(candidate, now_s, exclude):
             return "at its limit"
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
@@ -38,7 +38,7 @@
 ACCEPT_AFTER_NEAR_MISS: Final = 50
 # The middle model's confidence lies some twelve above the smallest one's, so
 # that from here on most of its answers can be accepted.
-NEAR_CONFIDENCE: Final = 45
+NEAR_MISS_CONFIDENCE: Final = 45
 # The largest model reads a prompt in ten times the smallest one's time, so
 # a climb keeps up to ten requests waiting behind it. As their wait nears this
 # share of the aim, answers go out that would otherwise climb, the better ones
@@ -73,7 +73,7 @@
         return None
     if size + 1 >= len(sizes) or attempts_left < 1:
         return None
-    if confidence >= NEAR_CONFIDENCE and attempts_left > 1:
+    if confidence >= NEAR_MISS_CONFIDENCE and attempts_left > 1:
         return size + 1
     return len(sizes) - 1
 
@@ -82,6 +82,6 @@
     "ACCEPT_AFTER_NEAR_MISS",
     "ACCEPT_CONFIDENCE",
     "first_size",
-    "NEAR_CONFIDENCE",
+    "NEAR_MISS_CONFIDENCE",
     "next_size",
 ]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/stopping.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/stopping.py
@@ -17,7 +17,7 @@
 MARGIN: Final = 1.5
 
 
-def goes_elsewhere(
+def may_outlast_stop(
     ends_in_s: float, patience_s: float, longest_s: float
 ) -> bool:
     """Tell whether another process should answer a request.
@@ -34,4 +34,4 @@
     return ends_in_s < min(patience_s, longest_s * MARGIN)
 
 
-__all__ = ["goes_elsewhere"]
+__all__ = ["may_outlast_stop"]
--- a/packages/sycamorestand-decisions/tests/test_arrival_pool.py
+++ b/packages/sycamorestand-decisions/tests/test_arrival_pool.py
@@ -127,7 +127,7 @@
 
     def _first(self, entry: int, now_s: float) -> None:
         self.firsts.append(now_s)
-        self.entries[entry].sent_first(SERVICE, now_s)
+        self.entries[entry].record_first_arrival(SERVICE, now_s)
         self._trade(entry, now_s)
 
     def _climbs(self, entry: int, now_s: float) -> bool:
@@ -144,7 +144,7 @@
 
     def _add(self, entry: int, now_s: float) -> bool:
         count = len(self.entries)
-        may = self.entries[entry].may_add(SERVICE, count, now_s)
+        may = self.entries[entry].try_spend(SERVICE, count, now_s)
         if may:
             self.further.append(now_s)
         self._trade(entry, now_s, "" if may else SERVICE)
--- a/packages/sycamorestand-decisions/tests/test_arrivals.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals.py
@@ -20,7 +20,7 @@
 class TestArrivalBudget:
     def test_without_an_allowance_nothing_is_bounded(self) -> None:
         budget = ArrivalBudget(Allowance())
-        assert all(budget.may_add(SERVICE, 3, 0.1 * n) for n in range(500))
+        assert all(budget.try_spend(SERVICE, 3, 0.1 * n) for n in range(500))
 
     @pytest.mark.parametrize("restarts", [False, True])
     def test_full_servers_and_climbs_together_stay_within_it(
@@ -63,29 +63,29 @@
         denied = 0
         for _ in range(2_000):
             now_s += random.expovariate(1.0)
-            budget.sent_first(SERVICE, now_s)
+            budget.record_first_arrival(SERVICE, now_s)
             if random.random() < 0.46:
-                denied += not budget.may_add(SERVICE, ENTRIES, now_s)
+                denied += not budget.try_spend(SERVICE, ENTRIES, now_s)
         assert denied <= 0.02 * 0.46 * 2_000
 
     def test_services_do_not_share_it(self) -> None:
         budget = ArrivalBudget(ALLOWANCE)
         for service in (SERVICE, "ledger") * 4:
-            budget.sent_first(service, 0.0)
-        while budget.may_add(SERVICE, ENTRIES, 0.0):
+            budget.record_first_arrival(service, 0.0)
+        while budget.try_spend(SERVICE, ENTRIES, 0.0):
             pass
-        assert budget.may_add("ledger", ENTRIES, 0.0)
+        assert budget.try_spend("ledger", ENTRIES, 0.0)
 
     @pytest.mark.parametrize("entries", [0, 1, 60])
     def test_the_budget_comes_back_with_requests(self, entries: int) -> None:
         budget = ArrivalBudget(ALLOWANCE)
-        while budget.may_add(SERVICE, entries, 0.0):
+        while budget.try_spend(SERVICE, entries, 0.0):
             pass
         added = 0
         for number in range(20):
             now_s = 20.0 + number / 10
-            budget.sent_first(SERVICE, now_s)
-            while budget.may_add(SERVICE, entries, now_s):
+            budget.record_first_arrival(SERVICE, now_s)
+            while budget.try_spend(SERVICE, entries, now_s):
                 added += 1
         assert added >= int(20 * ALLOWANCE.ratio * EARNED_SHARE)
 
@@ -93,8 +93,8 @@
         """Of a dozen streams under way half break off in one moment."""
         budget = ArrivalBudget(ALLOWANCE)
         for number in range(40):
-            budget.sent_first(SERVICE, number / 4)
-        asked = [budget.may_add(SERVICE, ENTRIES, 10.0) for _ in range(6)]
+            budget.record_first_arrival(SERVICE, number / 4)
+        asked = [budget.try_spend(SERVICE, ENTRIES, 10.0) for _ in range(6)]
         assert all(asked)
 
 
@@ -106,7 +106,7 @@
         trade = budget.open_trade(ENTRIES, 12.0, SERVICE)
         assert trade is not None
         for _ in range(20):
-            budget.sent_first(SERVICE, 12.0)
+            budget.record_first_arrival(SERVICE, 12.0)
         share = budget.share(SERVICE, ENTRIES, 12.0)
         asked = trade.asked[SERVICE]
         assert asked > 0
@@ -123,13 +123,13 @@
         assert second is not None
         assert not second.given
         for _ in range(40):
-            budget.sent_first(SERVICE, 12.0)
+            budget.record_first_arrival(SERVICE, 12.0)
         share = budget.share(SERVICE, ENTRIES, 12.0)
         under_way = given + second.asked[SERVICE]
         assert share.left == pytest.approx(share.most - under_way)
         budget.close_trade(second.number, {})
         for _ in range(40):
-            budget.sent_first(SERVICE, 23.0)
+            budget.record_first_arrival(SERVICE, 23.0)
         share = budget.share(SERVICE, ENTRIES, 23.0)
         assert share.left == pytest.approx(share.most)
 
@@ -138,7 +138,7 @@
     """Return the budget of an entry whose pool has answered once."""
     budget = ArrivalBudget(ALLOWANCE)
     for number in range(40):
-        budget.sent_first(SERVICE, number / 5)
+        budget.record_first_arrival(SERVICE, number / 5)
     trade = budget.open_trade(ENTRIES, 9.0)
     assert trade is not None
     assert not trade.given
@@ -148,7 +148,7 @@
 
 def spend_all(budget: ArrivalBudget, now_s: float) -> None:
     """Add arrivals until none is left."""
-    while budget.may_add(SERVICE, ENTRIES, now_s):
+    while budget.try_spend(SERVICE, ENTRIES, now_s):
         pass
 
 
@@ -165,10 +165,10 @@
         if restarts and random.random() < 0.001:
             budgets[number] = ArrivalBudget(ALLOWANCE)
         budget = budgets[number]
-        budget.sent_first(SERVICE, now_s)
+        budget.record_first_arrival(SERVICE, now_s)
         firsts.append(now_s)
         for _ in range(2):
-            if budget.may_add(SERVICE, ENTRIES, now_s):
+            if budget.try_spend(SERVICE, ENTRIES, now_s):
                 further.append(now_s)
     return firsts, further
 
@@ -190,10 +190,10 @@
         if changed and change == "move":
             number = ENTRIES - 1 - number
         budget = (new if changed else old)[number]
-        budget.sent_first(SERVICE, now_s)
+        budget.record_first_arrival(SERVICE, now_s)
         firsts.append(now_s)
         for _ in range(2 if now_s > LOST_S else 0):
-            if budget.may_add(SERVICE, ENTRIES, now_s):
+            if budget.try_spend(SERVICE, ENTRIES, now_s):
                 further.append(now_s)
     return firsts, further
 
@@ -218,11 +218,11 @@
         """Climbs and moves had spent all when callers were about to leave."""
         budget = ArrivalBudget(Allowance(ratio=0.9, slack=60.0))
         for _ in range(2):
-            budget.sent_first("words", 0.0)
+            budget.record_first_arrival("words", 0.0)
         assert not budget.has_spare("words", 10, 0.0)
-        assert budget.may_add("words", 10, 0.0)
+        assert budget.try_spend("words", 10, 0.0)
         for _ in range(8):
-            budget.sent_first("words", 0.0)
+            budget.record_first_arrival("words", 0.0)
         assert budget.has_spare("words", 10, 0.0)
 
     def test_without_a_bound_there_is_always_spare(self) -> None:
--- a/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
@@ -48,14 +48,14 @@
     @rule(entry=ENTRY, count=sampled_from([1, 10, 100]))
     def requests_come(self, entry: int, count: int) -> None:
         for _ in range(count):
-            self.budgets[entry].sent_first(SERVICE, self.now_s)
+            self.budgets[entry].record_first_arrival(SERVICE, self.now_s)
             self.firsts.append(self.now_s)
 
     @rule(entry=ENTRY, most=sampled_from([1, 300]))
     def servers_refuse(self, entry: int, most: int) -> None:
         budget, told = self.budgets[entry], self.told[entry]
         for _ in range(most):
-            if not budget.may_add(SERVICE, told, self.now_s):
+            if not budget.try_spend(SERVICE, told, self.now_s):
                 return
             self.further.append(self.now_s)
 
--- a/packages/sycamorestand-decisions/tests/test_patience.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from sycamorestand_decisions.patience import ANSWERS_KEPT
-from sycamorestand_decisions.patience import AnswerTime
-from sycamorestand_decisions.patience import AnswerTimes
-from sycamorestand_decisions.patience import call_limit_s
-from sycamorestand_decisions.patience import first_event_limits_s
-from sycamorestand_decisions.patience import gap_limit_s
-from sycamorestand_decisions.patience import Progress
-from sycamorestand_decisions.patience import quick_limit_s
-from sycamorestand_decisions.patience import READ_TOKENS_PER_S
+from sycamorestand_decisions.attempt_timeouts import ANSWERS_KEPT
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import AnswerTimes
+from sycamorestand_decisions.attempt_timeouts import call_limit_s
+from sycamorestand_decisions.attempt_timeouts import first_event_limits_s
+from sycamorestand_decisions.attempt_timeouts import gap_limit_s
+from sycamorestand_decisions.attempt_timeouts import PREFILL_TOKENS_PER_S
+from sycamorestand_decisions.attempt_timeouts import ServerProgress
+from sycamorestand_decisions.attempt_timeouts import short_prefill_limit_s
 
 
 class TestLimits:
@@ -49,13 +49,13 @@
         The question behind it would begin after two seconds there, and
         after a tenth of one at any other server.
         """
-        limit_s = quick_limit_s(2.0, 0.02, 0.05)
+        limit_s = short_prefill_limit_s(2.0, 0.02, 0.05)
         assert limit_s is not None
         assert limit_s < 0.15 * 2.0
 
     def test_a_long_reading_stays(self) -> None:
         """Asked elsewhere, it would be read twice."""
-        assert quick_limit_s(2.0, 0.4, 0.0) is None
+        assert short_prefill_limit_s(2.0, 0.4, 0.0) is None
 
     def test_under_a_burst_nobody_leaves(self) -> None:
         """Requests wait for half a second at every server.
@@ -63,26 +63,26 @@
         Whoever left would go to the end of a queue as long, and each move
         would draw on the budget that crashes need.
         """
-        assert quick_limit_s(2.0, 0.02, 0.5) is None
+        assert short_prefill_limit_s(2.0, 0.02, 0.5) is None
 
 
 class TestProgress:
     def test_queue_worked_off_in_turn_overtakes_nobody(self) -> None:
         """A server answers in turn, slowly; the last one waits longest."""
-        progress = Progress()
+        progress = ServerProgress()
         for sent_s in (1.0, 2.0, 3.0):
-            progress.begun("s-1", sent_s, sent_s + 2.0)
+            progress.record_first_event("s-1", sent_s, sent_s + 2.0)
         assert not progress.has_overtaken("s-1", 4.0)
 
     def test_request_that_hangs_is_overtaken(self) -> None:
-        progress = Progress()
-        progress.begun("s-1", 3.0, 3.5)
+        progress = ServerProgress()
+        progress.record_first_event("s-1", 3.0, 3.5)
         assert progress.has_overtaken("s-1", 1.0)
         assert not progress.has_overtaken("s-2", 1.0)
 
     def test_requests_sent_together_come_in_any_order(self) -> None:
-        progress = Progress()
-        progress.begun("s-1", 1.1, 1.5)
+        progress = ServerProgress()
+        progress.record_first_event("s-1", 1.1, 1.5)
         assert not progress.has_overtaken("s-1", 1.0)
 
     def test_a_server_under_a_burst_is_not_at_fault(self) -> None:
@@ -92,7 +92,7 @@
         as faults five of them took the server out, and its load went to
         the others, which were next.
         """
-        progress = Progress()
+        progress = ServerProgress()
         given_up = 0
         for number in range(8, 40):
             sent_s = number * 0.1
@@ -100,21 +100,21 @@
             in_turn = int(given_up_s / 0.4)
             if in_turn >= number:
                 continue
-            progress.begun("s-1", in_turn * 0.1, given_up_s)
+            progress.record_first_event("s-1", in_turn * 0.1, given_up_s)
             given_up += 1
-            assert progress.works_off("s-1", sent_s)
+            assert progress.is_serving_in_order("s-1", sent_s)
         assert given_up > 5
 
     def test_a_server_that_answers_nobody_is(self) -> None:
-        progress = Progress()
-        progress.begun("s-1", 1.0, 1.5)
-        assert not progress.works_off("s-1", 2.0)
-        assert not progress.works_off("s-2", 2.0)
+        progress = ServerProgress()
+        progress.record_first_event("s-1", 1.0, 1.5)
+        assert not progress.is_serving_in_order("s-1", 2.0)
+        assert not progress.is_serving_in_order("s-2", 2.0)
 
     def test_a_server_that_passes_one_over_is(self) -> None:
-        progress = Progress()
-        progress.begun("s-1", 3.0, 3.5)
-        assert not progress.works_off("s-1", 1.0)
+        progress = ServerProgress()
+        progress.record_first_event("s-1", 3.0, 3.5)
+        assert not progress.is_serving_in_order("s-1", 1.0)
 
 
 class TestFirstEvent:
@@ -140,42 +140,42 @@
         """The server that should read it hangs instead."""
         tokens = 37_000
         _, limit_s = first_event_limits_s(4.0, 20.0, tokens)
-        assert 20.0 - limit_s > 2 * tokens / READ_TOKENS_PER_S
+        assert 20.0 - limit_s > 2 * tokens / PREFILL_TOKENS_PER_S
 
 
 class TestAnswerTimes:
     def test_the_longest_of_the_last_answers_counts(self) -> None:
         times = AnswerTimes()
-        assert times.high_s("review") == 0.0
+        assert times.max_answer_s("review") == 0.0
         for answer_s in (9.0, *(1.0 for _ in range(ANSWERS_KEPT - 1)), 2.0):
-            times.ended("review", AnswerTime(0.5, answer_s, 10))
-        assert times.high_s("review") == 2.0
-        assert times.whole_s("review", 0.0, 5.0) == 2.5
-        assert times.high_s("quote") == 0.0
+            times.record_answer("review", AnswerTime(0.5, answer_s, 10))
+        assert times.max_answer_s("review") == 2.0
+        assert times.max_total_s("review", 0.0, 5.0) == 2.5
+        assert times.max_answer_s("quote") == 0.0
 
     def test_few_answers_say_nothing_of_the_longest(self) -> None:
         """Soon after a start only short answers have ended."""
         times = AnswerTimes()
-        assert times.whole_s("review", 0.0, 5.0) == math.inf
+        assert times.max_total_s("review", 0.0, 5.0) == math.inf
         for _ in range(ANSWERS_KEPT - 1):
-            times.ended("review", AnswerTime(0.1, 0.4, 5))
-        assert times.whole_s("review", 0.0, 5.0) == math.inf
+            times.record_answer("review", AnswerTime(0.1, 0.4, 5))
+        assert times.max_total_s("review", 0.0, 5.0) == math.inf
 
     def test_servers_that_became_slow_make_answers_longer(self) -> None:
         """The long answers of now have not ended yet."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
-            times.ended("review", AnswerTime(0.5, 2.0, 50))
-        assert times.whole_s("review", 0.2, 5.0) == 10.5
+            times.record_answer("review", AnswerTime(0.5, 2.0, 50))
+        assert times.max_total_s("review", 0.2, 5.0) == 10.5
 
     def test_what_still_runs_counts(self) -> None:
         """Answers that ended say little of those that take long."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
-            times.ended("review", AnswerTime(0.1, 0.4, 5))
+            times.record_answer("review", AnswerTime(0.1, 0.4, 5))
         for at_s in (1.0, 2.0, 2.0):
-            times.asked("review", at_s)
-        assert times.whole_s("review", 0.0, 5.0) == 4.0
+            times.record_started("review", at_s)
+        assert times.max_total_s("review", 0.0, 5.0) == 4.0
         for at_s in (2.0, 1.0, 2.0):
-            times.over("review", at_s)
-        assert times.whole_s("review", 0.0, 5.0) == 0.5
+            times.record_stopped("review", at_s)
+        assert times.max_total_s("review", 0.0, 5.0) == 0.5
--- a/packages/sycamorestand-decisions/tests/test_ejection.py
+++ b/packages/sycamorestand-decisions/tests/test_ejection.py
@@ -15,8 +15,8 @@
     """Return the health after answers with these latencies."""
     health = ServerHealth()
     for latency_s in latencies_s:
-        health.first_byte(latency_s, typical)
-        health.succeeded(0.0, latency_s, typical)
+        health.record_first_byte(latency_s, typical)
+        health.record_success(0.0, latency_s, typical)
     return health
 
 
--- a/packages/sycamorestand-decisions/tests/test_reading.py
+++ b/packages/sycamorestand-decisions/tests/test_prefill.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from sycamorestand_decisions.reading import engine_rank
-from sycamorestand_decisions.reading import FIRST_RANK_S
-from sycamorestand_decisions.reading import MIN_TOKENS
-from sycamorestand_decisions.reading import RANKS
-from sycamorestand_decisions.reading import ReadingRates
+from sycamorestand_decisions.prefill import engine_rank
+from sycamorestand_decisions.prefill import FIRST_RANK_S
+from sycamorestand_decisions.prefill import MIN_TOKENS
+from sycamorestand_decisions.prefill import PrefillRates
+from sycamorestand_decisions.prefill import RANKS
 
 SIZES = ("small", "middle", "large")
 SMALL_S = 3e-6
@@ -30,44 +30,48 @@
     def test_learns_the_rate_behind_the_waits(self) -> None:
         """Half of the requests wait, some for seconds."""
         random = Random(5)
-        rates = ReadingRates()
+        rates = PrefillRates()
         for _ in range(300):
             tokens = int(random.lognormvariate(8.5, 0.8))
             wait_s = random.expovariate(2.0) if random.random() < 0.5 else 0.0
             read_s = tokens * LARGE_S
-            rates.observed("words", "large", tokens, read_s + wait_s)
-        expected = rates.read_s("words", SIZES, 2, 10_000)
+            rates.observe("words", "large", tokens, read_s + wait_s)
+        expected = rates.prefill_s("words", SIZES, 2, 10_000)
         assert expected == pytest.approx(10_000 * LARGE_S, rel=0.5)
 
     def test_follows_an_engine_that_became_slower(self) -> None:
-        rates = ReadingRates()
+        rates = PrefillRates()
         for rate_s in (SMALL_S, 4 * SMALL_S):
             for _ in range(100):
-                rates.observed("words", "small", 5_000, 5_000 * rate_s)
-        expected = rates.read_s("words", SIZES, 0, 5_000)
+                rates.observe("words", "small", 5_000, 5_000 * rate_s)
+        expected = rates.prefill_s("words", SIZES, 0, 5_000)
         assert expected == pytest.approx(4 * 5_000 * SMALL_S, rel=0.3)
 
     def test_a_short_prompt_teaches_nothing(self) -> None:
-        rates = ReadingRates()
-        before = rates.read_s("words", SIZES, 0, 5_000)
-        rates.observed("words", "small", MIN_TOKENS - 1, 4.0)
-        assert rates.read_s("words", SIZES, 0, 5_000) == before
+        rates = PrefillRates()
+        before = rates.prefill_s("words", SIZES, 0, 5_000)
+        rates.observe("words", "small", MIN_TOKENS - 1, 4.0)
+        assert rates.prefill_s("words", SIZES, 0, 5_000) == before
 
     def test_an_unseen_model_reads_more_slowly_than_the_one_below(
         self,
     ) -> None:
         """The entry has just started and nothing has climbed yet."""
-        rates = ReadingRates()
-        expected = [rates.read_s("words", SIZES, n, 9_000) for n in range(3)]
+        rates = PrefillRates()
+        expected = [
+            rates.prefill_s("words", SIZES, n, 9_000) for n in range(3)
+        ]
         assert expected == sorted(set(expected))
-        rates.observed("words", "small", 9_000, 9_000 * SMALL_S)
-        expected = [rates.read_s("words", SIZES, n, 9_000) for n in range(3)]
+        rates.observe("words", "small", 9_000, 9_000 * SMALL_S)
+        expected = [
+            rates.prefill_s("words", SIZES, n, 9_000) for n in range(3)
+        ]
         assert expected == sorted(set(expected))
 
     def test_a_route_without_models_has_a_rate_too(self) -> None:
-        rates = ReadingRates()
-        rates.observed("words", "", 10_000, 0.5)
-        assert rates.read_s("words", (), 0, 10_000) == pytest.approx(0.5)
+        rates = PrefillRates()
+        rates.observe("words", "", 10_000, 0.5)
+        assert rates.prefill_s("words", (), 0, 10_000) == pytest.approx(0.5)
 
 
 class TestEngineRank:
--- a/packages/sycamorestand-decisions/tests/test_queue_delay.py
+++ b/packages/sycamorestand-decisions/tests/test_queue_delay.py
@@ -18,25 +18,25 @@
         # the burst, and end soon after it.
         delay = QueueDelay()
         for number in range(20):
-            delay.observed(number / 4, 0.1)
+            delay.observe(number / 4, 0.1)
         assert delay.delay_s(5.0) < 0.1
         for number in range(16):
-            delay.observed(5.0 + number / 16, 2.0)
+            delay.observe(5.0 + number / 16, 2.0)
         assert delay.delay_s(6.0) > 1.2
         for number in range(12):
-            delay.observed(6.0 + number / 4, 0.1)
+            delay.observe(6.0 + number / 4, 0.1)
         assert delay.delay_s(9.0) < 0.5
 
     def test_one_long_wait_is_no_strain_on_the_service(self) -> None:
         # One server of ten hangs; nine answers came at once.
         delay = QueueDelay()
         for number in range(10):
-            delay.observed(number * 0.1, 2.0 if number == 5 else 0.0)
+            delay.observe(number * 0.1, 2.0 if number == 5 else 0.0)
         assert delay.delay_s(1.0) < 0.3
 
     def test_without_requests_it_fades(self) -> None:
         delay = QueueDelay()
-        delay.observed(0.0, 4.0)
+        delay.observe(0.0, 4.0)
         assert delay.delay_s(10 * MEMORY_S) < 0.01
 
     @pytest.mark.parametrize("waited_s", [-3.0, 0.0])
@@ -44,5 +44,5 @@
         self, waited_s: float
     ) -> None:
         delay = QueueDelay()
-        delay.observed(0.0, waited_s)
+        delay.observe(0.0, waited_s)
         assert delay.delay_s(0.0) == 0.0
--- /dev/null
+++ b/packages/sycamorestand-decisions/tests/test_retained_sessions.py
@@ -0,0 +1,61 @@
+"""Sessions under way stay with their version for a step."""
+
+from __future__ import annotations
+
+from sycamorestand_decisions.retained_sessions import MAX_SEEN
+from sycamorestand_decisions.retained_sessions import PLACE_COUNT
+from sycamorestand_decisions.retained_sessions import RetainedSessions
+from sycamorestand_decisions.retained_sessions import Step
+
+STEP = Step("words", "v2", 0)
+IDLE_S = 5.0
+
+
+def seen(*places: float, at_s: float = 0.0) -> RetainedSessions:
+    """Return sessions at these shares of all places, served at a time."""
+    sessions = RetainedSessions(IDLE_S)
+    for place in places:
+        sessions.record_served("words", int(place * PLACE_COUNT), at_s)
+    return sessions
+
+
+class TestStaying:
+    def test_a_step_tells_those_below_its_share_once(self) -> None:
+        sessions = seen(0.05, 0.5)
+        assert sessions.begin_step(STEP, 0.1, 1.0) == (
+            int(0.05 * PLACE_COUNT),
+        )
+        assert sessions.begin_step(STEP, 0.1, 1.0) == ()
+
+    def test_what_was_told_before_the_step_was_seen_is_kept(self) -> None:
+        """Another entry has the step first and tells of its sessions."""
+        sessions = seen(0.05)
+        sessions.retain(STEP, (7,))
+        assert sessions.begin_step(STEP, 0.1, 1.0) == (
+            int(0.05 * PLACE_COUNT),
+        )
+        assert sessions.is_retained(STEP, 7)
+
+    def test_those_that_ended_long_ago_do_not_stay(self) -> None:
+        sessions = seen(0.05)
+        assert sessions.begin_step(STEP, 0.1, IDLE_S + 0.1) == ()
+
+    def test_another_services_sessions_are_not_told(self) -> None:
+        sessions = seen(0.05)
+        other = STEP._replace(service="pictures")
+        assert sessions.begin_step(other, 0.1, 1.0) == ()
+
+    def test_a_later_step_has_its_own(self) -> None:
+        sessions = seen(0.05)
+        sessions.begin_step(STEP, 0.1, 1.0)
+        later = STEP._replace(number=1)
+        assert not sessions.is_retained(later, int(0.05 * PLACE_COUNT))
+
+    def test_a_flood_of_names_fills_no_memory(self) -> None:
+        """The newest are kept."""
+        sessions = RetainedSessions(IDLE_S)
+        for place in range(2 * MAX_SEEN):
+            sessions.record_served("words", place, 0.0)
+        told = sessions.begin_step(STEP, 1.0, 0.0)
+        assert len(told) == MAX_SEEN
+        assert 2 * MAX_SEEN - 1 in told
--- a/packages/sycamorestand-decisions/tests/test_retry.py
+++ b/packages/sycamorestand-decisions/tests/test_retry.py
@@ -33,7 +33,7 @@
         while budget.may_retry("guild", 0.0, "error"):
             pass
         for _ in range(50):
-            budget.succeeded("guild", 0.0)
+            budget.record_success("guild", 0.0)
         granted = 0
         while budget.may_retry("guild", 0.0, "error"):
             granted += 1
--- a/packages/sycamorestand-decisions/tests/test_rollout.py
+++ b/packages/sycamorestand-decisions/tests/test_rollout.py
@@ -9,7 +9,7 @@
 from sycamorestand_decisions.rollout import Advance
 from sycamorestand_decisions.rollout import Continue
 from sycamorestand_decisions.rollout import empty_stats
-from sycamorestand_decisions.rollout import judge
+from sycamorestand_decisions.rollout import evaluate_rollout
 from sycamorestand_decisions.rollout import merge
 from sycamorestand_decisions.rollout import RolloutMonitor
 from sycamorestand_decisions.rollout import StepStart
@@ -53,7 +53,7 @@
     def test_stops_what_is_worse(
         self, worse: VersionStats, signal: str
     ) -> None:
-        verdict = judge(stats(1, 5_000), worse, ROLLOUT, 100.0)
+        verdict = evaluate_rollout(stats(1, 5_000), worse, ROLLOUT, 100.0)
         assert isinstance(verdict, Stop)
         assert signal in verdict.reason
         assert verdict.evidence
@@ -71,18 +71,24 @@
                 stats(4, 200, passes=0.6, request_class="review"),
             )
         )
-        verdict = judge(old, new, ROLLOUT, 100.0)
+        verdict = evaluate_rollout(old, new, ROLLOUT, 100.0)
         assert isinstance(verdict, Stop)
         assert any("review" in line for line in verdict.evidence)
 
     def test_advances_a_healthy_version(self) -> None:
-        verdict = judge(stats(1, 5_000), stats(2, 400), ROLLOUT, 100.0)
+        verdict = evaluate_rollout(
+            stats(1, 5_000), stats(2, 400), ROLLOUT, 100.0
+        )
         assert isinstance(verdict, Advance)
 
     def test_waits_for_time_and_samples(self) -> None:
         old = stats(1, 5_000)
-        assert isinstance(judge(old, stats(2, 400), ROLLOUT, 10.0), Continue)
-        assert isinstance(judge(old, stats(2, 50), ROLLOUT, 100.0), Continue)
+        assert isinstance(
+            evaluate_rollout(old, stats(2, 400), ROLLOUT, 10.0), Continue
+        )
+        assert isinstance(
+            evaluate_rollout(old, stats(2, 50), ROLLOUT, 100.0), Continue
+        )
 
     def test_holds_while_the_rating_service_is_down(self) -> None:
         """The rating service goes down in the middle of a roll-out.
@@ -91,7 +97,7 @@
         stops nor goes on until ratings come again.
         """
         new = stats(2, 2_000, rated=False)
-        verdict = judge(stats(1, 5_000), new, ROLLOUT, 9_999.0)
+        verdict = evaluate_rollout(stats(1, 5_000), new, ROLLOUT, 9_999.0)
         assert isinstance(verdict, Continue)
         assert "ratings" in verdict.reason
 
@@ -107,7 +113,7 @@
         new = merge(
             (stats(3, 100), stats(4, 1_000, passes=0.6, now_s=7_200.0))
         )
-        verdict = judge(old, new, ROLLOUT, 7_300.0)
+        verdict = evaluate_rollout(old, new, ROLLOUT, 7_300.0)
         assert not isinstance(verdict, Stop)
 
     def test_without_an_old_version_beside_nothing_is_judged(self) -> None:
@@ -119,7 +125,7 @@
         """
         old = stats(1, 5_000)
         new = merge((stats(2, 300), stats(3, 900, passes=0.6, now_s=7_200.0)))
-        verdict = judge(old, new, ROLLOUT, 7_900.0)
+        verdict = evaluate_rollout(old, new, ROLLOUT, 7_900.0)
         assert not isinstance(verdict, Stop)
 
     def test_full_use_waits_for_ratings_of_each_class(self) -> None:
@@ -131,14 +137,16 @@
         old = merge((stats(1, 5_000), stats(2, 900, request_class="review")))
         new = merge((stats(3, 800), stats(4, 150, request_class="review")))
         start = StepStart(step=2)
-        verdict = judge(old, new, ROLLOUT, 500.0, start)
+        verdict = evaluate_rollout(old, new, ROLLOUT, 500.0, start)
         assert verdict == Continue("too few ratings of class review")
         more = merge((new, stats(5, 60, request_class="review")))
-        assert isinstance(judge(old, more, ROLLOUT, 500.0, start), Advance)
+        assert isinstance(
+            evaluate_rollout(old, more, ROLLOUT, 500.0, start), Advance
+        )
 
     def test_a_version_without_any_ratings_may_advance(self) -> None:
         old, new = stats(1, 5_000, rated=False), stats(2, 400, rated=False)
-        assert isinstance(judge(old, new, ROLLOUT, 100.0), Advance)
+        assert isinstance(evaluate_rollout(old, new, ROLLOUT, 100.0), Advance)
 
 
 class TestRolloutMonitor:
@@ -240,7 +248,9 @@
         new = empty_stats()
         for number in range(requests):
             add_sample(new, "chat", 0.0, number < errors, 500.0, None)
-        return judge(stats(1, 400, rated=False), new, self.LIMITED, now_s)
+        return evaluate_rollout(
+            stats(1, 400, rated=False), new, self.LIMITED, now_s
+        )
 
     def test_each_step_has_its_own_time(self) -> None:
         assert isinstance(self.judged(0, 7.9, 60), Continue)
@@ -275,7 +285,7 @@
         for number in range(11):
             add_sample(new, "short", 0.0, number < 8, 400.0, None)
             add_sample(new, "chat", 0.0, False, 400.0, None)
-        verdict = judge(old, new, self.LIMITED, 9.0)
+        verdict = evaluate_rollout(old, new, self.LIMITED, 9.0)
         assert isinstance(verdict, Advance)
 
     def test_a_slow_version_among_wide_spread_answers_is_stopped(
@@ -303,4 +313,4 @@
         for _ in range(12):
             latency_ms = 20 + 340 * random.uniform(least, 0.9)
             add_sample(new, "pace", 0.0, False, latency_ms, None)
-        return judge(old, new, self.LIMITED, 9.0)
+        return evaluate_rollout(old, new, self.LIMITED, 9.0)
--- a/packages/sycamorestand-decisions/tests/test_selection.py
+++ b/packages/sycamorestand-decisions/tests/test_selection.py
@@ -21,10 +21,10 @@
     latency_s: float = 1.0,
     outcome: str = "ok",
 ) -> None:
-    selector.started(name, now_s)
+    selector.record_start(name, now_s)
     if outcome == "ok":
-        selector.first_byte(name, now_s, latency_s / 10)
-    selector.finished(name, now_s, latency_s, outcome)  # type: ignore
+        selector.record_first_byte(name, now_s, latency_s / 10)
+    selector.record_finish(name, now_s, latency_s, outcome)  # type: ignore
 
 
 class TestChoose:
@@ -54,7 +54,7 @@
         for _ in range(45):
             name = selector.choose(candidates, 0.0)
             assert name is not None
-            selector.started(name, 0.0)
+            selector.record_start(name, 0.0)
             counts[name] += 1
         assert counts["s0"] <= 15
         assert len(counts) == 9
@@ -69,7 +69,7 @@
         for _ in range(90):
             name = selector.choose(NINE, 0.0)
             assert name is not None
-            selector.started(name, 0.0)
+            selector.record_start(name, 0.0)
             counts[name] += 1
         assert counts["s0"] <= 6
 
@@ -82,7 +82,7 @@
         """
         selector = selector_of()
         one = [Candidate("s0", 1)]
-        selector.started("s0", 0.0)
+        selector.record_start("s0", 0.0)
         assert selector.choose(one, 0.0) == "s0"
 
 
@@ -103,7 +103,7 @@
         for _ in range(72):
             name = selector.choose(NINE, 0.0, "hot")
             assert name is not None
-            selector.started(name, 0.0)
+            selector.record_start(name, 0.0)
             counts[name] += 1
         assert max(counts.values()) <= 20
 
@@ -150,7 +150,7 @@
         later_s = 2.0 + FIRST_EJECTION_S
         only = [NINE[0]]
         assert selector.choose(only, later_s) == "s0"
-        selector.started("s0", later_s)
+        selector.record_start("s0", later_s)
         assert selector.choose(only, later_s) is None
 
     def test_a_good_probe_starts_slowly(self) -> None:
@@ -175,16 +175,16 @@
         for candidate in NINE:
             serve(selector, candidate.name, 0.0)
         for _ in range(2):
-            selector.started("s0", 0.5)
+            selector.record_start("s0", 0.5)
         for _ in range(5):
             serve(selector, "s0", 1.0, outcome="error")
-        selector.finished("s0", 2.0, 1.5, "ok")
-        selector.finished("s0", 3.0, 2.5, "error")
+        selector.record_finish("s0", 2.0, 1.5, "ok")
+        selector.record_finish("s0", 3.0, 2.5, "error")
         only = [NINE[0]]
         assert selector.choose(only, FIRST_EJECTION_S) is None
         probed_s = 1.1 + FIRST_EJECTION_S
         assert selector.choose(only, probed_s) == "s0"
-        selector.started("s0", probed_s)
+        selector.record_start("s0", probed_s)
         assert selector.choose(only, probed_s) is None
 
     def test_no_more_than_a_third_is_out(self) -> None:
@@ -229,10 +229,10 @@
         selector = selector_of()
         selector.capacity([Candidate("s0", 16, 16, 32, 0.2)], 10.0)
         for _ in range(9):
-            selector.started("s0", 11.0)
+            selector.record_start("s0", 11.0)
         for step in range(300):
-            selector.started("s0", 12.0)
-            selector.finished("s0", 12.0 + step, 1.0, "ok")
+            selector.record_start("s0", 12.0)
+            selector.record_finish("s0", 12.0 + step, 1.0, "ok")
         assert selector.limit("s0") > 9
 
 
--- a/packages/sycamorestand-decisions/tests/test_shared_ratings.py
+++ b/packages/sycamorestand-decisions/tests/test_shared_ratings.py
@@ -34,18 +34,24 @@
         """
         learner = CascadeLearner()
         assert begins_at(learner) == 1
-        learner.learn([RatingCount("small@1", CLASS, False, 95, 100)])
+        learner.observe_ratings(
+            [RatingCount("small@1", CLASS, False, 95, 100)]
+        )
         assert begins_at(learner) == 0
 
     def test_a_step_that_others_found_bad_is_not_begun_at(self) -> None:
         learner = CascadeLearner()
-        learner.learn([RatingCount("small@1", CLASS, False, 30, 100)])
+        learner.observe_ratings(
+            [RatingCount("small@1", CLASS, False, 30, 100)]
+        )
         assert begins_at(learner) == 1
 
     def test_ratings_of_harder_requests_are_learned_apart(self) -> None:
         learner = CascadeLearner()
-        learner.learn([RatingCount("small@1", CLASS, True, 0, 200)])
-        learner.learn([RatingCount("small@1", CLASS, False, 95, 100)])
+        learner.observe_ratings([RatingCount("small@1", CLASS, True, 0, 200)])
+        learner.observe_ratings(
+            [RatingCount("small@1", CLASS, False, 95, 100)]
+        )
         assert begins_at(learner) == 0
 
 
--- a/packages/sycamorestand-decisions/tests/test_size_ladder.py
+++ b/packages/sycamorestand-decisions/tests/test_size_ladder.py
@@ -7,7 +7,7 @@
 from sycamorestand_decisions.size_ladder import ACCEPT_CONFIDENCE
 from sycamorestand_decisions.size_ladder import first_size
 from sycamorestand_decisions.size_ladder import FULL_STRAIN
-from sycamorestand_decisions.size_ladder import NEAR_CONFIDENCE
+from sycamorestand_decisions.size_ladder import NEAR_MISS_CONFIDENCE
 from sycamorestand_decisions.size_ladder import next_size
 
 SIZES = ("small", "middle", "large")
@@ -23,12 +23,12 @@
             pytest.param(0, None, 2, None, id="no opinion"),
             pytest.param(0, ACCEPT_CONFIDENCE, 2, None, id="accepted"),
             pytest.param(0, ACCEPT_CONFIDENCE - 1, 2, 1, id="a near miss"),
-            pytest.param(0, NEAR_CONFIDENCE, 2, 1, id="still near"),
-            pytest.param(0, NEAR_CONFIDENCE - 1, 2, 2, id="far off"),
+            pytest.param(0, NEAR_MISS_CONFIDENCE, 2, 1, id="still near"),
+            pytest.param(0, NEAR_MISS_CONFIDENCE - 1, 2, 2, id="far off"),
             pytest.param(0, 0, 2, 2, id="hopeless on the smallest"),
-            pytest.param(0, NEAR_CONFIDENCE, 1, 2, id="the last attempt"),
+            pytest.param(0, NEAR_MISS_CONFIDENCE, 1, 2, id="the last attempt"),
             pytest.param(0, 0, 0, None, id="no attempt left"),
-            pytest.param(1, NEAR_CONFIDENCE, 1, 2, id="from the middle"),
+            pytest.param(1, NEAR_MISS_CONFIDENCE, 1, 2, id="from the middle"),
             pytest.param(1, 49, 1, 2, id="below both its thresholds"),
             pytest.param(1, 50, 1, None, id="a second opinion, both near"),
             pytest.param(2, 0, 1, None, id="nothing is larger"),
@@ -62,7 +62,7 @@
         give the caller a poor answer that one more run had made good.
         """
         for attempts in range(1, 5):
-            for confidence in (0, NEAR_CONFIDENCE):
+            for confidence in (0, NEAR_MISS_CONFIDENCE):
                 path = [0]
                 while size := next_size(
                     SIZES, path[-1], confidence, attempts - len(path)
--- a/packages/sycamorestand-decisions/tests/test_stopping.py
+++ b/packages/sycamorestand-decisions/tests/test_stopping.py
@@ -7,9 +7,9 @@
 from typing import Final
 from typing import NamedTuple
 
-from sycamorestand_decisions.patience import AnswerTime
-from sycamorestand_decisions.patience import AnswerTimes
-from sycamorestand_decisions.stopping import goes_elsewhere
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import AnswerTimes
+from sycamorestand_decisions.stopping import may_outlast_stop
 
 LIMIT_S: Final = 7.0
 PATIENCE_S: Final = 20.0
@@ -43,10 +43,12 @@
     for _ in range(STOPS):
         times = AnswerTimes()
         for _ in range(8):
-            times.ended(kind.route, AnswerTime(0.0, _time_s(kind, random), 1))
+            times.record_answer(
+                kind.route, AnswerTime(0.0, _time_s(kind, random), 1)
+            )
         ends_in_s = LIMIT_S - random.uniform(0.0, COMING_S)
-        longest_s = times.whole_s(kind.route, 0.0, 0.0)
-        if decide and goes_elsewhere(ends_in_s, PATIENCE_S, longest_s):
+        longest_s = times.max_total_s(kind.route, 0.0, 0.0)
+        if decide and may_outlast_stop(ends_in_s, PATIENCE_S, longest_s):
             elsewhere += 1
             continue
         taken += 1
@@ -76,13 +78,13 @@
 
     def test_unknown_times_are_a_reason(self) -> None:
         """An entry that had just started took what its stop then cut."""
-        assert goes_elsewhere(3.0, 20.0, math.inf)
+        assert may_outlast_stop(3.0, 20.0, math.inf)
 
     def test_nor_is_a_process_without_an_end(self) -> None:
-        assert not goes_elsewhere(float("inf"), 20.0, 9.0)
+        assert not may_outlast_stop(float("inf"), 20.0, 9.0)
 
     def test_what_the_caller_ends_sooner_is_not_cut_by_the_stop(self) -> None:
-        assert not goes_elsewhere(3.0, 2.0, 9.0)
+        assert not may_outlast_stop(3.0, 2.0, 9.0)
 
     def test_what_comes_at_the_very_end_goes(self) -> None:
-        assert goes_elsewhere(0.0, 20.0, 0.2)
+        assert may_outlast_stop(0.0, 20.0, 0.2)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -13,14 +13,14 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_decisions.arrivals import ArrivalBudget
+from sycamorestand_decisions.attempt_timeouts import AnswerTimes
+from sycamorestand_decisions.attempt_timeouts import ServerProgress
 from sycamorestand_decisions.cascade import CascadeLearner
-from sycamorestand_decisions.patience import AnswerTimes
-from sycamorestand_decisions.patience import Progress
+from sycamorestand_decisions.prefill import PrefillRates
 from sycamorestand_decisions.queue_delay import QueueDelay
-from sycamorestand_decisions.reading import ReadingRates
+from sycamorestand_decisions.retained_sessions import RetainedSessions
+from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_decisions.retry import RetryBudget
-from sycamorestand_decisions.staying import StayingSessions
-from sycamorestand_decisions.staying import Step
 from sycamorestand_entry.callers import Authenticator
 from sycamorestand_entry.loans import Loans
 from sycamorestand_entry.metrics import Metrics
@@ -70,12 +70,12 @@
         self.retries = RetryBudget(settings.retry_share)
         self.arrivals = ArrivalBudget(settings.allowance)
         self.loans = Loans(self.arrivals, control, self.now_s)
-        self.progress = Progress()
+        self.progress = ServerProgress()
         self.answer_times = AnswerTimes()
-        self.reading = ReadingRates()
+        self.reading = PrefillRates()
         self.cascade = CascadeLearner()
         control.listen(SharedRatings, self._ratings_told)
-        self.staying = StayingSessions(settings.session_idle_s)
+        self.staying = RetainedSessions(settings.session_idle_s)
         control.listen(SessionsStay, self._sessions_told)
         self._delays: dict[tuple[str, bool], QueueDelay] = {}
         self._pauses: dict[str, QueueDelay] = {}
@@ -118,11 +118,11 @@
         return self._pauses.setdefault(service, QueueDelay())
 
     def _ratings_told(self, message: SharedRatings) -> None:
-        self.cascade.learn(message.ratings)
+        self.cascade.observe_ratings(message.ratings)
 
     def _sessions_told(self, message: SessionsStay) -> None:
         step = Step(message.service, message.version, message.step)
-        self.staying.keep(step, message.places)
+        self.staying.retain(step, message.places)
 
     def start_background(
         self, function: Callable[..., Awaitable[None]], *arguments: Any
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -324,7 +324,7 @@
             now_s = time.monotonic()
             latency_s = now_s - self._slot_since_s
             self._context.slots.finish(self._slot, latency_s, failed=False)
-            self._context.retries.succeeded(self._work.customer, now_s)
+            self._context.retries.record_success(self._work.customer, now_s)
         else:
             self._context.slots.cancel(self._slot)
         self._slot = None
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
@@ -50,7 +50,7 @@
     async def borrow(self, service: str) -> None:
         """Ask for what a service lacks, and wait a moment for the answer."""
         self.trade(service)
-        if self._budget.is_answered_soon:
+        if self._budget.expects_quick_reply:
             with anyio.move_on_after(ANSWER_WAIT_S):
                 await self._answered.wait()
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/repeatable.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/repeatable.py
@@ -51,7 +51,7 @@
     for attempt in range(MAX_ATTEMPTS):
         try:
             answer = await _attempt(context, call, attempt, tried)
-            context.retries.succeeded(call.customer, time.monotonic())
+            context.retries.record_success(call.customer, time.monotonic())
             return answer
         except ConnectFailed as failure:
             error = failure
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -15,8 +15,8 @@
 import anyio
 
 from sycamorestand_decisions.affinity import prefix_key
-from sycamorestand_decisions.patience import AnswerTime
-from sycamorestand_decisions.stopping import goes_elsewhere
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
+from sycamorestand_decisions.stopping import may_outlast_stop
 from sycamorestand_entry.errors import DeadlineExceeded
 from sycamorestand_entry.errors import InternalError
 from sycamorestand_entry.errors import NoLease
@@ -233,8 +233,10 @@
             context.pause(target.service).delay_s(now_s)
             for target in route.targets
         )
-        longest_s = context.answer_times.whole_s(route.name, pause_s, now_s)
-        if goes_elsewhere(ends_in_s, call.deadline_at_s - now_s, longest_s):
+        longest_s = context.answer_times.max_total_s(
+            route.name, pause_s, now_s
+        )
+        if may_outlast_stop(ends_in_s, call.deadline_at_s - now_s, longest_s):
             raise Stopping(
                 "this VM stops before the answer would end", STOPPING_RETRY_S
             )
@@ -302,7 +304,7 @@
             else:
                 answer = await whole_answer(attempts, target)
                 whole_s = time.monotonic() - begin_s
-                context.answer_times.ended(
+                context.answer_times.record_answer(
                     call.route.name, AnswerTime(whole_s, 0.0, 0)
                 )
             failed = answer is not None and answer.status >= 500
@@ -319,18 +321,18 @@
             if slot >= 0:
                 context.slots.finish(slot, now_s - begin_s, failed)
         if not failed:
-            context.retries.succeeded(call.customer, time.monotonic())
+            context.retries.record_success(call.customer, time.monotonic())
 
     async def _streamed(
         self, relay: StreamRelay, call: RoutedCall, target: str
     ) -> WholeAnswer | None:
         times = self._context.answer_times
         asked_s = self._context.now_s()
-        times.asked(call.route.name, asked_s)
+        times.record_started(call.route.name, asked_s)
         try:
             return await relay.run(target)
         finally:
-            times.over(call.route.name, asked_s)
+            times.record_stopped(call.route.name, asked_s)
 
     def _affinity(self, call: RoutedCall) -> str:
         value = call.values.get(self._wire.prompt_parts, b"")
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -172,7 +172,7 @@
     async def _may_arrive_again(self) -> bool:
         context = self.context
         service = self._service
-        may = await self._asked(context.arrivals.may_add)
+        may = await self._asked(context.arrivals.try_spend)
         if not may:
             entries = context.control.entry_count()
             share = context.arrivals.share(service, entries, context.now_s())
@@ -231,7 +231,9 @@
                 raise NoBackendServer(error.message, MOVED_RETRY_S) from None
             if not self.sent:
                 now_s = self.context.now_s()
-                self.context.arrivals.sent_first(self._service, now_s)
+                self.context.arrivals.record_first_arrival(
+                    self._service, now_s
+                )
                 self.context.loans.trade()
                 self._count_arrival("first")
             self.sent += 1
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -6,13 +6,13 @@
 from typing import Final
 from typing import TYPE_CHECKING
 
-from sycamorestand_decisions.patience import AnswerTime
-from sycamorestand_decisions.patience import fallback_after_s
-from sycamorestand_decisions.patience import MIN_EVENT_S
-from sycamorestand_decisions.patience import quick_limit_s
-from sycamorestand_decisions.patience import READ_TOKENS_PER_S
-from sycamorestand_decisions.patience import reads_quickly
-from sycamorestand_decisions.reading import engine_rank
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import fallback_after_s
+from sycamorestand_decisions.attempt_timeouts import has_short_prefill
+from sycamorestand_decisions.attempt_timeouts import MIN_EVENT_S
+from sycamorestand_decisions.attempt_timeouts import PREFILL_TOKENS_PER_S
+from sycamorestand_decisions.attempt_timeouts import short_prefill_limit_s
+from sycamorestand_decisions.prefill import engine_rank
 from sycamorestand_model.declarations import VERSION_SEPARATOR
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         left_s = self.aim_s - call.log.elapsed_ms() / MS
         if resumed:
             left_s = math.inf
-        return engine_rank(self.read_s(target, size), call.priority, left_s)
+        return engine_rank(self.prefill_s(target, size), call.priority, left_s)
 
     def fallback_in_s(self, resumed: bool) -> float:
         """Return after how long to settle for what can be had soonest.
@@ -59,17 +59,17 @@
         after_s = fallback_after_s(
             self._route.silence_limit_ms / MS or math.inf,
             silent_s + call.remaining_s(),
-            0.0 if resumed else times.high_s(self._route.name),
+            0.0 if resumed else times.max_answer_s(self._route.name),
         )
         return max(MIN_EVENT_S, after_s) - silent_s
 
-    def read_s(self, target: str, size: int) -> float:
+    def prefill_s(self, target: str, size: int) -> float:
         """Return how long reading the prompt is expected to take."""
-        return self._context.reading.read_s(
+        return self._context.reading.prefill_s(
             _service(target), self._route.sizes, size, self.prompt_tokens
         )
 
-    def quick_limit_s(self, target: str, size: int) -> float | None:
+    def short_prefill_limit_s(self, target: str, size: int) -> float | None:
         """Return after how long to ask elsewhere, None for no early move.
 
         An attempt for the climb must remain: without it a poor answer
@@ -80,8 +80,8 @@
         if not attempts.call.may_repeat or attempts.left < 1 + climbs:
             return None
         delay_s = self._delay_s(target, size)
-        read_s = self.read_s(target, size)
-        return quick_limit_s(self.aim_s, read_s, delay_s)
+        read_s = self.prefill_s(target, size)
+        return short_prefill_limit_s(self.aim_s, read_s, delay_s)
 
     def strain(self, target: str) -> float:
         """Return the wait before the largest model, by the aim.
@@ -99,12 +99,12 @@
         answer_s = exchange.answering_s()
         begin_s = self._attempts.call.log.elapsed_ms() / MS - answer_s
         answer = AnswerTime(begin_s, answer_s, exchange.event_count)
-        self._context.answer_times.ended(self._route.name, answer)
+        self._context.answer_times.record_answer(self._route.name, answer)
 
     def learn_reading(self, exchange: Exchange, size: int) -> None:
         """Take in how long the first event took."""
         sizes = self._route.sizes
-        self._context.reading.observed(
+        self._context.reading.observe(
             _service(exchange.aim.target),
             sizes[size] if sizes else "",
             self.prompt_tokens,
@@ -114,16 +114,16 @@
     def observe(self, exchange: Exchange, size: int) -> None:
         """Note how long the request waited there, or has in vain."""
         now_s = self._context.now_s()
-        read_s = self.prompt_tokens / READ_TOKENS_PER_S
+        read_s = self.prompt_tokens / PREFILL_TOKENS_PER_S
         waited_s = now_s - exchange.begin_s - read_s
         delay = self._delay(exchange.aim.target, size)
-        delay.observed(now_s, waited_s)
+        delay.observe(now_s, waited_s)
 
     def _delay_s(self, target: str, size: int) -> float:
         return self._delay(target, size).delay_s(self._context.now_s())
 
     def _delay(self, target: str, size: int) -> QueueDelay:
-        quick = reads_quickly(self.aim_s, self.read_s(target, size))
+        quick = has_short_prefill(self.aim_s, self.prefill_s(target, size))
         return self._context.delay(_service(target), quick)
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -155,7 +155,7 @@
         self._outcome = "timeout"
         self._reason = "too slow"
         self._early = early
-        self._queued = self._context.progress.works_off(
+        self._queued = self._context.progress.is_serving_in_order(
             self.aim.server.name, self.begin_s
         )
         waited_s = time.monotonic() - self.begin_s
@@ -220,7 +220,9 @@
         """Note that the answer has begun."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
-        self._context.progress.begun(self.aim.server.name, self.begin_s, now_s)
+        self._context.progress.record_first_event(
+            self.aim.server.name, self.begin_s, now_s
+        )
         self._context.servers.first_byte(
             self.aim.target,
             self.aim.server.name,
@@ -244,7 +246,7 @@
         pause_s = self._recent.add(count, now_s)
         if pause_s is not None:
             service = self.aim.target.partition(VERSION_SEPARATOR)[0]
-            self._context.pause(service).observed(now_s, pause_s)
+            self._context.pause(service).observe(now_s, pause_s)
 
     def close(self) -> None:
         """Give the connection back, or cancel what still runs on it."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
@@ -11,8 +11,8 @@
 from typing import Final
 from typing import TYPE_CHECKING
 
-from sycamorestand_decisions.patience import first_event_limits_s
-from sycamorestand_decisions.patience import gap_limit_s
+from sycamorestand_decisions.attempt_timeouts import first_event_limits_s
+from sycamorestand_decisions.attempt_timeouts import gap_limit_s
 from sycamorestand_decisions.size_ladder import first_size
 from sycamorestand_decisions.size_ladder import next_size
 from sycamorestand_entry.errors import RequestError
@@ -152,7 +152,9 @@
         return None
 
     async def _read_head(self, exchange: Exchange) -> ResponseHead:
-        quick_s = self._wait.quick_limit_s(exchange.aim.target, self._size)
+        quick_s = self._wait.short_prefill_limit_s(
+            exchange.aim.target, self._size
+        )
         if quick_s is not None:
             try:
                 return await exchange.read_head(quick_s, soft=True)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -17,8 +17,8 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from sycamorestand_decisions.staying import PLACES
-from sycamorestand_decisions.staying import Step
+from sycamorestand_decisions.retained_sessions import PLACE_COUNT
+from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_decisions.versions import choose_version
 from sycamorestand_decisions.versions import may_run
 from sycamorestand_entry.errors import NoVersion
@@ -47,8 +47,8 @@
         return _undeclared(context, service)
     place = _place(call, service)
     call.log.in_session = bool(call.session)
-    call.log.place = place / PLACES
-    unit = 1.0 if _stays(context, call, service) else place / PLACES
+    call.log.place = place / PLACE_COUNT
+    unit = 1.0 if _stays(context, call, service) else place / PLACE_COUNT
     chosen = choose_version(model, in_force, unit)
     if chosen is None:
         raise NoVersion("no version may be used now", VERSION_RETRY_S)
@@ -95,10 +95,10 @@
     if not call.session or (stable and target != stable):
         return
     place = _place(call, service)
-    context.staying.served(service, place, time.monotonic())
+    context.staying.record_served(service, place, time.monotonic())
     step = _step(context, service)
-    if step is not None and place < _share(context, service) * PLACES:
-        _tell(context, step, context.staying.keep(step, (place,)))
+    if step is not None and place < _share(context, service) * PLACE_COUNT:
+        _tell(context, step, context.staying.retain(step, (place,)))
 
 
 def _stays(context: EntryContext, call: RoutedCall, service: str) -> bool:
@@ -108,8 +108,8 @@
         return False
     staying = context.staying
     share = _share(context, service)
-    _tell(context, step, staying.begins(step, share, time.monotonic()))
-    return staying.stays(step, _place(call, service))
+    _tell(context, step, staying.begin_step(step, share, time.monotonic()))
+    return staying.is_retained(step, _place(call, service))
 
 
 def _step(context: EntryContext, service: str) -> Step | None:
@@ -175,7 +175,7 @@
     if len(targets) == 1:
         return targets[0].service
     whole = sum(target.weight for target in targets)
-    place = crc32(call.session.encode() or call.attempt) / PLACES * whole
+    place = crc32(call.session.encode() or call.attempt) / PLACE_COUNT * whole
     for target in targets:
         place -= target.weight
         if place < 0:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from sycamorestand_decisions.patience import call_limit_s
+from sycamorestand_decisions.attempt_timeouts import call_limit_s
 from sycamorestand_entry.errors import RequestError
 from sycamorestand_entry.routed.messages import PROMISES
 from sycamorestand_entry.routed.messages import RETRY_STATUSES
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -6,7 +6,7 @@
 from typing import Final
 from typing import TYPE_CHECKING
 
-from sycamorestand_decisions.canary import first_servers
+from sycamorestand_decisions.canary import canary_servers
 from sycamorestand_decisions.selection import Candidate
 from sycamorestand_decisions.selection import ServerSelector
 from sycamorestand_entry.errors import NoBackendServer
@@ -50,7 +50,7 @@
         ]
         share = self._share(target)
         if share < 1.0:
-            first = first_servers([s.name for s in holders], share)
+            first = canary_servers([s.name for s in holders], share)
             holders = [s for s in holders if s.name in first]
         self._counts[target] = len(holders)
         return [
@@ -100,7 +100,7 @@
         """Tell whether a server of the target, or one of these, is not out."""
         selector = self._selector(target)
         return any(
-            not selector.is_out(candidate.name, now_s)
+            not selector.is_ejected(candidate.name, now_s)
             for candidate in self.candidates(target, now_s)
             if among is None or candidate.name in among
         )
@@ -109,7 +109,7 @@
         self, target: str, name: str, now_s: float
     ) -> Announcement | None:
         """Return the named server where it may take work now."""
-        if not name or self._selector(target).is_out(name, now_s):
+        if not name or self._selector(target).is_ejected(name, now_s):
             return None
         if not any(c.name == name for c in self.candidates(target, now_s)):
             return None
@@ -134,13 +134,13 @@
 
     def started(self, target: str, name: str, now_s: float) -> None:
         """Count a request that was written to the server."""
-        self._selector(target).started(name, now_s)
+        self._selector(target).record_start(name, now_s)
 
     def first_byte(
         self, target: str, name: str, now_s: float, latency_s: float
     ) -> None:
         """Learn from the time to the first byte."""
-        self._selector(target).first_byte(name, now_s, latency_s)
+        self._selector(target).record_first_byte(name, now_s, latency_s)
 
     def finished(
         self,
@@ -151,7 +151,7 @@
         outcome: Outcome,
     ) -> None:
         """Learn from the end of an attempt."""
-        self._selector(target).finished(name, now_s, latency_s, outcome)
+        self._selector(target).record_finish(name, now_s, latency_s, outcome)
 
     def cache_event(
         self, name: str, prefix_keys: list[str], stored: bool, now_s: float
--- a/packages/sycamorestand-entry/tests/routed/test_climb.py
+++ b/packages/sycamorestand-entry/tests/routed/test_climb.py
@@ -51,7 +51,7 @@
         async with start_routed() as loopback:
             keep_waiting(loopback, quick=False)
             reading = loopback.entry.context.reading
-            reading.observed("stock", "large", 40_000, 4.0)
+            reading.observe("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
@@ -134,7 +134,7 @@
     """Let requests have waited for seconds at every server."""
     delay = loopback.entry.context.delay("stock", quick)
     for _ in range(8):
-        delay.observed(time.monotonic(), 4.0)
+        delay.observe(time.monotonic(), 4.0)
 
 
 async def ask_with_sizes(
--- a/packages/sycamorestand-entry/tests/routed/test_fallback.py
+++ b/packages/sycamorestand-entry/tests/routed/test_fallback.py
@@ -18,7 +18,7 @@
 from sycamorestand_bench.fakes.routed import start_routed
 from sycamorestand_bench.fakes.routed import stream_head
 from sycamorestand_decisions.arrivals import Allowance
-from sycamorestand_decisions.patience import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
 
 pytestmark = pytest.mark.anyio
 # Half of it is waited for before the fallback.
@@ -134,7 +134,7 @@
             await stream.send(event(2) + END)
 
         async with start_routed() as loopback:
-            loopback.entry.context.answer_times.ended(
+            loopback.entry.context.answer_times.record_answer(
                 "review", AnswerTime(0.0, 2.2, 1)
             )
             got = await ask(loopback, slowly, "s-1", silence_limit_ms=8000)
@@ -148,7 +148,7 @@
             loopback.control.entries = 10
             arrivals = loopback.entry.context.arrivals
             for _ in range(2):
-                arrivals.sent_first("stock", time.monotonic())
+                arrivals.record_first_arrival("stock", time.monotonic())
             got = await ask(loopback, only_urgent, "s-1", "s-2")
             models = [model_of(request) for _, request in loopback.requests]
         assert got.endswith(END)
--- a/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
+++ b/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
@@ -19,8 +19,8 @@
 from sycamorestand_bench.fakes.routed import start_routed
 from sycamorestand_bench.fakes.routed import stream_head
 from sycamorestand_bench.fakes.routed import with_sizes
-from sycamorestand_decisions.patience import ANSWERS_KEPT
-from sycamorestand_decisions.patience import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import ANSWERS_KEPT
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
 from sycamorestand_decisions.starting import hold_s
 from sycamorestand_decisions.starting import STARTING_S
 from sycamorestand_model.nodes import EntryAddress
@@ -274,8 +274,8 @@
     context = loopback.entry.context
     for _ in range(ANSWERS_KEPT if known else 0):
         longest = AnswerTime(0.5, LIMITED.stop_limit_s, 10)
-        context.answer_times.ended("review", longest)
-        context.answer_times.ended("stock", AnswerTime(0.1, 0.0, 0))
+        context.answer_times.record_answer("review", longest)
+        context.answer_times.record_answer("stock", AnswerTime(0.1, 0.0, 0))
     here = EntryAddress(LIMITED.vm, "marietta", "127.0.0.1", 1, stopping=True)
     there = EntryAddress("vm-2", "marietta", "127.0.0.1", 2)
     loopback.control.entry_addresses = (here, there) if others else (here,)
--- a/packages/sycamorestand-entry/tests/routed/test_streams.py
+++ b/packages/sycamorestand-entry/tests/routed/test_streams.py
@@ -13,7 +13,7 @@
 from sycamorestand_bench.fakes.routed import RoutedLoopback
 from sycamorestand_bench.fakes.routed import start_routed
 from sycamorestand_bench.fakes.routed import stream_head
-from sycamorestand_decisions.reading import RANKS
+from sycamorestand_decisions.prefill import RANKS
 from sycamorestand_entry.upstream import ConnectFailed
 from sycamorestand_entry.upstream import UpstreamConnection
 
@@ -118,7 +118,7 @@
         async with start_routed() as loopback:
             let_aim_be_over(loopback)
             reading = loopback.entry.context.reading
-            reading.observed("stock", "", 40_000, 1.0)
+            reading.observe("stock", "", 40_000, 1.0)
             handler = breaks(event(1) + event(2))
             answer = await ask_two(loopback, handler, x_tokens="40000,50")
             (_, second) = loopback.requests[1]
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -11,8 +11,8 @@
 
 from sycamorestand_bench.fakes.control_port import FakeControlPort
 from sycamorestand_bench.fakes.control_port import FakeLedger
-from sycamorestand_decisions.staying import StayingSessions
-from sycamorestand_decisions.staying import Step
+from sycamorestand_decisions.retained_sessions import RetainedSessions
+from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_entry.routed.call import RoutedCall
 from sycamorestand_entry.routed.decision_log import DecisionLog
 from sycamorestand_entry.routed.pace import Pace
@@ -50,7 +50,7 @@
                     name, "service", name, "hall", 1, 1, ("nest", version)
                 )
         self.context: Any = SimpleNamespace(control=self.control)
-        self.context.staying = StayingSessions(IDLE_S)
+        self.context.staying = RetainedSessions(IDLE_S)
         self.context.servers = Servers(self.control, None)  # type: ignore[arg-type]
 
     def share(self, share: float) -> None:
@@ -71,7 +71,7 @@
     def hear(self, other: Scene) -> None:
         for told in other.control.sent_messages:
             step = Step(told.service, told.version, told.step)
-            self.context.staying.keep(step, told.places)
+            self.context.staying.retain(step, told.places)
 
 
 def call(session: str) -> RoutedCall:
--- a/packages/sycamorestand-entry/tests/test_loans.py
+++ b/packages/sycamorestand-entry/tests/test_loans.py
@@ -31,7 +31,7 @@
         self.loans = Loans(self.budget, self.control, lambda: self.now_s)
 
     def request(self) -> None:
-        self.budget.sent_first(SERVICE, self.now_s)
+        self.budget.record_first_arrival(SERVICE, self.now_s)
         self.loans.trade()
 
     def trade(self) -> ArrivalTrade:
