--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
@@ -78,7 +78,7 @@
             VersionSample(VERSION, "short", False, 40.0, 900.0, 0.9, 100)
         )
         try:
-            await link.ledger([charge])
+            await link.write_ledger([charge])
         except LedgerUnavailable:
             self.failures += 1
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -100,10 +100,12 @@
     def report(self, sample: VersionSample) -> None:
         self.samples.append(sample)
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         self.sent_messages.append(message)
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         self.listeners[kind] = listener
 
     def set_stopping(self) -> None:
@@ -114,7 +116,7 @@
         if known is None or supersedes(announcement, known):
             self.servers[announcement.name] = announcement
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Apply the records; `ledger_failures` of the calls are refused.
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
@@ -83,7 +83,7 @@
             await real(context, claim)
 
     _replace(claims, "take_claim", take_claim)
-    from sycamorestand_entry.once import ClaimedCall
+    from sycamorestand_entry.claimed_call import ClaimedCall
 
     # The record of the dispatch says the same once more.
     _replace(ClaimedCall, "_holds", lambda self, result: True)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
@@ -107,7 +107,7 @@
 ) -> list[LedgerResult]:
     while True:
         try:
-            return await context.control.ledger(records)
+            return await context.control.write_ledger(records)
         except LedgerUnavailable:
             context.metrics.ledger_failures.inc({})
             await anyio.sleep(RESEND_PAUSE_S)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
@@ -17,8 +17,8 @@
 from sycamorestand_entry.engine_run import EngineRun
 from sycamorestand_entry.engine_wire import EngineWork
 from sycamorestand_entry.errors import BadRequest
+from sycamorestand_entry.errors import correct_run_state
 from sycamorestand_entry.errors import RequestError
-from sycamorestand_entry.errors import truthful
 from sycamorestand_entry.http_messages import Responder
 from sycamorestand_entry.planning import first_step
 from sycamorestand_entry.planning import Plan
@@ -88,7 +88,7 @@
     try:
         await _run_last_step(step)
     except RequestError as error:
-        raise truthful(error, escalated) from None
+        raise correct_run_state(error, escalated) from None
 
 
 async def _run_early_step(step: Step, until_s: float) -> int | None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/once.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -293,7 +293,7 @@
     with anyio.move_on_after(context.settings.late_answer_s):
         while True:
             try:
-                await context.control.ledger(records)
+                await context.control.write_ledger(records)
                 return
             except LedgerUnavailable:
                 context.metrics.ledger_failures.inc({})
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -72,11 +72,11 @@
         self.loans = Loans(self.arrivals, control, self.now_s)
         self.progress = ServerProgress()
         self.answer_times = AnswerTimes()
-        self.reading = PrefillRates()
+        self.prefill_rates = PrefillRates()
         self.cascade = CascadeLearner()
-        control.listen(SharedRatings, self._ratings_told)
+        control.add_listener(SharedRatings, self._ratings_told)
         self.staying = RetainedSessions(settings.session_idle_s)
-        control.listen(SessionsStay, self._sessions_told)
+        control.add_listener(SessionsStay, self._sessions_told)
         self._delays: dict[tuple[str, bool], QueueDelay] = {}
         self._pauses: dict[str, QueueDelay] = {}
         self.start_hold = StartHold()
@@ -95,25 +95,25 @@
         if limit_s:
             self._ends_at_s = self.now_s() + limit_s - STOP_MARGIN_S
 
-    def ends_at_s(self) -> float:
+    def stop_deadline_s(self) -> float:
         """Return by when answers must be whole, infinity if none must."""
         return self._ends_at_s
 
-    def others_serve(self) -> bool:
+    def has_other_serving_entry(self) -> bool:
         """Tell whether another entry that does not stop is known."""
         return any(
             address.vm != self.settings.vm and not address.stopping
             for address in self.control.addresses()
         )
 
-    def delay(self, service: str, quick: bool) -> QueueDelay:
+    def queue_delay(self, service: str, quick: bool) -> QueueDelay:
         """Return the wait at a service's servers, by length of reading.
 
         ``quick`` readings are read before the others.
         """
         return self._delays.setdefault((service, quick), QueueDelay())
 
-    def pause(self, service: str) -> QueueDelay:
+    def event_gap(self, service: str) -> QueueDelay:
         """Return the wait for the next event of a service's streams."""
         return self._pauses.setdefault(service, QueueDelay())
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -159,11 +159,13 @@
         """Count what an attempt on a version showed."""
         self._samples.add(sample, time.time())
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Send the control process a message that needs no answer."""
         self.mesh.send(self.control_address(), message)
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         """Call ``listener`` with each message of a kind that comes."""
         self._listeners[kind] = listener
 
@@ -187,7 +189,7 @@
         message = AnnouncementRelay(announcement)
         self.mesh.send(self.control_address(), message)
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Return the results once the records are durable."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -13,15 +13,15 @@
 from sycamorestand_entry.engine_wire import check_head
 from sycamorestand_entry.engine_wire import encode_engine_request
 from sycamorestand_entry.errors import BackendFailed
+from sycamorestand_entry.errors import correct_run_state
 from sycamorestand_entry.errors import DeadlineExceeded
 from sycamorestand_entry.errors import NoBackendServer
 from sycamorestand_entry.errors import Overloaded
 from sycamorestand_entry.errors import RequestError
 from sycamorestand_entry.errors import Run
-from sycamorestand_entry.errors import truthful
 from sycamorestand_entry.event_reader import EventReader
+from sycamorestand_entry.gate import check_dispatch
 from sycamorestand_entry.gate import DispatchIntent
-from sycamorestand_entry.gate import may_dispatch
 from sycamorestand_entry.slots import SlotRequest
 from sycamorestand_entry.sse import MalformedStream
 from sycamorestand_entry.upstream import SilentConnection
@@ -164,7 +164,9 @@
             connection = await self._context.pool.acquire(
                 server.address, idle_s
             )
-            refusal = may_dispatch(self._context.control, self._intent(server))
+            refusal = check_dispatch(
+                self._context.control, self._intent(server)
+            )
             if refusal is None:
                 return server, connection
             self._context.pool.release(server.address, connection)
@@ -180,7 +182,7 @@
         latency_s = now_s - self._dispatched_s
         if not self.first_byte_ms:
             self.first_byte_ms = latency_s * 1000
-        self._context.servers.first_byte(
+        self._context.servers.record_first_byte(
             self._work.version, server.name, now_s, latency_s
         )
 
@@ -233,7 +235,7 @@
             except UpstreamError as another:
                 error = another
             except RequestError as refusal:
-                raise truthful(refusal, self._may_have_run) from None
+                raise correct_run_state(refusal, self._may_have_run) from None
 
     def _may_resume(self) -> bool:
         server = self._server
@@ -297,14 +299,16 @@
         self._connection = connection
         self._dispatched_s = time.monotonic()
         version = self._work.version
-        self._context.servers.started(version, server.name, self._dispatched_s)
+        self._context.servers.record_start(
+            version, server.name, self._dispatched_s
+        )
         self._context.metrics.dispatches.inc({"version": version})
 
     def _leave_server(self, outcome: Outcome) -> None:
         if self._server is None or self._connection is None:
             return
         now_s = time.monotonic()
-        self._context.servers.finished(
+        self._context.servers.record_finish(
             self._work.version,
             self._server.name,
             now_s,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
@@ -226,7 +226,7 @@
     default_run = "unknown"
 
 
-def truthful(error: RequestError, may_have_run: bool) -> RequestError:
+def correct_run_state(error: RequestError, may_have_run: bool) -> RequestError:
     """Return the error without a ``not_run`` that is not certain.
 
     A refusal knows of its own attempt only. Where an earlier attempt of
@@ -262,7 +262,7 @@
     "SessionWithdrawn",
     "StillRunning",
     "Stopping",
-    "truthful",
+    "correct_run_state",
     "Unauthorised",
     "UnknownMethod",
     "UnknownPath",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
@@ -57,7 +57,7 @@
     backend_server: str
 
 
-def may_dispatch_routed(
+def check_routed_dispatch(
     control: ControlPort, intent: RoutedIntent
 ) -> RequestError | None:
     """Return why a routed request may not be dispatched now.
@@ -90,7 +90,7 @@
     return None
 
 
-def may_dispatch(
+def check_dispatch(
     control: ControlPort, intent: DispatchIntent
 ) -> RequestError | None:
     """Return why the request may not be dispatched now, None if it may."""
@@ -188,8 +188,8 @@
 __all__ = [
     "check_version",
     "DispatchIntent",
-    "may_dispatch",
-    "may_dispatch_routed",
+    "check_dispatch",
+    "check_routed_dispatch",
     "RoutedIntent",
     "version_is_offered",
 ]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
@@ -34,7 +34,7 @@
         self._control = control
         self._now_s = now_s
         self._answered = anyio.Event()
-        control.listen(ArrivalsLent, self._lent)
+        control.add_listener(ArrivalsLent, self._lent)
 
     def trade(self, needed: str = "") -> None:
         """Send the control process a trade, where one is due.
@@ -45,7 +45,7 @@
         trade = self._budget.open_trade(entries, self._now_s(), needed)
         if trade is not None:
             self._answered = anyio.Event()
-            self._control.tell(ArrivalTrade(*trade))
+            self._control.send(ArrivalTrade(*trade))
 
     async def borrow(self, service: str) -> None:
         """Ask for what a service lacks, and wait a moment for the answer."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
@@ -92,7 +92,7 @@
             "in_flight", "Requests that run, by backend server"
         )
 
-    def routed_ended(
+    def count_routed_request(
         self, kind: str, result: str, took_s: float, first_byte_s: float
     ) -> None:
         """Count a routed request and its times.
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
@@ -48,11 +48,13 @@
 
     def report(self, sample: VersionSample) -> None: ...
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Send the control process a message that needs no answer."""
         ...
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         """Call ``listener`` with each message of a kind that comes."""
         ...
 
@@ -60,7 +62,7 @@
 
     async def announce(self, announcement: Announcement) -> None: ...
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Return when the records are durable.
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/repeatable.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/repeatable.py
@@ -8,10 +8,10 @@
 
 from sycamorestand_entry.callers import remaining_s
 from sycamorestand_entry.errors import BackendFailed
+from sycamorestand_entry.errors import correct_run_state
 from sycamorestand_entry.errors import DeadlineExceeded
 from sycamorestand_entry.errors import Overloaded
 from sycamorestand_entry.errors import RequestError
-from sycamorestand_entry.errors import truthful
 from sycamorestand_entry.service_call import acquire_slot
 from sycamorestand_entry.service_call import CallFailed
 from sycamorestand_entry.service_call import exchange
@@ -61,11 +61,11 @@
             if not _may_retry(context, call):
                 break
         except RequestError as refusal:
-            raise truthful(refusal, may_have_run) from None
+            raise correct_run_state(refusal, may_have_run) from None
     failed = BackendFailed(
         f"the service failed: {error}", SERVER_RETRY_S, "not_run"
     )
-    raise truthful(failed, may_have_run)
+    raise correct_run_state(failed, may_have_run)
 
 
 async def _attempt(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -115,7 +115,7 @@
             else:
                 await refuse(responder, InternalError("the entry failed"))
         finally:
-            self._context.metrics.routed_ended(
+            self._context.metrics.count_routed_request(
                 log.route.kind if log.route else "none",
                 result,
                 log.elapsed_ms() / 1000,
@@ -201,7 +201,7 @@
             await _body_by(deadline_at_s, request, limit_bytes),
             deadline_at_s,
             log,
-            self._context.ends_at_s,
+            self._context.stop_deadline_s,
         )
 
     async def _hold(
@@ -215,7 +215,7 @@
         if ready():
             return True
         begin_ms = log.elapsed_ms()
-        found = await self._context.start_hold.until(ready, left_s)
+        found = await self._context.start_hold.wait_until(ready, left_s)
         waited_ms = log.elapsed_ms() - begin_ms
         if waited_ms > 0:
             log.add(Held(missing, waited_ms))
@@ -225,12 +225,12 @@
         """Refuse what the end of this process is likely to cut."""
         context = self._context
         now_s = context.now_s()
-        ends_in_s = context.ends_at_s() - now_s
-        if math.isinf(ends_in_s) or not context.others_serve():
+        ends_in_s = context.stop_deadline_s() - now_s
+        if math.isinf(ends_in_s) or not context.has_other_serving_entry():
             return
         route = call.route
         pause_s = max(
-            context.pause(target.service).delay_s(now_s)
+            context.event_gap(target.service).delay_s(now_s)
             for target in route.targets
         )
         longest_s = context.answer_times.max_total_s(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -121,7 +121,7 @@
         reason = ""
         if self.runs >= self.call.route.max_attempts:
             reason = "no attempt left"
-        elif not self.context.servers.takes_work(
+        elif not self.context.servers.has_available_server(
             target, self.context.now_s(), self._allowed()
         ):
             reason = "no server takes work"
@@ -259,7 +259,7 @@
     def _choose(self, target: str, wanted: Wanted) -> Announcement:
         servers = self.context.servers
         now_s = self.context.now_s()
-        known = servers.known(target, wanted.known, now_s)
+        known = servers.find_available(target, wanted.known, now_s)
         if known is not None and wanted.known not in self._dialled_in_vain:
             return known
         return servers.choose(
@@ -289,8 +289,8 @@
             now_s = self.context.now_s()
             self._dialled_s += now_s - begin_s
             servers = self.context.servers
-            servers.started(target, server.name, now_s)
-            servers.finished(target, server.name, now_s, 0.0, "error")
+            servers.record_start(target, server.name, now_s)
+            servers.record_finish(target, server.name, now_s, 0.0, "error")
             self._dialled_in_vain.add(server.name)
             self.call.log.add(NotReached(server.name))
             self._count_dial()
@@ -304,7 +304,7 @@
             aim.target,
             aim.server.name,
             aim.wanted.model.decode("latin-1"),
-            servers.count(aim.target),
+            servers.candidate_count(aim.target),
             servers.in_flight(aim.target, aim.server.name),
             load.running + load.queued,
             int(servers.report_age_s(aim.server, now_s) * 1000),
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -65,7 +65,7 @@
 
     def prefill_s(self, target: str, size: int) -> float:
         """Return how long reading the prompt is expected to take."""
-        return self._context.reading.prefill_s(
+        return self._context.prefill_rates.prefill_s(
             _service(target), self._route.sizes, size, self.prompt_tokens
         )
 
@@ -104,7 +104,7 @@
     def learn_reading(self, exchange: Exchange, size: int) -> None:
         """Take in how long the first event took."""
         sizes = self._route.sizes
-        self._context.reading.observe(
+        self._context.prefill_rates.observe(
             _service(exchange.aim.target),
             sizes[size] if sizes else "",
             self.prompt_tokens,
@@ -124,7 +124,7 @@
 
     def _delay(self, target: str, size: int) -> QueueDelay:
         quick = has_short_prefill(self.aim_s, self.prefill_s(target, size))
-        return self._context.delay(_service(target), quick)
+        return self._context.queue_delay(_service(target), quick)
 
 
 def _service(target: str) -> str:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_entry.errors import DeadlineExceeded
-from sycamorestand_entry.gate import may_dispatch_routed
+from sycamorestand_entry.gate import check_routed_dispatch
 from sycamorestand_entry.gate import RoutedIntent
 from sycamorestand_entry.routed.call import PROCESS_ENDS
 from sycamorestand_entry.routed.decision_log import AttemptEnded
@@ -85,7 +85,7 @@
             )
             raise refusal
         self.begin_s = time.monotonic()
-        self._context.servers.started(
+        self._context.servers.record_start(
             self.aim.target, self.aim.server.name, self.begin_s
         )
         self._context.metrics.dispatches.inc({"version": self.aim.target})
@@ -102,7 +102,7 @@
         intent = RoutedIntent(
             self._call.route, self._call.customer, self.aim.server.name
         )
-        return may_dispatch_routed(self._context.control, intent)
+        return check_routed_dispatch(self._context.control, intent)
 
     async def read_head(
         self, limit_s: float, soft: bool = False
@@ -223,7 +223,7 @@
         self._context.progress.record_first_event(
             self.aim.server.name, self.begin_s, now_s
         )
-        self._context.servers.first_byte(
+        self._context.servers.record_first_byte(
             self.aim.target,
             self.aim.server.name,
             now_s,
@@ -246,7 +246,7 @@
         pause_s = self._recent.add(count, now_s)
         if pause_s is not None:
             service = self.aim.target.partition(VERSION_SEPARATOR)[0]
-            self._context.pause(service).observe(now_s, pause_s)
+            self._context.event_gap(service).observe(now_s, pause_s)
 
     def close(self) -> None:
         """Give the connection back, or cancel what still runs on it."""
@@ -254,7 +254,7 @@
             return
         self._closed = True
         now_s = time.monotonic()
-        self._context.servers.finished(
+        self._context.servers.record_finish(
             self.aim.target,
             self.aim.server.name,
             now_s,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -126,7 +126,7 @@
 
 def _tell(context: EntryContext, step: Step, places: tuple[int, ...]) -> None:
     if places:
-        context.control.tell(SessionsStay(*step, places))
+        context.control.send(SessionsStay(*step, places))
 
 
 def _undeclared(context: EntryContext, service: str) -> str:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -94,7 +94,7 @@
             )
         return server
 
-    def takes_work(
+    def has_available_server(
         self, target: str, now_s: float, among: Collection[str] | None = None
     ) -> bool:
         """Tell whether a server of the target, or one of these, is not out."""
@@ -105,7 +105,7 @@
             if among is None or candidate.name in among
         )
 
-    def known(
+    def find_available(
         self, target: str, name: str, now_s: float
     ) -> Announcement | None:
         """Return the named server where it may take work now."""
@@ -115,7 +115,7 @@
             return None
         return self._control.backend_servers().get(name)
 
-    def count(self, target: str) -> int:
+    def candidate_count(self, target: str) -> int:
         """Return how many candidates there were at the last look."""
         return self._counts.get(target, 0)
 
@@ -132,17 +132,17 @@
         candidates = self.candidates(target, now_s)
         return self._selector(target).capacity(candidates, now_s)
 
-    def started(self, target: str, name: str, now_s: float) -> None:
+    def record_start(self, target: str, name: str, now_s: float) -> None:
         """Count a request that was written to the server."""
         self._selector(target).record_start(name, now_s)
 
-    def first_byte(
+    def record_first_byte(
         self, target: str, name: str, now_s: float, latency_s: float
     ) -> None:
         """Learn from the time to the first byte."""
         self._selector(target).record_first_byte(name, now_s, latency_s)
 
-    def finished(
+    def record_finish(
         self,
         target: str,
         name: str,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 from typing import TYPE_CHECKING
 
+from sycamorestand_entry.gate import check_dispatch
 from sycamorestand_entry.gate import DispatchIntent
-from sycamorestand_entry.gate import may_dispatch
 from sycamorestand_entry.slots import SERVICE_CALL_S
 from sycamorestand_entry.slots import SlotRequest
 from sycamorestand_entry.upstream import MalformedAnswer
@@ -70,7 +70,7 @@
     intent = DispatchIntent(
         call.customer, "", call.service, server.name, claim_held=claim_held
     )
-    refusal = may_dispatch(context.control, intent)
+    refusal = check_dispatch(context.control, intent)
     if refusal is not None:
         context.pool.release(server.address, connection)
         context.metrics.refused_dispatches.inc({"code": refusal.code})
@@ -78,7 +78,7 @@
     context.metrics.dispatches.inc({"version": call.service})
     outcome: Outcome = "cancelled"
     begin_s = time.monotonic()
-    context.servers.started(call.service, server.name, begin_s)
+    context.servers.record_start(call.service, server.name, begin_s)
     try:
         connection.send(_encode(call, server), call.method == "HEAD")
         answer = await _read_answer(context, connection, limit_s)
@@ -90,7 +90,7 @@
         raise CallFailed(str(error)) from error
     finally:
         now_s = time.monotonic()
-        context.servers.finished(
+        context.servers.record_finish(
             call.service, server.name, now_s, now_s - begin_s, outcome
         )
         context.pool.release(server.address, connection)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
@@ -13,6 +13,7 @@
 from sycamorestand_entry.callers import deadline_after
 from sycamorestand_entry.callers import read_options
 from sycamorestand_entry.callers import remaining_s
+from sycamorestand_entry.claimed_call import ClaimedCall
 from sycamorestand_entry.claims import RecordedAnswer
 from sycamorestand_entry.errors import BadRequest
 from sycamorestand_entry.errors import DeadlineExceeded
@@ -20,7 +21,6 @@
 from sycamorestand_entry.errors import RequestKeyMissing
 from sycamorestand_entry.errors import UnknownService
 from sycamorestand_entry.http_messages import read_body
-from sycamorestand_entry.once import ClaimedCall
 from sycamorestand_entry.repeatable import call_repeatable
 from sycamorestand_entry.service_call import ServiceCall
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
@@ -34,7 +34,9 @@
         """Tell whether requests may still wait for what is missing."""
         return time.monotonic() - self._started_s < STARTING_S
 
-    async def until(self, ready: Callable[[], bool], left_s: float) -> bool:
+    async def wait_until(
+        self, ready: Callable[[], bool], left_s: float
+    ) -> bool:
         """Wait until ``ready`` or for as long as it may; return which.
 
         ``left_s`` is how long the caller waits.
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -181,8 +181,8 @@
         mailbox = Mailbox()
         link.mesh = mailbox  # type: ignore[assignment]
         heard: list[SessionsStay] = []
-        link.listen(SessionsStay, heard.append)
-        link.tell(self.STAY)
+        link.add_listener(SessionsStay, heard.append)
+        link.send(self.STAY)
         assert mailbox.sent == [(link.control_address(), self.STAY)]
         link._handle_message(link.control_address(), self.STAY)
         assert heard == [self.STAY]
--- a/packages/sycamorestand-entry/tests/routed/test_climb.py
+++ b/packages/sycamorestand-entry/tests/routed/test_climb.py
@@ -50,7 +50,7 @@
         """
         async with start_routed() as loopback:
             keep_waiting(loopback, quick=False)
-            reading = loopback.entry.context.reading
+            reading = loopback.entry.context.prefill_rates
             reading.observe("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
         assert models == [b"small"]
@@ -132,7 +132,7 @@
 
 def keep_waiting(loopback: RoutedLoopback, quick: bool) -> None:
     """Let requests have waited for seconds at every server."""
-    delay = loopback.entry.context.delay("stock", quick)
+    delay = loopback.entry.context.queue_delay("stock", quick)
     for _ in range(8):
         delay.observe(time.monotonic(), 4.0)
 
--- a/packages/sycamorestand-entry/tests/routed/test_streams.py
+++ b/packages/sycamorestand-entry/tests/routed/test_streams.py
@@ -117,7 +117,7 @@
         """Its reading takes longer than a pause may be."""
         async with start_routed() as loopback:
             let_aim_be_over(loopback)
-            reading = loopback.entry.context.reading
+            reading = loopback.entry.context.prefill_rates
             reading.observe("stock", "", 40_000, 1.0)
             handler = breaks(event(1) + event(2))
             answer = await ask_two(loopback, handler, x_tokens="40000,50")
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -154,8 +154,8 @@
         for name in (f"{NEW}-0", f"{NEW}-1"):
             for _ in range(5):
                 now_s = time.monotonic()
-                servers.started(NEW, name, now_s)
-                servers.finished(NEW, name, now_s, 0.0, "error")
+                servers.record_start(NEW, name, now_s)
+                servers.record_finish(NEW, name, now_s, 0.0, "error")
         assert servers.capacity(NEW, time.monotonic()) == 0
         assert scene.target("s") == OLD
 
--- a/packages/sycamorestand-entry/tests/test_gate.py
+++ b/packages/sycamorestand-entry/tests/test_gate.py
@@ -15,8 +15,8 @@
 from sycamorestand_bench.fakes.faults import Fault
 from sycamorestand_bench.fakes.loopback import Answer
 from sycamorestand_bench.fakes.loopback import start_loopback
+from sycamorestand_entry.gate import check_dispatch
 from sycamorestand_entry.gate import DispatchIntent
-from sycamorestand_entry.gate import may_dispatch
 from sycamorestand_model.backend_servers import Announcement
 
 CHAT = DispatchIntent("guild", "large", LARGE, "engine-1")
@@ -63,11 +63,11 @@
 class TestMayDispatch:
     @pytest.mark.parametrize("intent", [CHAT, ORDER])
     def test_passes(self, intent: DispatchIntent) -> None:
-        assert may_dispatch(make_control(), intent) is None
+        assert check_dispatch(make_control(), intent) is None
 
     @pytest.mark.parametrize(("intent", "code"), REFUSED)
     def test_refuses(self, intent: DispatchIntent, code: str) -> None:
-        refusal = may_dispatch(make_control(), intent)
+        refusal = check_dispatch(make_control(), intent)
         assert refusal is not None
         assert (refusal.code, refusal.run) == (code, "not_run")
 
@@ -75,7 +75,7 @@
     def test_needs_a_lease(self, lease_s: float) -> None:
         control = make_control()
         control.lease_s = lease_s
-        refusal = may_dispatch(control, CHAT)
+        refusal = check_dispatch(control, CHAT)
         assert refusal is not None
         assert refusal.code == "no_lease"
 
@@ -84,7 +84,7 @@
         control.configuration = control.configuration._replace(
             quarantined=(LARGE,)
         )
-        refusal = may_dispatch(control, CHAT)
+        refusal = check_dispatch(control, CHAT)
         assert refusal is not None
         assert refusal.code == "no_version"
 
