--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -75,7 +75,7 @@
         self.entry_addresses: tuple[EntryAddress, ...] = ()
         self.entries = 0
         self.samples: list[VersionSample] = []
-        self.told: list[Message] = []
+        self.sent_messages: list[Message] = []
         self.listeners: dict[type, Callable[[Any], None]] = {}
         self.stopping = False
         self.ledger_delay_s = 0.0
@@ -100,10 +100,12 @@
     def report(self, sample: VersionSample) -> None:
         self.samples.append(sample)
 
-    def tell(self, message: Message) -> None:
-        self.told.append(message)
+    def send(self, message: Message) -> None:
+        self.sent_messages.append(message)
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         self.listeners[kind] = listener
 
     def set_stopping(self) -> None:
@@ -114,7 +116,7 @@
         if known is None or supersedes(announcement, known):
             self.servers[announcement.name] = announcement
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Apply the records; `ledger_failures` of the calls are refused.
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_keeper.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -61,7 +61,7 @@
     monitor: RolloutMonitor
 
 
-class VersionKeeper:
+class VersionController:
     """Adds up what entries report and acts on it while it leads.
 
     Counts are soft state: a new leader begins with none and with the step
@@ -146,7 +146,7 @@
                     "step": run.step,
                     "verdict": type(verdict).__name__,
                     "reason": verdict.reason,
-                    "signals": list(run.monitor.compared()),
+                    "signals": list(run.monitor.comparison_lines()),
                 },
             )
         if isinstance(verdict, Stop):
@@ -299,4 +299,4 @@
     return text[:MAX_REASON_CHARACTERS]
 
 
-__all__ = ["VersionKeeper"]
+__all__ = ["VersionController"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -15,8 +15,8 @@
 import anyio
 
 from sycamorestand_decisions.affinity import prefix_key
-from sycamorestand_decisions.patience import AnswerTime
-from sycamorestand_decisions.stopping import goes_elsewhere
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
+from sycamorestand_decisions.stopping import may_outlast_stop
 from sycamorestand_entry.errors import DeadlineExceeded
 from sycamorestand_entry.errors import InternalError
 from sycamorestand_entry.errors import NoLease
@@ -56,8 +56,8 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.http_messages import Receive
     from sycamorestand_entry.http_messages import Send
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import WholeAnswer
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_model.in_force import InForce
     from sycamorestand_model.routes import Route
 
@@ -80,7 +80,7 @@
 class RoutedEntry:
     """Answers routed requests of one entry process."""
 
-    def __init__(self, context: EntryContext, wire: RouteWire) -> None:
+    def __init__(self, context: EntryContext, wire: HeaderNames) -> None:
         self._context = context
         self._wire = wire
         self._table = _Table(-1, RouteTable({}))
@@ -115,7 +115,7 @@
             else:
                 await refuse(responder, InternalError("the entry failed"))
         finally:
-            self._context.metrics.routed_ended(
+            self._context.metrics.count_routed_request(
                 log.route.kind if log.route else "none",
                 result,
                 log.elapsed_ms() / 1000,
@@ -201,7 +201,7 @@
             await _body_by(deadline_at_s, request, limit_bytes),
             deadline_at_s,
             log,
-            self._context.ends_at_s,
+            self._context.stop_deadline_s,
         )
 
     async def _hold(
@@ -215,7 +215,7 @@
         if ready():
             return True
         begin_ms = log.elapsed_ms()
-        found = await self._context.start_hold.until(ready, left_s)
+        found = await self._context.start_hold.wait_until(ready, left_s)
         waited_ms = log.elapsed_ms() - begin_ms
         if waited_ms > 0:
             log.add(Held(missing, waited_ms))
@@ -225,16 +225,18 @@
         """Refuse what the end of this process is likely to cut."""
         context = self._context
         now_s = context.now_s()
-        ends_in_s = context.ends_at_s() - now_s
-        if math.isinf(ends_in_s) or not context.others_serve():
+        ends_in_s = context.stop_deadline_s() - now_s
+        if math.isinf(ends_in_s) or not context.has_other_serving_entry():
             return
         route = call.route
         pause_s = max(
-            context.pause(target.service).delay_s(now_s)
+            context.event_gap(target.service).delay_s(now_s)
             for target in route.targets
         )
-        longest_s = context.answer_times.whole_s(route.name, pause_s, now_s)
-        if goes_elsewhere(ends_in_s, call.deadline_at_s - now_s, longest_s):
+        longest_s = context.answer_times.max_total_s(
+            route.name, pause_s, now_s
+        )
+        if may_outlast_stop(ends_in_s, call.deadline_at_s - now_s, longest_s):
             raise Stopping(
                 "this VM stops before the answer would end", STOPPING_RETRY_S
             )
@@ -302,7 +304,7 @@
             else:
                 answer = await whole_answer(attempts, target)
                 whole_s = time.monotonic() - begin_s
-                context.answer_times.ended(
+                context.answer_times.record_answer(
                     call.route.name, AnswerTime(whole_s, 0.0, 0)
                 )
             failed = answer is not None and answer.status >= 500
@@ -319,18 +321,18 @@
             if slot >= 0:
                 context.slots.finish(slot, now_s - begin_s, failed)
         if not failed:
-            context.retries.succeeded(call.customer, time.monotonic())
+            context.retries.record_success(call.customer, time.monotonic())
 
     async def _streamed(
         self, relay: StreamRelay, call: RoutedCall, target: str
     ) -> WholeAnswer | None:
         times = self._context.answer_times
         asked_s = self._context.now_s()
-        times.asked(call.route.name, asked_s)
+        times.record_started(call.route.name, asked_s)
         try:
             return await relay.run(target)
         finally:
-            times.over(call.route.name, asked_s)
+            times.record_stopped(call.route.name, asked_s)
 
     def _affinity(self, call: RoutedCall) -> str:
         value = call.values.get(self._wire.prompt_parts, b"")
@@ -339,7 +341,7 @@
 
 
 def make_routed_application(
-    wire: RouteWire,
+    wire: HeaderNames,
 ) -> Callable[[EntryContext], Application]:
     """Return what makes the application of an entry process."""
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -33,8 +33,8 @@
 
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.routed.call import RoutedCall
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import Wanted
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
@@ -61,7 +61,7 @@
     """
 
     def __init__(
-        self, context: EntryContext, wire: RouteWire, call: RoutedCall
+        self, context: EntryContext, wire: HeaderNames, call: RoutedCall
     ) -> None:
         self.context = context
         self.wire = wire
@@ -121,7 +121,7 @@
         reason = ""
         if self.runs >= self.call.route.max_attempts:
             reason = "no attempt left"
-        elif not self.context.servers.takes_work(
+        elif not self.context.servers.has_available_server(
             target, self.context.now_s(), self._allowed()
         ):
             reason = "no server takes work"
@@ -172,7 +172,7 @@
     async def _may_arrive_again(self) -> bool:
         context = self.context
         service = self._service
-        may = await self._asked(context.arrivals.may_add)
+        may = await self._asked(context.arrivals.try_spend)
         if not may:
             entries = context.control.entry_count()
             share = context.arrivals.share(service, entries, context.now_s())
@@ -231,7 +231,9 @@
                 raise NoBackendServer(error.message, MOVED_RETRY_S) from None
             if not self.sent:
                 now_s = self.context.now_s()
-                self.context.arrivals.sent_first(self._service, now_s)
+                self.context.arrivals.record_first_arrival(
+                    self._service, now_s
+                )
                 self.context.loans.trade()
                 self._count_arrival("first")
             self.sent += 1
@@ -257,7 +259,7 @@
     def _choose(self, target: str, wanted: Wanted) -> Announcement:
         servers = self.context.servers
         now_s = self.context.now_s()
-        known = servers.known(target, wanted.known, now_s)
+        known = servers.find_available(target, wanted.known, now_s)
         if known is not None and wanted.known not in self._dialled_in_vain:
             return known
         return servers.choose(
@@ -287,8 +289,8 @@
             now_s = self.context.now_s()
             self._dialled_s += now_s - begin_s
             servers = self.context.servers
-            servers.started(target, server.name, now_s)
-            servers.finished(target, server.name, now_s, 0.0, "error")
+            servers.record_start(target, server.name, now_s)
+            servers.record_finish(target, server.name, now_s, 0.0, "error")
             self._dialled_in_vain.add(server.name)
             self.call.log.add(NotReached(server.name))
             self._count_dial()
@@ -302,7 +304,7 @@
             aim.target,
             aim.server.name,
             aim.wanted.model.decode("latin-1"),
-            servers.count(aim.target),
+            servers.candidate_count(aim.target),
             servers.in_flight(aim.target, aim.server.name),
             load.running + load.queued,
             int(servers.report_age_s(aim.server, now_s) * 1000),
