--- a/packages/sycamorestand-control/src/sycamorestand_control/arrival_lender.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/arrival_lender.py
@@ -35,16 +35,16 @@
         self.lent = 0.0
         self.asked = 0.0
 
-    def traded(self, sender: str, message: ArrivalTrade) -> None:
+    def handle_trade(self, sender: str, message: ArrivalTrade) -> None:
         """Take what an entry gives and send what it is lent."""
         lent = self._pool.trade(
-            message.given, message.asked, self._pools(), boottime_s()
+            message.given, message.asked, self._pool_count(), boottime_s()
         )
         self.asked += sum(message.asked.values())
         self.lent += sum(lent.get(service, 0.0) for service in message.asked)
         self._mesh.send(sender, ArrivalsLent(message.number, lent))
 
-    def _pools(self) -> int:
+    def _pool_count(self) -> int:
         """Return how many pools there may be, 0 where this is none.
 
         One more than voters: one that was replaced while it was cut off
--- a/packages/sycamorestand-control/src/sycamorestand_control/background.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/background.py
@@ -11,11 +11,11 @@
 
 LOG: Final = logging.getLogger(__name__)
 # A part that fails each time must not fill the log, nor take the processor.
-PAUSE_S: Final = 1.0
+RESTART_PAUSE_S: Final = 1.0
 
 
 async def keep_running(
-    part: Callable[[], Awaitable[None]], failed: Callable[[], None]
+    part: Callable[[], Awaitable[None]], on_failure: Callable[[], None]
 ) -> None:
     """Run a part until cancelled, and begin it anew where it fails.
 
@@ -30,9 +30,9 @@
             await part()
             return
         except Exception:
-            failed()
+            on_failure()
             LOG.exception("background part failed and is begun anew")
-        await anyio.sleep(PAUSE_S)
+        await anyio.sleep(RESTART_PAUSE_S)
 
 
 __all__ = ["keep_running"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/change_commands.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/change_commands.py
@@ -127,13 +127,13 @@
     )
 
 
-def _with_reason(
-    kind: Callable[..., Command],
+def _make_with_reason(
+    command_type: Callable[..., Command],
 ) -> Callable[[ChangeRequest, int, float], Command]:
     """Return the maker of a command that has a subject and a reason."""
 
     def make(request: ChangeRequest, base: int, now_s: float) -> Command:
-        return kind(
+        return command_type(
             request.change_id,
             request.operator,
             base,
@@ -147,14 +147,14 @@
 
 _MAKERS: Final = {
     "apply": _apply,
-    "withdraw": _with_reason(Withdraw),
-    "reinstate": _with_reason(Reinstate),
+    "withdraw": _make_with_reason(Withdraw),
+    "reinstate": _make_with_reason(Reinstate),
     "start-rollout": _start_rollout,
     "stop-rollout": _stop_rollout,
-    "quarantine": _with_reason(Quarantine),
-    "lift-quarantine": _with_reason(LiftQuarantine),
-    "drain": _with_reason(DrainVm),
-    "undrain": _with_reason(UndrainVm),
+    "quarantine": _make_with_reason(Quarantine),
+    "lift-quarantine": _make_with_reason(LiftQuarantine),
+    "drain": _make_with_reason(DrainVm),
+    "undrain": _make_with_reason(UndrainVm),
 }
 
 __all__ = ["make_answer", "make_command"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/groups.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/groups.py
@@ -39,7 +39,7 @@
 # An election takes up to 1.4 s; a question asked in the middle of one is
 # repeated this often until the leader is known.
 RETRY_PAUSE_S: Final = 0.05
-LEADER_CHECK_S: Final = 0.1
+LEADER_CHECK_INTERVAL_S: Final = 0.1
 
 BLANK: Final = "blank"
 STARTING: Final = "starting"
@@ -78,7 +78,7 @@
                 number,
                 settings,
                 group.machine,
-                self._sender(number),
+                self._make_sender(number),
                 boottime_s,
             )
             for number, group in groups.items()
@@ -153,9 +153,9 @@
         `NoLeader` where nothing can have been committed and
         `OutcomeUnknown` where it may have been.
         """
-        until_s = boottime_s() + timeout_s
+        deadline_s = boottime_s() + timeout_s
         maybe_committed = False
-        while boottime_s() < until_s:
+        while boottime_s() < deadline_s:
             try:
                 return await self._propose_once(group, command)
             except (ProposalLost, PeerTimeout):
@@ -167,14 +167,14 @@
             raise OutcomeUnknown("the change may have been made; resend it")
         raise NoLeader("no leader answered; nothing was changed")
 
-    async def answer_forward(
+    async def handle_forward(
         self, sender: str, message: ProposalForward
     ) -> None:
         """Propose for another control process and send it the result."""
-        reply = await self._answer(message)
+        reply = await self._propose_forwarded(message)
         self._mesh.send(sender, reply)
 
-    async def _answer(self, message: ProposalForward) -> CallReply:
+    async def _propose_forwarded(self, message: ProposalForward) -> CallReply:
         replica = self.replicas.get(message.group)
         if replica is None:
             return CallReply(message.call_id, NOT_LEADER, b"")
@@ -226,13 +226,13 @@
 
             tasks.start_soon(ask)
             while self.leader_address(group) in ("", address):
-                await anyio.sleep(LEADER_CHECK_S)
+                await anyio.sleep(LEADER_CHECK_INTERVAL_S)
             tasks.cancel_scope.cancel()
         if not replies:
             raise PeerTimeout(f"{address} gave no answer as leader")
         return replies[0]
 
-    def _sender(self, group: int) -> Any:
+    def _make_sender(self, group: int) -> Any:
         def send(member_id: str, payload: bytes) -> None:
             address = self.address_of(member_id)
             if address:
--- a/packages/sycamorestand-control/src/sycamorestand_control/hub.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/hub.py
@@ -34,14 +34,14 @@
 DETACH_AFTER_S: Final = 5.0
 # A push that was lost is repeated with a renewal, yet not with each of
 # them: the whole configuration is the largest message there is.
-PUSH_AGAIN_S: Final = 0.3
+PUSH_RETRY_S: Final = 0.3
 # Loads and addresses are coarse and late by nature.
 SLOW_INTERVAL_S: Final = 1.0
 # Callers need a few addresses to choose among, not all of 330.
 ADDRESSES_FOR_CALLERS: Final = 8
 
 
-class _Attached:
+class _AttachedEntry:
     def __init__(self, address: str, vm: str, data_centre: str) -> None:
         self.address = address
         self.vm = vm
@@ -71,8 +71,8 @@
         self._in_force = in_force
         self._other_controls = other_controls
         self._voters = voters
-        self._attached: dict[str, _Attached] = {}
-        self._push = pack_configuration(InForce())
+        self._attached: dict[str, _AttachedEntry] = {}
+        self._cached_push = pack_configuration(InForce())
         self.denied = 0
 
     def attached_vms(self) -> tuple[str, ...]:
@@ -85,8 +85,8 @@
 
     def handle_lease_request(self, sender: str, message: LeaseRequest) -> None:
         """Renew an entry's lease, and send it what it lacks."""
-        entry = self._entry(sender, message)
-        self._tables.entry_heard(sender, message)
+        entry = self._attach(sender, message)
+        self._tables.record_entry(sender, message)
         self._answer_lease(sender, message)
         self._push_configuration(entry, message.acked_revision)
         self._tables.send_to_entry(sender)
@@ -98,7 +98,7 @@
 
     async def run(self) -> None:
         """Keep entries' tables and addresses fresh, until cancelled."""
-        next_slow_s = 0.0
+        next_slow_push_s = 0.0
         stopping: frozenset[str] = frozenset()
         while True:
             await anyio.sleep(TICK_S)
@@ -111,17 +111,17 @@
             self._detach_silent(now_s)
             for entry in self._attached.values():
                 self._tables.send_to_entry(entry.address)
-            if now_s >= next_slow_s:
-                next_slow_s = now_s + SLOW_INTERVAL_S
+            if now_s >= next_slow_push_s:
+                next_slow_push_s = now_s + SLOW_INTERVAL_S
                 self._push_addresses()
                 self._push_controls()
                 self._push_loads()
 
-    def _entry(self, sender: str, message: LeaseRequest) -> _Attached:
+    def _attach(self, sender: str, message: LeaseRequest) -> _AttachedEntry:
         entry = self._attached.get(sender)
         if entry is None:
             address = message.address
-            entry = _Attached(sender, address.vm, address.data_centre)
+            entry = _AttachedEntry(sender, address.vm, address.data_centre)
             self._attached[sender] = entry
             LOG.info("entry attached", extra={"entry": address.vm})
         entry.heard_s = boottime_s()
@@ -130,7 +130,7 @@
     def _answer_lease(self, sender: str, message: LeaseRequest) -> None:
         grant = self._leases.grant_entry(sender, message.acked_revision)
         if grant is not None:
-            self._tables.entry_granted(message.address.vm, grant.length_s)
+            self._tables.record_grant(message.address.vm, grant.length_s)
             self._mesh.send(
                 sender,
                 LeaseGrantMessage(
@@ -151,34 +151,34 @@
         )
 
     def _push_configuration(
-        self, entry: _Attached, acked_revision: int
+        self, entry: _AttachedEntry, acked_revision: int
     ) -> None:
         in_force = self._in_force()
         if acked_revision >= in_force.revision:
             return
         now_s = boottime_s()
-        pushed = entry.pushed_revision >= in_force.revision
-        if pushed and now_s - entry.pushed_s < PUSH_AGAIN_S:
+        already_pushed = entry.pushed_revision >= in_force.revision
+        if already_pushed and now_s - entry.pushed_s < PUSH_RETRY_S:
             return
         entry.pushed_revision = in_force.revision
         entry.pushed_s = now_s
-        self._mesh.send(entry.address, self._push_for(in_force))
+        self._mesh.send(entry.address, self._make_push(in_force))
 
-    def _push_for(self, in_force: InForce) -> ConfigurationPush:
+    def _make_push(self, in_force: InForce) -> ConfigurationPush:
         """Return the push of a revision, made once for all entries.
 
         The operator's document stays here: entries act on what was made
         of it, and it is most of the bytes. With 1,100 routes it would keep
         an entry's slow link busy for longer than a change may take.
         """
-        if self._push.revision != in_force.revision:
+        if self._cached_push.revision != in_force.revision:
             declarations = in_force.declarations
             document = declarations.document._replace(content=b"")
-            told = declarations._replace(document=document)
-            self._push = pack_configuration(
-                in_force._replace(declarations=told)
+            trimmed = declarations._replace(document=document)
+            self._cached_push = pack_configuration(
+                in_force._replace(declarations=trimmed)
             )
-        return self._push
+        return self._cached_push
 
     def _push_loads(self) -> None:
         for entry in self._attached.values():
@@ -192,14 +192,14 @@
         """
         voters = self._voters()
         for entry in self._attached.values():
-            near = functools.partial(self._distance, entry)
-            controls = ControlList(tuple(sorted(voters, key=near)))
+            distance = functools.partial(self._distance, entry)
+            controls = ControlList(tuple(sorted(voters, key=distance)))
             if voters and controls != entry.controls:
                 entry.controls = controls
                 self._mesh.send(entry.address, controls)
 
     def _distance(
-        self, entry: _Attached, control: str
+        self, entry: _AttachedEntry, control: str
     ) -> tuple[bool, bool, int]:
         """Rank a control process; those alike are spread over entries."""
         name = self._tables.control_name(control)
--- a/packages/sycamorestand-control/src/sycamorestand_control/joining.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/joining.py
@@ -24,8 +24,8 @@
 JOIN_INTERVAL_S: Final = 0.5
 JOIN_TIMEOUT_S: Final = 1.0
 # An election takes up to 1.4 s and may fail once.
-LONELY_S: Final = 3.0
-BELONGS: Final = b"belongs to a cluster"
+NO_LEADER_S: Final = 3.0
+IN_CLUSTER: Final = b"belongs to a cluster"
 
 
 async def cluster_exists(
@@ -39,7 +39,7 @@
             reply = await mesh.call(address, call_id, request, JOIN_TIMEOUT_S)
         except PeerTimeout:
             continue
-        if reply.payload == BELONGS:
+        if reply.payload == IN_CLUSTER:
             return True
     return False
 
@@ -58,14 +58,14 @@
     voter that was replaced while it was away finds no leader, and its own
     log does not tell it why.
     """
-    led_s = boottime_s()
+    leader_seen_s = boottime_s()
     while True:
-        if not _is_lonely(groups):
-            led_s = boottime_s()
-        voter = _is_member_everywhere(groups)
+        if not _is_leader_missing(groups):
+            leader_seen_s = boottime_s()
+        voter = _is_voter_everywhere(groups)
         if voter and not keep_asking:
             return
-        if not voter or boottime_s() - led_s > LONELY_S:
+        if not voter or boottime_s() - leader_seen_s > NO_LEADER_S:
             async with anyio.create_task_group() as tasks:
                 for address in controls():
                     tasks.start_soon(_ask_one, mesh, groups, address, vm)
@@ -83,7 +83,7 @@
         LOG.debug("no answer to join", extra={"peer": address})
 
 
-def _is_lonely(groups: LogGroups) -> bool:
+def _is_leader_missing(groups: LogGroups) -> bool:
     return any(
         not replica.status().leader_id for replica in groups.replicas.values()
     )
@@ -97,11 +97,11 @@
     )
 
 
-def _is_member_everywhere(groups: LogGroups) -> bool:
+def _is_voter_everywhere(groups: LogGroups) -> bool:
     return all(
         is_voter(replica, groups.member_id)
         for replica in groups.replicas.values()
     )
 
 
-__all__ = ["ask_to_join", "BELONGS", "cluster_exists", "is_voter"]
+__all__ = ["ask_to_join", "IN_CLUSTER", "cluster_exists", "is_voter"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
@@ -33,7 +33,7 @@
 CHECK_INTERVAL_S: Final = 2.0
 # A hand-over stops the shard for some milliseconds. With a voter that
 # comes and goes each would bring one; at this pace they are not noticed.
-PAUSE_S: Final = 5.0
+HAND_OVER_INTERVAL_S: Final = 5.0
 # A voter that lags this far would make the shard wait for it.
 MAX_LAG_ENTRIES: Final = 200
 HEARD_WITHIN_S: Final = 1.5
@@ -47,10 +47,13 @@
     Shards go round the voters in one order, so that the counts differ by
     one at most; a hash for each shard would leave voters without any.
     """
-    order = subset("ledger", voters, len(tuple(shards)) or 1)
-    if not order:
+    ordered_voters = subset("ledger", voters, len(tuple(shards)) or 1)
+    if not ordered_voters:
         return {}
-    return {shard: order[n % len(order)] for n, shard in enumerate(shards)}
+    return {
+        shard: ordered_voters[n % len(ordered_voters)]
+        for n, shard in enumerate(shards)
+    }
 
 
 class LeaderBalancer:
@@ -65,23 +68,23 @@
         self._mesh = mesh
         self._groups = groups
         self._clock = clock
-        self._earliest_s = clock() + PAUSE_S
+        self._next_hand_over_s = clock() + HAND_OVER_INTERVAL_S
         self.hand_overs = 0
 
     async def run(self) -> None:
         """Look at an interval, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
-            await self.look()
+            await self.balance()
 
-    async def look(self) -> None:
+    async def balance(self) -> None:
         """Hand over at most one shard that another voter should lead."""
-        if self._clock() < self._earliest_s:
+        if self._clock() < self._next_hand_over_s:
             return
-        for shard, target in self._preferred().items():
+        for shard, target in self._preferred_leaders().items():
             if not self._should_hand_over(shard, target):
                 continue
-            self._earliest_s = self._clock() + PAUSE_S
+            self._next_hand_over_s = self._clock() + HAND_OVER_INTERVAL_S
             self.hand_overs += 1
             try:
                 await self._groups.replicas[shard].transfer_leadership(target)
@@ -89,7 +92,7 @@
                 LOG.info("shard kept", extra={"reason": str(error)})
             return
 
-    def _preferred(self) -> dict[int, str]:
+    def _preferred_leaders(self) -> dict[int, str]:
         shards = [g for g in self._groups.replicas if g >= FIRST_LEDGER_GROUP]
         if not shards:
             return {}
@@ -102,16 +105,18 @@
         if status.role != "leader" or target == status.member_id:
             return False
         members = {member.member_id: member for member in status.members}
-        wanted = members.get(target)
+        successor = members.get(target)
         return (
-            wanted is not None
-            and wanted.voter
-            and self._is_well(wanted, status.last_index)
+            successor is not None
+            and successor.voter
+            and self._is_ready_to_lead(successor, status.last_index)
         )
 
-    def _is_well(self, member: MemberStatus, last_index: int) -> bool:
-        heard = self._mesh.unheard_s(member.address) < HEARD_WITHIN_S
-        return heard and last_index - member.match_index <= MAX_LAG_ENTRIES
+    def _is_ready_to_lead(self, member: MemberStatus, last_index: int) -> bool:
+        is_reachable = self._mesh.unheard_s(member.address) < HEARD_WITHIN_S
+        return (
+            is_reachable and last_index - member.match_index <= MAX_LAG_ENTRIES
+        )
 
 
 __all__ = ["LeaderBalancer", "preferred_leaders"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -29,11 +29,11 @@
     from sycamorestand_state.leases import LeaseTable
 
 LOG: Final = logging.getLogger(__name__)
-ASK_S: Final = 0.05
-FORGET_AFTER_ROUNDS: Final = 25
+RETRY_INTERVAL_S: Final = 0.05
+FORGET_EVERY_ROUNDS: Final = 25
 
 
-class _Term(NamedTuple):
+class _LeaderTerm(NamedTuple):
     number: int
     table: LeaseTable
 
@@ -53,9 +53,9 @@
         self._revision = revision
         self._held = HeldLease()
         self._entries = control_table(boottime_s())
-        self._term: _Term | None = None
-        self._kicked = anyio.Event()
-        self._acked_sent = -1
+        self._term: _LeaderTerm | None = None
+        self._renew_now = anyio.Event()
+        self._reported_revision = -1
         self._was_held = False
 
     def remaining_s(self) -> float:
@@ -68,7 +68,7 @@
         self._entries.require(revision)
         if self._term is not None:
             self._term.table.require(revision)
-        self._kicked.set()
+        self._renew_now.set()
 
     def grant_entry(
         self, holder: str, acked_revision: int
@@ -77,10 +77,10 @@
         grant = self._entries.grant(
             holder, acked_revision, boottime_s(), self.remaining_s()
         )
-        if self._acked() > self._acked_sent:
+        if self._acked_revision() > self._reported_revision:
             # An operator waits for this acknowledgement; the next renewal
             # would bring it up to an interval later.
-            self._kicked.set()
+            self._renew_now.set()
         return grant
 
     def live_entries(self) -> tuple[str, ...]:
@@ -99,7 +99,7 @@
         table = self._leading_table()
         return () if table is None else table.live(boottime_s())
 
-    def request_received(
+    def handle_request(
         self, sender: str, message: ControlLeaseRequest
     ) -> None:
         """Grant a control process's lease, where this process leads."""
@@ -116,23 +116,27 @@
         """Renew this process's own lease until cancelled."""
         rounds = 0
         while True:
-            self._kicked = anyio.Event()
-            await self._follow_term()
+            self._renew_now = anyio.Event()
+            await self._sync_term()
             self._renew()
-            self._log_change()
+            self._log_lease_change()
             rounds += 1
-            if rounds % FORGET_AFTER_ROUNDS == 0:
+            if rounds % FORGET_EVERY_ROUNDS == 0:
                 self._entries.forget_expired(boottime_s())
             # Without a lease it asks often: a process that has started
             # waits for the leader to be known and for nothing else.
-            pause_s = RENEW_INTERVAL_S if self.remaining_s() > 0 else ASK_S
+            pause_s = (
+                RENEW_INTERVAL_S
+                if self.remaining_s() > 0
+                else RETRY_INTERVAL_S
+            )
             with anyio.move_on_after(pause_s):
-                await self._kicked.wait()
+                await self._renew_now.wait()
 
     def _renew(self) -> None:
-        acked = self._acked()
+        acked_revision = self._acked_revision()
         request = ControlLeaseRequest(
-            self._mesh.address, boottime_s(), acked, self._revision()
+            self._mesh.address, boottime_s(), acked_revision, self._revision()
         )
         if self._leading_table() is not None:
             granted = self._grant_control(request)
@@ -142,9 +146,9 @@
             address = self._groups.leader_address(CONFIGURATION_GROUP)
             if address and address != self._mesh.address:
                 self._mesh.send(address, request)
-        self._acked_sent = acked
+        self._reported_revision = acked_revision
 
-    def _log_change(self) -> None:
+    def _log_lease_change(self) -> None:
         """Log when the lease is lost, or held again.
 
         Without one the process may be cut off, and what is told to it
@@ -156,7 +160,7 @@
         self._was_held = held
         LOG.info("control lease held" if held else "control lease lost")
 
-    def _acked(self) -> int:
+    def _acked_revision(self) -> int:
         return self._entries.acknowledged(self._revision(), boottime_s())
 
     def _grant_control(
@@ -187,7 +191,7 @@
             return None
         return self._term.table if self._term.number == status.term else None
 
-    async def _follow_term(self) -> None:
+    async def _sync_term(self) -> None:
         """Start a table when this process has become the leader.
 
         Only after the barrier does it hold every revision that an earlier
@@ -206,7 +210,7 @@
         except ConsensusError:
             return
         table = leader_table(became_leader_s, self._revision())
-        self._term = _Term(status.term, table)
+        self._term = _LeaderTerm(status.term, table)
         LOG.info("leads", extra={"term": status.term})
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/ledger_writer.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/ledger_writer.py
@@ -33,7 +33,7 @@
 MAX_IN_FLIGHT: Final = 4
 
 
-class _Waiting(NamedTuple):
+class _PendingBatch(NamedTuple):
     records: tuple[LedgerRecord, ...]
     size_bytes: int
     done: anyio.Event
@@ -54,7 +54,7 @@
         self, propose: Callable[[bytes], Awaitable[list[LedgerResult]]]
     ) -> None:
         self._propose = propose
-        self._queue: list[_Waiting] = []
+        self._queue: list[_PendingBatch] = []
         self._wake = anyio.Event()
         self.records = 0
         self.proposals = 0
@@ -65,11 +65,11 @@
         Raises the error of the proposal that carried it.
         """
         records = decode_batch(batch).records
-        waiting = _Waiting(tuple(records), len(batch), anyio.Event(), [])
-        self._queue.append(waiting)
+        pending = _PendingBatch(tuple(records), len(batch), anyio.Event(), [])
+        self._queue.append(pending)
         self._wake.set()
-        await waiting.done.wait()
-        outcome = waiting.outcome[0]
+        await pending.done.wait()
+        outcome = pending.outcome[0]
         if isinstance(outcome, Exception):
             raise outcome
         results: list[LedgerResult] = outcome
@@ -79,46 +79,46 @@
         """Propose what was gathered, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for _ in range(MAX_IN_FLIGHT):
-                tasks.start_soon(self._serve)
+                tasks.start_soon(self._propose_loop)
 
-    async def _serve(self) -> None:
+    async def _propose_loop(self) -> None:
         while True:
             while not self._queue:
                 self._wake = anyio.Event()
                 await self._wake.wait()
-            taken = self._take()
-            outcomes = await self._propose_all(taken)
-            for waiting, outcome in zip(taken, outcomes, strict=True):
-                waiting.outcome.append(outcome)
-                waiting.done.set()
-
-    def _take(self) -> list[_Waiting]:
-        taken: list[_Waiting] = []
+            batches = self._take_batches()
+            outcomes = await self._propose_all(batches)
+            for pending, outcome in zip(batches, outcomes, strict=True):
+                pending.outcome.append(outcome)
+                pending.done.set()
+
+    def _take_batches(self) -> list[_PendingBatch]:
+        batches: list[_PendingBatch] = []
         size = 0
         while self._queue and (
-            not taken or size + self._queue[0].size_bytes <= MAX_BATCH_BYTES
+            not batches or size + self._queue[0].size_bytes <= MAX_BATCH_BYTES
         ):
-            waiting = self._queue.pop(0)
-            size += waiting.size_bytes
-            taken.append(waiting)
-        return taken
+            pending = self._queue.pop(0)
+            size += pending.size_bytes
+            batches.append(pending)
+        return batches
 
-    async def _propose_all(self, taken: list[_Waiting]) -> list[Any]:
-        records = [record for item in taken for record in item.records]
+    async def _propose_all(self, batches: list[_PendingBatch]) -> list[Any]:
+        records = [record for item in batches for record in item.records]
         self.records += len(records)
         self.proposals += 1
         try:
             results = await self._propose(encode_batch(records, time.time()))
         except (SycamorestandError, ControlError) as error:
-            return [error] * len(taken)
+            return [error] * len(batches)
         except Exception:
             # Whoever waits for these must be answered all the same.
             LOG.exception("ledger batch failed")
-            return [OutcomeUnknown("the batch may be durable")] * len(taken)
-        return _split(results, [len(item.records) for item in taken])
+            return [OutcomeUnknown("the batch may be durable")] * len(batches)
+        return _split_results(results, [len(item.records) for item in batches])
 
 
-def _split(
+def _split_results(
     results: list[LedgerResult], counts: list[int]
 ) -> list[list[LedgerResult]]:
     parts = []
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -12,7 +12,7 @@
 from sycamorestand_consensus.errors import ConsensusError
 from sycamorestand_consensus.errors import MembershipRefused
 from sycamorestand_control.groups import CONFIGURATION_GROUP
-from sycamorestand_control.joining import BELONGS
+from sycamorestand_control.joining import IN_CLUSTER
 from sycamorestand_control.joining import is_voter
 from sycamorestand_control.voter_repair import next_change
 from sycamorestand_control.voter_repair import ObservedMember
@@ -41,12 +41,12 @@
 # may take seconds. Without a quorum it never comes.
 CHANGE_WAIT_S: Final = 5.0
 # A leader's loop that pauses this long was suspended or starved.
-PAUSED_S: Final = 1.0
+SUSPENDED_AFTER_S: Final = 1.0
 # A request that another process passed on expects no reply.
-PASSED_ON: Final = 0
+FORWARDED: Final = 0
 
 
-class Admissions:
+class MembershipManager:
     """The leader's side: who asked to join, and who is to replace whom.
 
     A voter whose disk was lost comes back under a new id and asks like
@@ -69,17 +69,17 @@
         self._groups = groups
         self._voters_wanted = voters_wanted
         self._replace_lost = replace_lost
-        self._leads_since_s: dict[int, float] = {}
+        self._leading_since_s: dict[int, float] = {}
         self._joiners: dict[str, JoinRequest] = {}
-        self._asked_s: dict[str, float] = {}
+        self._last_asked_s: dict[str, float] = {}
 
-    def waiting(self) -> tuple[JoinRequest, ...]:
+    def waiting_joiners(self) -> tuple[JoinRequest, ...]:
         """Return processes that ask to join and are no members yet."""
-        members = _member_ids(self._configuration())
+        members = _member_ids(self._configuration_replica())
         return tuple(
             joiner
             for joiner in self._joiners.values()
-            if joiner.member_id not in members and self._is_alive(joiner)
+            if joiner.member_id not in members and self._is_asking(joiner)
         )
 
     def receive(self, sender: str, request: JoinRequest) -> None:
@@ -90,38 +90,40 @@
             if earlier.address == request.address:
                 del self._joiners[member_id]
         self._joiners[request.member_id] = request
-        self._asked_s[request.member_id] = boottime_s()
-        if request.call_id == PASSED_ON:
+        self._last_asked_s[request.member_id] = boottime_s()
+        if request.call_id == FORWARDED:
             return
-        self._pass_on(request)
-        status = self._configuration().status()
-        belongs = BELONGS if status.members else b""
-        self._mesh.send(sender, CallReply(request.call_id, "", belongs))
+        self._forward(request)
+        status = self._configuration_replica().status()
+        in_cluster = IN_CLUSTER if status.members else b""
+        self._mesh.send(sender, CallReply(request.call_id, "", in_cluster))
 
     async def run(self) -> None:
         """Admit learners and promote them, while this process leads."""
-        looked_s = boottime_s()
+        last_round_s = boottime_s()
         while True:
             await anyio.sleep(ADMIT_INTERVAL_S)
             now_s = boottime_s()
-            if now_s - looked_s > PAUSED_S:
+            if now_s - last_round_s > SUSPENDED_AFTER_S:
                 # Whoever was paused has heard nobody meanwhile.
-                self._leads_since_s.clear()
-            looked_s = now_s
+                self._leading_since_s.clear()
+            last_round_s = now_s
             for group, replica in self._groups.replicas.items():
                 if replica.status().role != "leader":
-                    self._leads_since_s.pop(group, None)
+                    self._leading_since_s.pop(group, None)
                     continue
-                since_s = self._leads_since_s.setdefault(group, now_s)
+                since_s = self._leading_since_s.setdefault(group, now_s)
                 try:
                     if self._replace_lost:
-                        await self._repair_one(replica, since_s)
+                        await self._repair_voters(replica, since_s)
                     else:
                         await self._admit_one(replica)
                 except ConsensusError as error:
                     LOG.debug("not admitted", extra={"reason": str(error)})
 
-    async def replace(self, group: int, old_id: str, new_id: str) -> None:
+    async def replace_voter(
+        self, group: int, old_id: str, new_id: str
+    ) -> None:
         """Make a joiner a voter of a log, then remove the old voter.
 
         The new voter is a learner until it has caught up and synced, so
@@ -141,34 +143,34 @@
             if old_id in _member_ids(replica):
                 await replica.remove(old_id)
 
-        await _when_committed(add)
+        await _retry_while_under_way(add)
         if not is_voter(replica, new_id):
             await _promote_when_ready(replica, new_id)
-        await _when_committed(remove)
+        await _retry_while_under_way(remove)
 
     async def _add_learner(self, replica: Replica, member_id: str) -> None:
         joiner = self._joiners.get(member_id)
-        if joiner is None or not self._is_alive(joiner):
+        if joiner is None or not self._is_asking(joiner):
             raise MembershipRefused(
                 f"{member_id} does not ask to join; see the alarms of"
                 " sycactl status for who does"
             )
         await replica.add_learner(member_id, joiner.address)
 
-    def _configuration(self) -> Replica:
+    def _configuration_replica(self) -> Replica:
         return self._groups.replicas[CONFIGURATION_GROUP]
 
-    def _is_alive(self, joiner: JoinRequest) -> bool:
+    def _is_asking(self, joiner: JoinRequest) -> bool:
         """Tell whether the joiner itself still asks.
 
         Its address may answer all the same: a VM that was started on an
         empty folder and then on its old disk is there, the id of the
         empty folder is not.
         """
-        asked_s = self._asked_s[joiner.member_id]
+        asked_s = self._last_asked_s[joiner.member_id]
         return boottime_s() - asked_s < JOINER_SILENCE_S
 
-    def _pass_on(self, request: JoinRequest) -> None:
+    def _forward(self, request: JoinRequest) -> None:
         """Tell the leaders: a newcomer knows them not, and few others.
 
         The addresses that it was given may be old, and none the leader's.
@@ -176,12 +178,12 @@
         for group in self._groups.replicas:
             leader = self._groups.leader_address(group)
             if leader and leader != self._mesh.address:
-                self._mesh.send(leader, request._replace(call_id=PASSED_ON))
+                self._mesh.send(leader, request._replace(call_id=FORWARDED))
 
-    async def _repair_one(self, replica: Replica, since_s: float) -> None:
+    async def _repair_voters(self, replica: Replica, since_s: float) -> None:
         members = replica.status().members
         own_id = replica.member_id
-        seen = [
+        observed = [
             ObservedMember(
                 member.member_id,
                 member.address,
@@ -192,25 +194,25 @@
             )
             for member in members
         ]
-        asking = [
+        joiners = [
             ObservedMember(
-                joiner.member_id, joiner.address, self._unasked_s(joiner)
+                joiner.member_id, joiner.address, self._since_asked_s(joiner)
             )
             for joiner in self._joiners.values()
-            if self._is_alive(joiner)
+            if self._is_asking(joiner)
         ]
-        step = next_change(own_id, seen, asking, self._voters_wanted)
-        if step is None:
+        change = next_change(own_id, observed, joiners, self._voters_wanted)
+        if change is None:
             return
-        if step.kind == "add":
-            await replica.add_learner(step.member_id, step.address)
-        elif step.kind == "promote":
-            await replica.promote(step.member_id)
+        if change.kind == "add":
+            await replica.add_learner(change.member_id, change.address)
+        elif change.kind == "promote":
+            await replica.promote(change.member_id)
         else:
-            await replica.remove(step.member_id)
+            await replica.remove(change.member_id)
         LOG.info(
             "voters changed",
-            extra={"step": step.kind, "member": step.member_id},
+            extra={"step": change.kind, "member": change.member_id},
         )
 
     def _silent_s(
@@ -226,16 +228,16 @@
         """
         heard_s = max(
             self._groups.heard_s(member.member_id),
-            self._asked_s.get(member.member_id, 0.0),
+            self._last_asked_s.get(member.member_id, 0.0),
             since_s,
         )
         silent_s = boottime_s() - heard_s
-        if self._shares_address(member, members):
+        if self._has_shared_address(member, members):
             return silent_s
         # A log whose disk stalls is silent; its process is not lost.
         return min(silent_s, self._mesh.unheard_s(member.address))
 
-    def _shares_address(
+    def _has_shared_address(
         self, member: MemberStatus, members: Sequence[MemberStatus]
     ) -> bool:
         others: list[JoinRequest | MemberStatus] = [*members]
@@ -246,8 +248,8 @@
             for other in others
         )
 
-    def _unasked_s(self, joiner: JoinRequest) -> float:
-        return boottime_s() - self._asked_s[joiner.member_id]
+    def _since_asked_s(self, joiner: JoinRequest) -> float:
+        return boottime_s() - self._last_asked_s[joiner.member_id]
 
     async def _admit_one(self, replica: Replica) -> None:
         members = replica.status().members
@@ -257,18 +259,18 @@
             await replica.promote(learners[0].member_id)
             LOG.info("voter admitted", extra={"member": learners[0].member_id})
             return
-        if await self._follow_configuration(replica, voters):
+        if await self._continue_replacement(replica, voters):
             return
         if len(voters) >= self._voters_wanted:
             return
         known = {member.member_id for member in members}
         for joiner in self._joiners.values():
-            if joiner.member_id not in known and self._is_alive(joiner):
+            if joiner.member_id not in known and self._is_asking(joiner):
                 await replica.add_learner(joiner.member_id, joiner.address)
                 LOG.info("learner added", extra={"member": joiner.member_id})
                 return
 
-    async def _follow_configuration(
+    async def _continue_replacement(
         self, replica: Replica, voters: Sequence[MemberStatus]
     ) -> bool:
         """Take one step towards what was replaced in the first log.
@@ -280,11 +282,11 @@
         gets in this way, and both are at one address, so that no sound
         voter is removed. Returns whether a step was taken.
         """
-        if replica is self._configuration():
+        if replica is self._configuration_replica():
             return False
         approved = {
             member.address: member.member_id
-            for member in self._configuration().status().members
+            for member in self._configuration_replica().status().members
             if member.voter
         }
         present = {voter.member_id for voter in voters}
@@ -301,25 +303,27 @@
         return False
 
 
-async def _when_committed(change: Callable[[], Awaitable[None]]) -> None:
+async def _retry_while_under_way(
+    change: Callable[[], Awaitable[None]],
+) -> None:
     """Make a change once an earlier one is committed, if there is one.
 
     The leader's own round makes changes too; the operator's command was
     refused for one that its own system had under way.
     """
-    until_s = boottime_s() + CHANGE_WAIT_S
+    deadline_s = boottime_s() + CHANGE_WAIT_S
     while True:
         try:
             await change()
             return
         except ChangeUnderWay:
-            if boottime_s() >= until_s:
+            if boottime_s() >= deadline_s:
                 raise
         await anyio.sleep(ADMIT_INTERVAL_S)
 
 
 async def _promote_when_ready(replica: Replica, member_id: str) -> None:
-    until_s = boottime_s() + CATCH_UP_S
+    deadline_s = boottime_s() + CATCH_UP_S
     # The leader's own round may promote it first. Asked for once more, a
     # promotion is refused, and taken for a learner that lags the new voter
     # was removed again after 20 s, the other logs never reached.
@@ -331,7 +335,7 @@
             # Not caught up yet, or leadership moved: the latter ends it.
             if replica.status().role != "leader":
                 raise
-        if boottime_s() > until_s:
+        if boottime_s() > deadline_s:
             await replica.remove(member_id)
             raise MembershipRefused(
                 f"{member_id} did not catch up in {CATCH_UP_S:.0f} s and was"
@@ -344,4 +348,4 @@
     return {member.member_id for member in replica.status().members}
 
 
-__all__ = ["Admissions"]
+__all__ = ["MembershipManager"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
@@ -33,13 +33,13 @@
         parts: Parts,
         writers: list[LedgerWriter],
         orders: Orders,
-        spread: LeaderBalancer,
+        balancer: LeaderBalancer,
         lender: ArrivalLender,
     ) -> None:
         self._parts = parts
         self._writers = writers
         self._orders = orders
-        self._spread = spread
+        self._balancer = balancer
         self._lender = lender
         self._registry = Registry()
         self.refusals = Counter(
@@ -118,7 +118,7 @@
         self._set(
             "joiners_waiting",
             "Control processes that ask to replace a voter",
-            len(self._parts.admissions.waiting()),
+            len(self._parts.admissions.waiting_joiners()),
         )
 
     def _read_links(self) -> None:
@@ -168,7 +168,7 @@
         self._set(
             "shard_hand_overs_total",
             "Shards handed over to their preferred leader",
-            self._spread.hand_overs,
+            self._balancer.hand_overs,
         )
 
     def _read_loans(self) -> None:
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
@@ -35,7 +35,7 @@
 from sycamorestand_control.operator_api.types import RolloutRow
 from sycamorestand_control.operator_api.types import StatusAnswer
 from sycamorestand_control.operator_api.types import TransferAnswer
-from sycamorestand_control.questions import Questions
+from sycamorestand_control.peer_queries import PeerQueries
 from sycamorestand_control.rows import backend_rows
 from sycamorestand_control.rows import merge_node_rows
 from sycamorestand_control.rows import node_rows
@@ -48,7 +48,7 @@
     from sycamorestand_control.groups import LogGroups
     from sycamorestand_control.lease_service import LeaseService
     from sycamorestand_control.ledger_reader import LedgerReader
-    from sycamorestand_control.membership import Admissions
+    from sycamorestand_control.membership import MembershipManager
     from sycamorestand_control.operator_api.types import ChangeRequest
     from sycamorestand_control.operator_api.types import ReplaceVoterRequest
     from sycamorestand_control.tables import SharedTables
@@ -82,7 +82,7 @@
     leases: LeaseService
     tables: SharedTables
     ledger: LedgerReader
-    admissions: Admissions
+    admissions: MembershipManager
     keeper: VersionController
     cluster_key: Callable[[], bytes]
 
@@ -96,15 +96,15 @@
 
     def __init__(self, parts: Parts) -> None:
         self._parts = parts
-        self.questions = Questions(
+        self.queries = PeerQueries(
             parts.mesh,
             parts.groups,
             {
-                IN_FORCE: self._lead_in_force,
-                REPLACE: self._lead_replace,
-                TRANSFER: self._lead_transfer,
-                NODES: self._tell_nodes,
-                SETTLED: self._lead_settled,
+                IN_FORCE: self._answer_in_force,
+                REPLACE: self._answer_replace,
+                TRANSFER: self._answer_transfer,
+                NODES: self._answer_nodes,
+                SETTLED: self._answer_settled,
             },
         )
 
@@ -176,7 +176,7 @@
         `NoLeader` where that cannot be established now.
         """
         try:
-            answer = await self.questions.ask_leader(
+            answer = await self.queries.query_leader(
                 SETTLED, b"", QUERY_TIMEOUT_S
             )
         except ControlError as error:
@@ -197,7 +197,7 @@
         """Return the leader's word; only it knows every lease."""
         payload = msgspec.msgpack.encode(revision)
         try:
-            answer = await self.questions.ask_leader(
+            answer = await self.queries.query_leader(
                 IN_FORCE, payload, QUERY_TIMEOUT_S
             )
         except ControlError as error:
@@ -267,7 +267,7 @@
         A control process that does not answer in time is left out: its
         entries are shown without lease and revision.
         """
-        answers = await self.questions.ask_each(
+        answers = await self.queries.query_each(
             self._other_controls(), NODES, QUERY_TIMEOUT_S
         )
         found = [
@@ -291,7 +291,7 @@
                 (group, request.old_id, request.new_id)
             )
             try:
-                await self.questions.ask_leader(
+                await self.queries.query_leader(
                     REPLACE, payload, REPLACE_TIMEOUT_S, group
                 )
             except ControlError as error:
@@ -330,7 +330,7 @@
     async def transfer_leadership(self, operator: str) -> TransferAnswer:
         """Have the leader hand over to another voter."""
         try:
-            await self.questions.ask_leader(TRANSFER, b"", HAND_OVER_TIMEOUT_S)
+            await self.queries.query_leader(TRANSFER, b"", HAND_OVER_TIMEOUT_S)
         except ControlError as error:
             raise NoLeader(str(error)) from error
         status = self._parts.groups.replicas[CONFIGURATION_GROUP].status()
@@ -344,7 +344,7 @@
         """Tell whether this process holds a lease to serve entries with."""
         return self._parts.leases.remaining_s() > 0
 
-    async def _lead_in_force(self, payload: bytes) -> bytes:
+    async def _answer_in_force(self, payload: bytes) -> bytes:
         revision = msgspec.msgpack.decode(payload, type=int)
         status = self._parts.leases.in_force(revision)
         if status is None:
@@ -363,7 +363,7 @@
         )
         return msgspec.msgpack.encode(answer)
 
-    async def _lead_settled(self, payload: bytes) -> bytes:
+    async def _answer_settled(self, payload: bytes) -> bytes:
         replica = self._parts.groups.replicas[CONFIGURATION_GROUP]
         try:
             await replica.read_barrier()
@@ -371,18 +371,18 @@
             raise NoLeaderAnswered(str(error)) from error
         return msgspec.msgpack.encode(self._parts.configuration.revision)
 
-    async def _lead_replace(self, payload: bytes) -> bytes:
+    async def _answer_replace(self, payload: bytes) -> bytes:
         group, old_id, new_id = msgspec.msgpack.decode(
             payload, type=tuple[int, str, str]
         )
-        await self._parts.admissions.replace(group, old_id, new_id)
+        await self._parts.admissions.replace_voter(group, old_id, new_id)
         return b""
 
-    async def _lead_transfer(self, payload: bytes) -> bytes:
+    async def _answer_transfer(self, payload: bytes) -> bytes:
         await self._parts.groups.hand_over()
         return b""
 
-    async def _tell_nodes(self, payload: bytes) -> bytes:
+    async def _answer_nodes(self, payload: bytes) -> bytes:
         return msgspec.msgpack.encode(self._own_node_rows())
 
     def _other_controls(self) -> list[str]:
@@ -421,7 +421,7 @@
         ]
         alarms += [
             f"{joiner.vm} ({joiner.member_id}) waits to replace a voter"
-            for joiner in parts.admissions.waiting()
+            for joiner in parts.admissions.waiting_joiners()
         ]
         if parts.leases.remaining_s() <= 0:
             alarms.append("no lease: this process sees no quorum")
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_server.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_server.py
@@ -20,7 +20,7 @@
 BACKLOG: Final = 256
 # Operators' requests that run at a planned stop may end within this; a
 # `replace-voter` that takes longer is safe to repeat elsewhere.
-STOP_BOUND_S: Final = 5.0
+STOP_TIMEOUT_S: Final = 5.0
 
 
 class OperatorServer:
@@ -46,7 +46,7 @@
     async def stop(self) -> None:
         """Accept nothing new and let running requests end."""
         self._server.should_exit = True
-        with anyio.move_on_after(STOP_BOUND_S):
+        with anyio.move_on_after(STOP_TIMEOUT_S):
             await self._ended.wait()
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/questions.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/peer_queries.py
@@ -26,11 +26,11 @@
 Handler = Callable[[bytes], Awaitable[bytes]]
 
 
-class Refused(ControlError):
+class QueryRefused(ControlError):
     """The process that was asked says why it does not do it."""
 
 
-class Questions:
+class PeerQueries:
     """Asks other control processes, and answers them.
 
     ``handlers`` answer by kind; they raise `ControlError` or
@@ -47,7 +47,7 @@
         self._groups = groups
         self._handlers = handlers
 
-    async def answer(self, sender: str, message: Query) -> None:
+    async def handle_query(self, sender: str, message: Query) -> None:
         """Answer a question of another control process."""
         try:
             payload = await self._handle(message.kind, message.payload)
@@ -57,7 +57,7 @@
             reply = CallReply(message.call_id, "", payload)
         self._mesh.send(sender, reply)
 
-    async def ask_leader(
+    async def query_leader(
         self,
         kind: str,
         payload: bytes,
@@ -72,45 +72,47 @@
             try:
                 return await self._handle(kind, payload)
             except ConsensusError as error:
-                raise Refused(str(error)) from error
+                raise QueryRefused(str(error)) from error
         address = self._groups.leader_address(group)
         if not address:
             raise NoLeader("no leader is known")
         try:
-            return await self._ask(address, kind, payload, timeout_s)
+            return await self._query(address, kind, payload, timeout_s)
         except PeerTimeout as error:
             raise NoLeader(str(error)) from error
 
-    async def ask_each(
+    async def query_each(
         self, addresses: Iterable[str], kind: str, timeout_s: float
     ) -> list[bytes]:
         """Return the answers of those that answer in time."""
         answers: list[bytes] = []
 
-        async def ask(address: str) -> None:
+        async def query_one(address: str) -> None:
             with contextlib.suppress(PeerTimeout, ControlError):
-                answers.append(await self._ask(address, kind, b"", timeout_s))
+                answers.append(
+                    await self._query(address, kind, b"", timeout_s)
+                )
 
         async with anyio.create_task_group() as tasks:
             for address in addresses:
-                tasks.start_soon(ask, address)
+                tasks.start_soon(query_one, address)
         return answers
 
     async def _handle(self, kind: str, payload: bytes) -> bytes:
         handler = self._handlers.get(kind)
         if handler is None:
-            raise Refused(f"question {kind!r} is unknown")
+            raise QueryRefused(f"question {kind!r} is unknown")
         return await handler(payload)
 
-    async def _ask(
+    async def _query(
         self, address: str, kind: str, payload: bytes, timeout_s: float
     ) -> bytes:
         call_id = self._mesh.next_call_id()
         query = Query(call_id, kind, payload)
         reply = await self._mesh.call(address, call_id, query, timeout_s)
         if reply.failure:
-            raise Refused(reply.failure)
+            raise QueryRefused(reply.failure)
         return reply.payload
 
 
-__all__ = ["Handler", "Questions", "Refused"]
+__all__ = ["Handler", "PeerQueries", "QueryRefused"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -28,7 +28,7 @@
 from sycamorestand_control.lease_service import LeaseService
 from sycamorestand_control.ledger_reader import LedgerReader
 from sycamorestand_control.ledger_writer import LedgerWriter
-from sycamorestand_control.membership import Admissions
+from sycamorestand_control.membership import MembershipManager
 from sycamorestand_control.metrics import ControlMetrics
 from sycamorestand_control.operator_api.app import make_operator_app
 from sycamorestand_control.operator_api.authentication import make_authenticate
@@ -85,7 +85,7 @@
         self.mesh = PeerMesh(
             settings.peer_address,
             settings.cluster_keys,
-            self._received,
+            self._dispatch,
             settings.peer_listen or None,
             settings.tls,
         )
@@ -98,7 +98,7 @@
         self.tables = SharedTables(
             self.mesh,
             ControlName(settings.vm, settings.data_centre),
-            self._others,
+            self._other_controls,
         )
         self.leases = LeaseService(
             self.mesh, self.groups, lambda: self.configuration.revision
@@ -108,15 +108,17 @@
             self.leases,
             self.tables,
             self.configuration.in_force,
-            self._others,
+            self._other_controls,
             self._voters,
         )
-        self.keeper = VersionController(self.groups, self.configuration)
+        self.version_controller = VersionController(
+            self.groups, self.configuration
+        )
         self.ratings = RatingExchange(
-            self.mesh, self.hub.attached_addresses, self._others
+            self.mesh, self.hub.attached_addresses, self._other_controls
         )
         self.sessions = SessionRelay(
-            self.mesh, self.hub.attached_addresses, self._others
+            self.mesh, self.hub.attached_addresses, self._other_controls
         )
         self.lender = ArrivalLender(
             self.mesh, settings.allowance, self._voters
@@ -125,19 +127,19 @@
             self.groups,
             self.configuration,
             self.tables,
-            self.keeper,
+            self.version_controller,
             OrderSettings(
                 settings.weight_store_url, settings.weight_store_loads
             ),
         )
-        self.admissions = Admissions(
+        self.membership = MembershipManager(
             self.mesh,
             self.groups,
             settings.voters_wanted,
             settings.replace_lost_voters,
         )
-        self.spread = LeaderBalancer(self.mesh, self.groups)
-        self.writers = [
+        self.balancer = LeaderBalancer(self.mesh, self.groups)
+        self.ledger_writers = [
             LedgerWriter(self._shard_proposer(number))
             for number in range(settings.ledger_shards)
         ]
@@ -150,13 +152,13 @@
             self.leases,
             self.tables,
             LedgerReader(self.shards),
-            self.admissions,
-            self.keeper,
+            self.membership,
+            self.version_controller,
             lambda: settings.cluster_keys()[0],
         )
         self.backend = ControlBackend(parts)
         self.metrics = ControlMetrics(
-            parts, self.writers, self.orders, self.spread, self.lender
+            parts, self.ledger_writers, self.orders, self.balancer, self.lender
         )
         self._tasks: anyio.abc.TaskGroup | None = None
         self._handlers = self._handler_table()
@@ -176,16 +178,16 @@
                 self.leases.run,
                 self.hub.run,
                 self.tables.run,
-                self.keeper.run,
+                self.version_controller.run,
                 self.orders.channel.run,
                 self.orders.planner.run,
-                self.admissions.run,
+                self.membership.run,
                 self.ratings.run,
                 self.sessions.run,
-                self.spread.run,
-                *(writer.run for writer in self.writers),
+                self.balancer.run,
+                *(writer.run for writer in self.ledger_writers),
             ):
-                tasks.start_soon(keep_running, part, self._part_failed)
+                tasks.start_soon(keep_running, part, self._count_fault)
             operators = self._operator_server()
             tasks.start_soon(operators.run)
             await self._form_cluster()
@@ -201,20 +203,20 @@
             await create_cluster(
                 self._settings, self.mesh, self.groups, self.configuration
             )
-        if not self._others():
+        if not self._other_controls():
             return
         assert self._tasks is not None
-        joins = functools.partial(
+        join = functools.partial(
             ask_to_join,
             self.mesh,
             self.groups,
-            self._others,
+            self._other_controls,
             self._settings.vm,
             self._settings.replace_lost_voters,
         )
-        self._tasks.start_soon(keep_running, joins, self._part_failed)
+        self._tasks.start_soon(keep_running, join, self._count_fault)
 
-    def _part_failed(self) -> None:
+    def _count_fault(self) -> None:
         self.mesh.counters.faults += 1
 
     async def _hand_over(self) -> None:
@@ -239,7 +241,7 @@
             application, settings.operator_host, settings.operator_port
         )
 
-    def _others(self) -> tuple[str, ...]:
+    def _other_controls(self) -> tuple[str, ...]:
         """Return the peer addresses of all other control processes."""
         replica = self.groups.replicas[CONFIGURATION_GROUP]
         members = {member.address for member in replica.status().members}
@@ -255,7 +257,7 @@
     def _group_table(self) -> dict[int, Group]:
         groups = {
             CONFIGURATION_GROUP: Group(
-                _Observed(self.configuration, self._revision_applied),
+                _ObservedMachine(self.configuration, self._revision_applied),
                 ChangeResult,
             )
         }
@@ -277,7 +279,7 @@
 
         return propose
 
-    def _received(self, sender: str, message: Any) -> None:
+    def _dispatch(self, sender: str, message: Any) -> None:
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(sender, message)
@@ -286,60 +288,66 @@
         return {
             ReplicaPayload: self.groups.receive,
             LeaseRequest: self.hub.handle_lease_request,
-            AnnouncementRelay: self._announced,
-            TableUpdate: self.tables.update_received,
-            TableResync: self.tables.resync_received,
-            ControlLeaseRequest: self.leases.request_received,
-            ControlLeaseGranted: self._lease_granted,
-            JoinRequest: self.admissions.receive,
-            SampleReport: self._sampled,
-            SessionsStay: self.sessions.told,
-            ArrivalTrade: self.lender.traded,
-            SharedRatings: self._ratings_shared,
-            LedgerBatch: self._ledger_batch,
-            ProposalForward: self._forwarded,
-            Query: self._queried,
+            AnnouncementRelay: self._handle_announcement,
+            TableUpdate: self.tables.handle_update,
+            TableResync: self.tables.handle_resync,
+            ControlLeaseRequest: self.leases.handle_request,
+            ControlLeaseGranted: self._handle_lease_grant,
+            JoinRequest: self.membership.receive,
+            SampleReport: self._handle_sample_report,
+            SessionsStay: self.sessions.handle_sessions_stay,
+            ArrivalTrade: self.lender.handle_trade,
+            SharedRatings: self._handle_shared_ratings,
+            LedgerBatch: self._handle_ledger_batch,
+            ProposalForward: self._handle_forward,
+            Query: self._handle_query,
         }
 
-    def _announced(self, sender: str, message: AnnouncementRelay) -> None:
+    def _handle_announcement(
+        self, sender: str, message: AnnouncementRelay
+    ) -> None:
         self.tables.handle_announcement(message.announcement)
 
-    def _lease_granted(
+    def _handle_lease_grant(
         self, sender: str, message: ControlLeaseGranted
     ) -> None:
         self.leases.granted(message)
 
-    def _sampled(self, sender: str, message: SampleReport) -> None:
+    def _handle_sample_report(
+        self, sender: str, message: SampleReport
+    ) -> None:
         """Take an entry's counts, and pass them on to the leader.
 
         Ratings go round by the exchange, so the leader's copy has none.
         """
-        self.keeper.report(message)
+        self.version_controller.handle_report(message)
         leader = self.groups.leader_address(CONFIGURATION_GROUP)
-        forwarded = sender in self._others()
+        forwarded = sender in self._other_controls()
         if forwarded:
             return
-        self.ratings.reported(sender, message.ratings)
+        self.ratings.add_ratings(sender, message.ratings)
         if leader and leader != self.mesh.address:
             self.mesh.send(leader, message._replace(ratings=()))
 
-    def _ratings_shared(self, sender: str, message: SharedRatings) -> None:
-        self.ratings.reported(sender, message.ratings)
+    def _handle_shared_ratings(
+        self, sender: str, message: SharedRatings
+    ) -> None:
+        self.ratings.add_ratings(sender, message.ratings)
 
-    def _ledger_batch(self, sender: str, message: LedgerBatch) -> None:
-        self._start(self._answer_batch, sender, message)
+    def _handle_ledger_batch(self, sender: str, message: LedgerBatch) -> None:
+        self._start_task(self._answer_batch, sender, message)
 
-    def _forwarded(self, sender: str, message: ProposalForward) -> None:
-        self._start(self.groups.answer_forward, sender, message)
+    def _handle_forward(self, sender: str, message: ProposalForward) -> None:
+        self._start_task(self.groups.handle_forward, sender, message)
 
-    def _queried(self, sender: str, message: Query) -> None:
-        self._start(self.backend.questions.answer, sender, message)
+    def _handle_query(self, sender: str, message: Query) -> None:
+        self._start_task(self.backend.queries.handle_query, sender, message)
 
-    def _start(self, function: Any, *arguments: Any) -> None:
+    def _start_task(self, function: Any, *arguments: Any) -> None:
         assert self._tasks is not None
-        self._tasks.start_soon(self._guarded, function, *arguments)
+        self._tasks.start_soon(self._run_guarded, function, *arguments)
 
-    async def _guarded(self, function: Any, *arguments: Any) -> None:
+    async def _run_guarded(self, function: Any, *arguments: Any) -> None:
         try:
             await function(*arguments)
         except Exception:
@@ -349,12 +357,14 @@
             LOG.exception("message not answered")
 
     async def _answer_batch(self, sender: str, message: LedgerBatch) -> None:
-        if not 0 <= message.shard < len(self.writers):
+        if not 0 <= message.shard < len(self.ledger_writers):
             reply = CallReply(message.call_id, "no such shard", b"")
             self.mesh.send(sender, reply)
             return
         try:
-            results = await self.writers[message.shard].submit(message.command)
+            results = await self.ledger_writers[message.shard].submit(
+                message.command
+            )
         except ControlError as error:
             reply = CallReply(message.call_id, str(error), b"")
         else:
@@ -363,20 +373,20 @@
         self.mesh.send(sender, reply)
 
 
-class _Observed:
+class _ObservedMachine:
     """A state machine that tells when its revision has risen."""
 
     def __init__(
-        self, machine: ConfigurationMachine, risen: Callable[[], None]
+        self, machine: ConfigurationMachine, on_revision: Callable[[], None]
     ) -> None:
         self._machine = machine
-        self._risen = risen
+        self._on_revision = on_revision
 
     def apply(self, index: int, command: bytes) -> object:
         before = self._machine.revision
         result = self._machine.apply(index, command)
         if self._machine.revision > before:
-            self._risen()
+            self._on_revision()
         return result
 
     def snapshot(self) -> bytes:
@@ -384,7 +394,7 @@
 
     def restore(self, data: bytes) -> None:
         self._machine.restore(data)
-        self._risen()
+        self._on_revision()
 
 
 __all__ = ["ControlProcess"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
@@ -29,7 +29,7 @@
 # than let callers' class names grow the message.
 MAX_ROWS: Final = 512
 
-Key = tuple[str, str, bool]
+RatingKey = tuple[str, str, bool]
 
 
 class RatingExchange:
@@ -44,10 +44,10 @@
         self._mesh = mesh
         self._entries = entries
         self._others = others
-        self._passed: dict[str, Counter[Key]] = {}
-        self._rated: dict[str, Counter[Key]] = {}
+        self._passed: dict[str, Counter[RatingKey]] = {}
+        self._rated: dict[str, Counter[RatingKey]] = {}
 
-    def reported(self, sender: str, ratings: Iterable[RatingCount]) -> None:
+    def add_ratings(self, sender: str, ratings: Iterable[RatingCount]) -> None:
         """Take what an entry, or another control process, has counted."""
         passed = self._passed.setdefault(sender, Counter())
         rated = self._rated.setdefault(sender, Counter())
@@ -81,8 +81,8 @@
         self._rated = {}
 
     def _send(self, address: str, senders: Iterable[str]) -> None:
-        passed: Counter[Key] = Counter()
-        rated: Counter[Key] = Counter()
+        passed: Counter[RatingKey] = Counter()
+        rated: Counter[RatingKey] = Counter()
         for sender in senders:
             passed.update(self._passed[sender])
             rated.update(self._rated[sender])
--- a/packages/sycamorestand-control/src/sycamorestand_control/rows.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rows.py
@@ -34,7 +34,7 @@
     rows = []
     for node in sorted(tables.entries().values()):
         state = tables.entry_state(node.vm)
-        left_s = max(0.0, state.lease_ends_s - now_s) if state else 0.0
+        lease_left_s = max(0.0, state.lease_ends_s - now_s) if state else 0.0
         rows.append(
             NodeRow(
                 node.vm,
@@ -42,7 +42,7 @@
                 f"{node.host}:{node.port}",
                 _node_state(node, draining_vms),
                 state.acked_revision if state else 0,
-                int(left_s * 1_000),
+                int(lease_left_s * 1_000),
                 own_vm if state else "",
             )
         )
@@ -61,7 +61,7 @@
     for rows in tables:
         for row in rows:
             known = best.get(row.vm)
-            if known is None or _knows_more(row, known):
+            if known is None or _is_fresher(row, known):
                 best[row.vm] = row
     return tuple(best[vm] for vm in sorted(best))
 
@@ -120,7 +120,7 @@
     return "follower" if member.voter else "learner"
 
 
-def _knows_more(row: NodeRow, other: NodeRow) -> bool:
+def _is_fresher(row: NodeRow, other: NodeRow) -> bool:
     return (bool(row.control), row.lease_left_ms) > (
         bool(other.control),
         other.lease_left_ms,
--- a/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
@@ -37,28 +37,28 @@
         self._mesh = mesh
         self._entries = entries
         self._others = others
-        self._told: dict[Step, dict[str, set[int]]] = {}
+        self._pending: dict[Step, dict[str, set[int]]] = {}
 
-    def told(self, sender: str, message: SessionsStay) -> None:
+    def handle_sessions_stay(self, sender: str, message: SessionsStay) -> None:
         """Take the sessions that stay by one sender's word."""
         step = Step(message.service, message.version, message.step)
-        places = self._told.setdefault(step, {}).setdefault(sender, set())
+        places = self._pending.setdefault(step, {}).setdefault(sender, set())
         places.update(message.places)
 
     async def run(self) -> None:
         """Pass on at an interval, until cancelled."""
         while True:
             await anyio.sleep(TICK_S)
-            self.pass_on()
+            self.forward()
 
-    def pass_on(self) -> None:
+    def forward(self) -> None:
         """Tell everybody what the others told, and start over.
 
         Other control processes get what this one's entries told alone.
         """
-        told, self._told = self._told, {}
+        pending, self._pending = self._pending, {}
         others = set(self._others())
-        for step, by_sender in told.items():
+        for step, by_sender in pending.items():
             senders = set(by_sender)
             for address in self._entries():
                 self._send(address, step, by_sender, senders - {address})
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -42,10 +42,10 @@
     from sycamorestand_state.registry import Registry
 
 LOG: Final = logging.getLogger(__name__)
-SPREAD_INTERVAL_S: Final = 0.1
+SEND_INTERVAL_S: Final = 0.1
 # An origin that has nothing new says so, so that it is known to live: its
 # records are dropped elsewhere after three of these.
-EMPTY_INTERVAL_S: Final = 1.0
+KEEPALIVE_INTERVAL_S: Final = 1.0
 LOADS_INTERVAL_S: Final = 1.0
 BACKEND_SERVERS: Final = "backend_servers"
 ENTRIES: Final = "entries"
@@ -56,7 +56,7 @@
 NODE_LEASE_S: Final = ENTRY_LEASE_S
 # Servers whose load an entry is told; it chooses between two at a time,
 # and with more it would only hear of servers that it hardly uses.
-LOADS_AN_ENTRY: Final = 24
+LOADS_PER_ENTRY: Final = 24
 
 
 class ControlName(NamedTuple):
@@ -89,12 +89,14 @@
         self._names = {mesh.address: name}
         self._others = others
         self._servers = BackendDirectory(mesh.address, mesh.incarnation)
-        self._said: dict[str, dict[str, object]] = {}
+        self._last_logged: dict[str, dict[str, object]] = {}
         self._entries = NodeRegistry(mesh.address, mesh.incarnation)
         self._states: dict[str, EntryState] = {}
         self._streams = {
-            BACKEND_SERVERS: _Streams(mesh, BACKEND_SERVERS, self._servers),
-            ENTRIES: _Streams(mesh, ENTRIES, self._entries),
+            BACKEND_SERVERS: _DeltaStreams(
+                mesh, BACKEND_SERVERS, self._servers
+            ),
+            ENTRIES: _DeltaStreams(mesh, ENTRIES, self._entries),
         }
         self.resyncs = 0
 
@@ -105,18 +107,18 @@
 
     def _log_server(self, announcement: Announcement) -> None:
         """Log what a server says, unless it said the same before."""
-        said = {
+        fields = {
             "server": announcement.name,
             "address": announcement.address,
             "versions": announcement.versions,
             "leaving": announcement.leaving,
             "incarnation": announcement.incarnation,
         }
-        if self._said.get(announcement.name) != said:
-            self._said[announcement.name] = said
-            LOG.info("backend server announced", extra=said)
+        if self._last_logged.get(announcement.name) != fields:
+            self._last_logged[announcement.name] = fields
+            LOG.info("backend server announced", extra=fields)
 
-    def entry_heard(self, sender: str, message: LeaseRequest) -> None:
+    def record_entry(self, sender: str, message: LeaseRequest) -> None:
         """Note that an entry of this process is alive, and its state."""
         address = message.address
         record = NodeRecord(
@@ -138,7 +140,7 @@
             acked_revision=message.acked_revision
         )
 
-    def entry_granted(self, vm: str, length_s: float) -> None:
+    def record_grant(self, vm: str, length_s: float) -> None:
         """Note a lease that was granted to an entry of this process."""
         known = self._states.get(vm, EntryState(0))
         ends_s = boottime_s() + length_s
@@ -192,7 +194,7 @@
             )
         )
 
-    def update_received(self, sender: str, message: TableUpdate) -> None:
+    def handle_update(self, sender: str, message: TableUpdate) -> None:
         """Take what another control process tells; ask again after a gap."""
         now_s = boottime_s()
         if message.table == LOADS:
@@ -217,11 +219,11 @@
             self.resyncs += 1
             self._mesh.send(sender, TableResync(message.table))
 
-    def resync_received(self, sender: str, message: TableResync) -> None:
+    def handle_resync(self, sender: str, message: TableResync) -> None:
         """Send everything to whoever has a gap, with the next delta."""
         stream = self._streams.get(message.table)
         if stream is not None:
-            stream.forget(sender)
+            stream.reset(sender)
 
     def send_to_entry(self, address: str) -> None:
         """Send an entry the changes of backend servers that it lacks."""
@@ -230,17 +232,17 @@
 
     def send_loads_to_entry(self, address: str, vm: str) -> None:
         """Send an entry the loads of the servers that it uses most."""
-        names = subset(vm, self.servers(), LOADS_AN_ENTRY)
+        names = subset(vm, self.servers(), LOADS_PER_ENTRY)
         self._send_loads(address, names)
 
     async def run(self) -> None:
         """Tell the other control processes, until cancelled."""
         next_loads_s = 0.0
         while True:
-            await anyio.sleep(SPREAD_INTERVAL_S)
+            await anyio.sleep(SEND_INTERVAL_S)
             now_s = boottime_s()
             for name in self._servers.expire(now_s):
-                self._said.pop(name, None)
+                self._last_logged.pop(name, None)
                 LOG.info("backend server gone", extra={"server": name})
             for vm in self._entries.expire(now_s):
                 self._states.pop(vm, None)
@@ -250,15 +252,15 @@
                     stream.send(address, merged=False)
             if now_s >= next_loads_s:
                 next_loads_s = now_s + LOADS_INTERVAL_S
-                self._spread_loads()
-                self._spread_name()
+                self._send_own_loads()
+                self._send_name()
 
-    def _spread_name(self) -> None:
+    def _send_name(self) -> None:
         payload = msgspec.msgpack.encode(self._names[self._mesh.address])
         for address in self._others():
             self._mesh.send(address, TableUpdate(CONTROLS, payload))
 
-    def _spread_loads(self) -> None:
+    def _send_own_loads(self) -> None:
         own = self._servers.own_full().changed
         names = tuple(own)
         for start in range(0, len(names), MAX_LOADS):
@@ -277,7 +279,7 @@
     at_s: float
 
 
-class _Streams:
+class _DeltaStreams:
     """What of one table each peer has been sent."""
 
     def __init__(
@@ -288,7 +290,7 @@
         self._registry = registry
         self._sent: dict[str, _Sent] = {}
 
-    def forget(self, address: str) -> None:
+    def reset(self, address: str) -> None:
         """Have the next delta to a peer hold everything."""
         self._sent.pop(address, None)
 
@@ -298,7 +300,10 @@
         version = registry.version if merged else registry.own_version
         sent = self._sent.get(address, _Sent(UNKNOWN_VERSION, 0.0))
         now_s = boottime_s()
-        if version == sent.version and now_s - sent.at_s < EMPTY_INTERVAL_S:
+        if (
+            version == sent.version
+            and now_s - sent.at_s < KEEPALIVE_INTERVAL_S
+        ):
             return
         if merged:
             delta = registry.delta_since(sent.version) or registry.full()
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -48,12 +48,12 @@
 # The bound on false alarms counts on few looks, and a look at 35 versions
 # takes milliseconds of the leader; half a minute is a third of a thousandth
 # of a day's requests.
-WATCH_EVERY_CHECKS: Final = 120
+QUARANTINE_EVERY_CHECKS: Final = 120
 PROPOSE_TIMEOUT_S: Final = 3.0
 MAX_REASON_CHARACTERS: Final = 400
 
 
-class _Run(NamedTuple):
+class _MonitoredRollout(NamedTuple):
     """A monitor and the committed roll-out step that it watches."""
 
     started_revision: int
@@ -77,25 +77,25 @@
         self._configuration = configuration
         self._watch = VersionWatch()
         self._requests = RecentRequests()
-        self._runs: dict[str, _Run] = {}
-        self._seen: dict[str, tuple[int, int]] = {}
-        self._barred: frozenset[str] = frozenset()
+        self._monitored: dict[str, _MonitoredRollout] = {}
+        self._last_reports: dict[str, tuple[int, int]] = {}
+        self._blocked_versions: frozenset[str] = frozenset()
         self._checks = 0
         self.verdicts: dict[str, str] = {}
 
-    def report(self, message: SampleReport) -> None:
+    def handle_report(self, message: SampleReport) -> None:
         """Add an entry's counts; a doubled report is dropped."""
-        number = (message.incarnation, message.sequence)
-        if number <= self._seen.get(message.vm, (0, 0)):
+        report_id = (message.incarnation, message.sequence)
+        if report_id <= self._last_reports.get(message.vm, (0, 0)):
             return
-        self._seen[message.vm] = number
+        self._last_reports[message.vm] = report_id
         rows = msgspec.msgpack.decode(message.rows, type=list[StatsRow])
         stats = from_rows(rows)
         for version, counts in stats.items():
             self._watch.add(version, counts)
             self._requests.add(version, counts.requests, time.time())
-        for model, run in self._runs.items():
-            old, new = self._compared(model, stats)
+        for model, run in self._monitored.items():
+            old, new = self._stats_to_compare(model, stats)
             run.monitor.add(old, new)
 
     def request_shares(self) -> dict[str, float]:
@@ -107,35 +107,37 @@
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             if not self._groups.is_leader(CONFIGURATION_GROUP):
-                self._runs.clear()
+                self._monitored.clear()
                 continue
-            await self.look(time.time())
+            await self.check(time.time())
 
-    async def look(self, now_s: float) -> None:
+    async def check(self, now_s: float) -> None:
         """Judge once and commit what follows."""
-        self._follow_rollouts()
-        self._follow_lifted()
-        for command in self._commands(now_s):
+        self._sync_rollouts()
+        self._forget_unblocked()
+        for command in self._decide(now_s):
             await self._commit(command)
         # What is reported from here on belongs to the step just made.
-        self._follow_rollouts()
+        self._sync_rollouts()
 
-    def _commands(self, now_s: float) -> list[Command]:
+    def _decide(self, now_s: float) -> list[Command]:
         commands: list[Command] = []
-        for model, run in self._runs.items():
-            command = self._judge(model, run, now_s)
+        for model, run in self._monitored.items():
+            command = self._evaluate_rollout(model, run, now_s)
             if command is not None:
                 commands.append(command)
         self._checks += 1
-        if self._checks % WATCH_EVERY_CHECKS:
+        if self._checks % QUARANTINE_EVERY_CHECKS:
             return commands
         for version, verdict in self._watch.check(now_s).items():
             self.verdicts[version] = verdict.reason
-            if isinstance(verdict, Stop) and self._may_quarantine(version):
+            if isinstance(verdict, Stop) and self._can_quarantine(version):
                 commands.append(_quarantine(version, verdict, now_s))
         return commands
 
-    def _judge(self, model: str, run: _Run, now_s: float) -> Command | None:
+    def _evaluate_rollout(
+        self, model: str, run: _MonitoredRollout, now_s: float
+    ) -> Command | None:
         verdict = run.monitor.check(time.monotonic())
         self.verdicts[model] = verdict.reason
         if isinstance(verdict, Advance | Stop):
@@ -188,49 +190,49 @@
                 extra={"command": repr(command), "outcome": result.outcome},
             )
 
-    def _follow_rollouts(self) -> None:
+    def _sync_rollouts(self) -> None:
         running = {
             rollout.model: rollout
             for rollout in self._configuration.rollouts()
             if rollout.state == RUNNING
         }
-        for model in set(self._runs) - set(running):
-            del self._runs[model]
+        for model in set(self._monitored) - set(running):
+            del self._monitored[model]
         for model, rollout in running.items():
-            self._follow_rollout(model, rollout)
+            self._sync_rollout(model, rollout)
 
-    def _follow_rollout(self, model: str, rollout: RolloutState) -> None:
-        run = self._runs.get(model)
+    def _sync_rollout(self, model: str, rollout: RolloutState) -> None:
+        run = self._monitored.get(model)
         # The time of day may jump by seconds and would cut a step short.
         now_s = time.monotonic()
         if run is None or run.started_revision != rollout.started_revision:
             declared = self._configuration.in_force().declarations
             monitor = RolloutMonitor(
                 declared.rollouts[model],
-                now_s - _passed_s(declared.rollouts[model], rollout),
+                now_s - _step_elapsed_s(declared.rollouts[model], rollout),
                 rollout.step,
                 self._objective(model),
             )
-            self._runs[model] = _Run(
+            self._monitored[model] = _MonitoredRollout(
                 rollout.started_revision, rollout.step, monitor
             )
         elif run.step != rollout.step:
             run.monitor.step = rollout.step - 1
             run.monitor.advance(now_s)
-            self._runs[model] = run._replace(step=rollout.step)
+            self._monitored[model] = run._replace(step=rollout.step)
 
-    def _follow_lifted(self) -> None:
+    def _forget_unblocked(self) -> None:
         """Forget what a version did before operators let it back.
 
         Its counts would be the same evidence again, and it would be
         quarantined again at the next look, whatever was mended.
         """
         in_force = self._configuration.in_force()
-        barred = frozenset((*in_force.quarantined, *in_force.withdrawn))
-        for version in self._barred - barred:
+        blocked = frozenset((*in_force.quarantined, *in_force.withdrawn))
+        for version in self._blocked_versions - blocked:
             self._watch.forget(version)
             self.verdicts.pop(version, None)
-        self._barred = barred
+        self._blocked_versions = blocked
 
     def _objective(self, model: str) -> Objective:
         """Return the weights of the profile that most dreads exposure."""
@@ -244,7 +246,7 @@
             objectives, key=lambda o: o.exposure_weight, default=Objective()
         )
 
-    def _compared(
+    def _stats_to_compare(
         self, model: str, stats: dict[str, VersionStats]
     ) -> tuple[VersionStats, VersionStats]:
         rollout = self._configuration.rollout(model)
@@ -254,7 +256,7 @@
         new = stats.get(version_id(model, rollout.version), empty_stats())
         return old, new
 
-    def _may_quarantine(self, identity: str) -> bool:
+    def _can_quarantine(self, identity: str) -> bool:
         """Tell whether another version of the model can take the work.
 
         Without one a quarantine would turn every request away on the word
@@ -265,13 +267,13 @@
         model = in_force.declarations.models.get(model_name)
         if model is None or not may_run(identity, model, in_force):
             return False
-        without = in_force._replace(
+        after_quarantine = in_force._replace(
             quarantined=(*in_force.quarantined, identity)
         )
-        return choose_version(model, without, 0.0) is not None
+        return choose_version(model, after_quarantine, 0.0) is not None
 
 
-def _passed_s(declared: Rollout, rollout: RolloutState) -> float:
+def _step_elapsed_s(declared: Rollout, rollout: RolloutState) -> float:
     """Return how long the committed step has lasted before this leader.
 
     A time limit goes on while the leader changes. Clocks of two machines
@@ -279,8 +281,8 @@
     """
     if not declared.patience_s:
         return 0.0
-    passed_s = time.time() - rollout.stepped_s
-    return min(max(0.0, passed_s), declared.step_s(rollout.step))
+    elapsed_s = time.time() - rollout.stepped_s
+    return min(max(0.0, elapsed_s), declared.step_s(rollout.step))
 
 
 def _quarantine(version: str, verdict: Stop, now_s: float) -> Quarantine:
--- a/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
@@ -26,9 +26,9 @@
 SILENCE_S: Final = 2.5
 # A voter that lives answers a heartbeat each 0.1 s; a leader that was just
 # elected must not take one for gone that it has not yet asked.
-TAKEN_OVER_S: Final = 0.5
+TAKEN_OVER_SILENCE_S: Final = 0.5
 # As the agreement core, which takes no voter that is silent for longer.
-ALIVE_S: Final = 0.8
+ALIVE_WITHIN_S: Final = 0.8
 # Two may wait in the log: one stays a spare when the other is needed.
 MAX_LEARNERS: Final = 2
 
@@ -71,25 +71,31 @@
     return (
         _remove_dead_learner(learners, joiners, members)
         or _remove_surplus(voters, lost, voters_wanted)
-        or _promote(voters, lost, _asking(learners, joiners), voters_wanted)
+        or _promote(
+            voters, lost, _still_asking(learners, joiners), voters_wanted
+        )
         or _add(members, learners, joiners, lost)
     )
 
 
-def _is_lost(voter: ObservedMember, heard: Sequence[ObservedMember]) -> bool:
+def _is_lost(
+    voter: ObservedMember, observed: Sequence[ObservedMember]
+) -> bool:
     if voter.silent_s >= SILENCE_S:
         return True
-    return voter.silent_s >= TAKEN_OVER_S and _is_taken_over(voter, heard)
+    return voter.silent_s >= TAKEN_OVER_SILENCE_S and _is_taken_over(
+        voter, observed
+    )
 
 
 def _is_taken_over(
-    member: ObservedMember, heard: Sequence[ObservedMember]
+    member: ObservedMember, observed: Sequence[ObservedMember]
 ) -> bool:
     return any(
         other.address == member.address
         and other.member_id != member.member_id
         and other.silent_s < member.silent_s
-        for other in heard
+        for other in observed
     )
 
 
@@ -116,10 +122,10 @@
 ) -> MembershipChange | None:
     if len(voters) <= voters_wanted or not lost:
         return None
-    rest = [voter for voter in voters if voter != lost[0]]
+    remaining = [voter for voter in voters if voter != lost[0]]
     # A removal is committed by those that stay, so another voter that was
     # lost meanwhile does not stop it.
-    if _alive(rest) <= len(rest) // 2:
+    if _count_alive(remaining) <= len(remaining) // 2:
         return None
     return MembershipChange("remove", lost[0].member_id)
 
@@ -140,10 +146,10 @@
     if len(voters) == voters_wanted and not lost:
         return None
     staying = [voter for voter in voters if voter not in lost]
-    if _alive(staying) + 1 <= (len(voters) + 1) // 2:
+    if _count_alive(staying) + 1 <= (len(voters) + 1) // 2:
         return None
-    places = {voter.address for voter in lost}
-    chosen = max(learners, key=lambda each: each.address in places)
+    lost_addresses = {voter.address for voter in lost}
+    chosen = max(learners, key=lambda each: each.address in lost_addresses)
     return MembershipChange("promote", chosen.member_id)
 
 
@@ -154,24 +160,24 @@
     lost: Sequence[ObservedMember],
 ) -> MembershipChange | None:
     known = {member.member_id for member in members}
-    places = {voter.address for voter in lost}
+    lost_addresses = {voter.address for voter in lost}
     for joiner in joiners:
         if joiner.member_id in known:
             continue
-        if len(learners) < MAX_LEARNERS or joiner.address in places:
+        if len(learners) < MAX_LEARNERS or joiner.address in lost_addresses:
             return MembershipChange("add", joiner.member_id, joiner.address)
     return None
 
 
-def _asking(
+def _still_asking(
     learners: Sequence[ObservedMember], joiners: Sequence[ObservedMember]
 ) -> list[ObservedMember]:
     asking = {joiner.member_id for joiner in joiners}
     return [each for each in learners if each.member_id in asking]
 
 
-def _alive(members: Sequence[ObservedMember]) -> int:
-    return sum(member.silent_s < ALIVE_S for member in members)
+def _count_alive(members: Sequence[ObservedMember]) -> int:
+    return sum(member.silent_s < ALIVE_WITHIN_S for member in members)
 
 
 __all__ = ["next_change", "ObservedMember", "SILENCE_S", "MembershipChange"]
--- a/packages/sycamorestand-control/tests/test_arrival_lender.py
+++ b/packages/sycamorestand-control/tests/test_arrival_lender.py
@@ -24,7 +24,7 @@
     mailbox: Any = Mailbox()
     lender = ArrivalLender(mailbox, ALLOWANCE, lambda: voters)
     for trade in trades:
-        lender.traded("entry", trade)
+        lender.handle_trade("entry", trade)
     ((address, message),) = mailbox.sent[-1:]
     assert address == "entry"
     assert isinstance(message, ArrivalsLent)
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -92,7 +92,7 @@
         self._sequence = 0
 
     async def renew_own(self) -> None:
-        await self.leases._follow_term()
+        await self.leases._sync_term()
         self.leases._renew()
 
     def apply(self, revision: int) -> None:
@@ -223,7 +223,7 @@
             scene.replica.lease_s = lease_s
             clock.now_s += 2.0
             await scene.renew_own()
-            scene.leases._log_change()
+            scene.leases._log_lease_change()
         lines = [r.message for r in caplog.records if "lease" in r.message]
         assert lines == [
             "control lease held",
@@ -270,7 +270,7 @@
         scene.replica.role = "follower"
         assert scene.leases.in_force(1) is None
         request = ControlLeaseRequest("127.0.0.1:8003", 1.0, 1, 1)
-        scene.leases.request_received("127.0.0.1:8003", request)
+        scene.leases.handle_request("127.0.0.1:8003", request)
         assert scene.mesh.take(ControlLeaseGranted) == []
 
 
--- a/packages/sycamorestand-control/tests/test_leader_balancer.py
+++ b/packages/sycamorestand-control/tests/test_leader_balancer.py
@@ -6,9 +6,9 @@
 import pytest
 
 from sycamorestand_consensus.replica_types import MemberStatus
+from sycamorestand_control.leader_balancer import HAND_OVER_INTERVAL_S
 from sycamorestand_control.leader_balancer import LeaderBalancer
 from sycamorestand_control.leader_balancer import MAX_LAG_ENTRIES
-from sycamorestand_control.leader_balancer import PAUSE_S
 from sycamorestand_control.leader_balancer import preferred_leaders
 
 pytestmark = pytest.mark.anyio
@@ -69,8 +69,8 @@
 
     async def looks(self, count: int) -> None:
         for _ in range(count):
-            self.now_s += PAUSE_S
-            await self.spread.look()
+            self.now_s += HAND_OVER_INTERVAL_S
+            await self.spread.balance()
 
     def leaders(self) -> Counter[str]:
         return Counter(
@@ -99,7 +99,7 @@
         """
         scene = Scene(shards=6)
         await scene.looks(1)
-        await scene.spread.look()
+        await scene.spread.balance()
         assert sum(bool(r.handed_to) for r in scene.replicas.values()) == 1
 
     async def test_a_silent_voter_gets_none(self) -> None:
--- a/packages/sycamorestand-control/tests/test_membership.py
+++ b/packages/sycamorestand-control/tests/test_membership.py
@@ -7,7 +7,7 @@
 from sycamorestand_consensus.errors import ChangeUnderWay
 from sycamorestand_consensus.errors import MembershipRefused
 from sycamorestand_consensus.replica_types import MemberStatus
-from sycamorestand_control.membership import Admissions
+from sycamorestand_control.membership import MembershipManager
 from sycamorestand_peer.messages import JoinRequest
 
 
@@ -85,7 +85,7 @@
     def __init__(self, replica: FakeReplica) -> None:
         self.mesh = FakeMesh()
         self.replica = replica
-        self.admissions = Admissions(
+        self.admissions = MembershipManager(
             self.mesh,  # type: ignore[arg-type]
             FakeGroups(replica),  # type: ignore[arg-type]
             3,
@@ -96,7 +96,9 @@
         self.admissions.receive(address, request)
 
     def waiting(self) -> list[str]:
-        return [joiner.member_id for joiner in self.admissions.waiting()]
+        return [
+            joiner.member_id for joiner in self.admissions.waiting_joiners()
+        ]
 
 
 class TestReplace:
@@ -109,7 +111,7 @@
         """
         scene = Scene(FakeReplica())
         scene.ask("new", "new:1")
-        await scene.admissions.replace(0, "old", "new")
+        await scene.admissions.replace_voter(0, "old", "new")
         assert scene.replica.calls == ["add new", "promote new", "remove old"]
 
     @pytest.mark.anyio
@@ -117,15 +119,15 @@
         scene = Scene(FakeReplica())
         scene.ask("new", "new:1")
         await scene.replica.add_learner("new", "new:1")
-        await scene.admissions.replace(0, "old", "new")
-        await scene.admissions.replace(0, "old", "new")
+        await scene.admissions.replace_voter(0, "old", "new")
+        await scene.admissions.replace_voter(0, "old", "new")
         assert scene.replica.calls == ["add new", "promote new", "remove old"]
 
     @pytest.mark.anyio
     async def test_who_does_not_ask_is_not_admitted(self) -> None:
         scene = Scene(FakeReplica())
         with pytest.raises(MembershipRefused, match="does not ask"):
-            await scene.admissions.replace(0, "old", "stranger")
+            await scene.admissions.replace_voter(0, "old", "stranger")
         assert scene.replica.calls == []
 
     @pytest.mark.anyio
@@ -137,7 +139,7 @@
         replica = BusyReplica(step)
         scene = Scene(replica)
         scene.ask("new", "new:1")
-        await scene.admissions.replace(0, "old", "new")
+        await scene.admissions.replace_voter(0, "old", "new")
         assert replica.calls == ["add new", "promote new", "remove old"]
 
     @pytest.mark.anyio
@@ -150,7 +152,7 @@
         scene = Scene(BusyReplica("remove old"))
         scene.ask("new", "new:1")
         with pytest.raises(ChangeUnderWay):
-            await scene.admissions.replace(0, "old", "new")
+            await scene.admissions.replace_voter(0, "old", "new")
 
     @pytest.mark.anyio
     async def test_a_learner_that_lags_is_removed_again(
@@ -166,7 +168,7 @@
         scene = Scene(FakeReplica(catches_up=False))
         scene.ask("new", "new:1")
         with pytest.raises(MembershipRefused, match="did not catch up"):
-            await scene.admissions.replace(0, "old", "new")
+            await scene.admissions.replace_voter(0, "old", "new")
         assert scene.replica.calls == ["add new", "remove new"]
 
 
--- a/packages/sycamorestand-control/tests/test_process.py
+++ b/packages/sycamorestand-control/tests/test_process.py
@@ -180,16 +180,18 @@
         It is begun anew and the fault is counted; the voter stays, and
         takes changes meanwhile. Otherwise each leader in turn would end.
         """
-        monkeypatch.setattr("sycamorestand_control.background.PAUSE_S", 0.01)
+        monkeypatch.setattr(
+            "sycamorestand_control.background.RESTART_PAUSE_S", 0.01
+        )
         looked = anyio.Event()
 
-        async def look(now_s: float) -> None:
+        async def check(now_s: float) -> None:
             if process.mesh.counters.faults == 0:
                 raise RuntimeError("a state that nobody thought of")
             looked.set()
 
         async with running(settings_in(tmp_path)) as process:
-            process.keeper.look = look  # type: ignore[method-assign]
+            process.version_controller.check = check  # type: ignore[method-assign]
             with anyio.fail_after(WAIT_S):
                 await looked.wait()
             answer = await process.backend.change(drain("1", "vm-9"))
--- a/packages/sycamorestand-control/tests/test_rating_exchange.py
+++ b/packages/sycamorestand-control/tests/test_rating_exchange.py
@@ -42,9 +42,9 @@
 class TestRatingExchange:
     def test_an_entry_gets_those_of_all_the_others(self) -> None:
         process = Process(["e1", "e2"], ["c2"])
-        process.exchange.reported("e1", [count(3, 4)])
-        process.exchange.reported("e2", [count(1, 5)])
-        process.exchange.reported("c2", [count(10, 10)])
+        process.exchange.add_ratings("e1", [count(3, 4)])
+        process.exchange.add_ratings("e2", [count(1, 5)])
+        process.exchange.add_ratings("c2", [count(10, 10)])
         sent = process.sent()
         assert sent["e1"] == (count(11, 15),)
         assert sent["e2"] == (count(13, 14),)
@@ -56,18 +56,18 @@
         each round would count the same ratings again.
         """
         process = Process(["e1"], ["c2"])
-        process.exchange.reported("c2", [count(10, 10)])
+        process.exchange.add_ratings("c2", [count(10, 10)])
         assert "c2" not in process.sent()
 
     def test_ratings_are_sent_once(self) -> None:
         process = Process(["e1", "e2"], [])
-        process.exchange.reported("e1", [count(3, 4)])
+        process.exchange.add_ratings("e1", [count(3, 4)])
         assert process.sent() == {"e2": (count(3, 4),)}
         assert process.sent() == {}
 
     def test_harder_requests_are_kept_apart(self) -> None:
         process = Process(["e2"], [])
-        process.exchange.reported("e1", [count(3, 4), count(1, 4, True)])
+        process.exchange.add_ratings("e1", [count(3, 4), count(1, 4, True)])
         assert set(process.sent()["e2"]) == {count(3, 4), count(1, 4, True)}
 
     def test_made_up_classes_do_not_grow_the_message(self) -> None:
@@ -77,5 +77,5 @@
             RatingCount("nest@1", f"class-{n}", False, 1, 1)
             for n in range(MAX_ROWS * 2)
         ]
-        process.exchange.reported("e1", rows)
+        process.exchange.add_ratings("e1", rows)
         assert len(process.sent()["e2"]) == MAX_ROWS
--- a/packages/sycamorestand-control/tests/test_session_relay.py
+++ b/packages/sycamorestand-control/tests/test_session_relay.py
@@ -24,7 +24,7 @@
 
     def sent(self) -> dict[str, tuple[int, ...]]:
         self.mailbox.sent = []
-        self.relay.pass_on()
+        self.relay.forward()
         told = {to: m.places for to, m in self.mailbox.sent}
         assert len(told) == len(self.mailbox.sent)
         return told
@@ -33,19 +33,19 @@
 class TestSessionRelay:
     def test_each_entry_gets_those_of_all_the_others(self) -> None:
         process = Process()
-        process.relay.told("e1", stay(1, 2))
-        process.relay.told("e2", stay(3))
-        process.relay.told("c2", stay(4))
+        process.relay.handle_sessions_stay("e1", stay(1, 2))
+        process.relay.handle_sessions_stay("e2", stay(3))
+        process.relay.handle_sessions_stay("c2", stay(4))
         expected = {"e1": (3, 4), "e2": (1, 2, 4), "c2": (1, 2, 3)}
         assert process.sent() == expected
 
     def test_what_was_passed_on_is_not_told_again(self) -> None:
         process = Process()
-        process.relay.told("e1", stay(1))
+        process.relay.handle_sessions_stay("e1", stay(1))
         process.sent()
         assert process.sent() == {}
 
     def test_nothing_goes_back_to_another_control_process(self) -> None:
         process = Process()
-        process.relay.told("c2", stay(4))
+        process.relay.handle_sessions_stay("c2", stay(4))
         assert process.sent() == {"e1": (4,), "e2": (4,)}
--- a/packages/sycamorestand-control/tests/test_version_controller.py
+++ b/packages/sycamorestand-control/tests/test_version_controller.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from sycamorestand_control.version_controller import _passed_s
+from sycamorestand_control.version_controller import _step_elapsed_s
 from sycamorestand_control.version_controller import VersionController
 from sycamorestand_decisions.stats_rows import to_rows
 from sycamorestand_decisions.version_stats import add_sample
@@ -88,7 +88,7 @@
             self.groups,  # type: ignore[arg-type]
             self.machine,
         )
-        self.keeper._follow_rollouts()
+        self.keeper._sync_rollouts()
 
     def report(self, version: str, requests: int, errors: int = 0) -> None:
         stats = empty_stats()
@@ -102,10 +102,10 @@
 
     def send(self, report: SampleReport) -> None:
         self.last = report
-        self.keeper.report(report)
+        self.keeper.handle_report(report)
 
     async def look(self) -> None:
-        await self.keeper.look(time.time())
+        await self.keeper.check(time.time())
 
     def rollout(self) -> Any:
         return self.machine.rollout("nest")
@@ -200,17 +200,17 @@
             steps_s=(8.0, 2.0, 0.0), patience_s=1.0, min_samples=12
         )
         state = scene.rollout()._replace(stepped_s=time.time() - 6.0)
-        assert 5.5 < _passed_s(limited, state) < 7.0
+        assert 5.5 < _step_elapsed_s(limited, state) < 7.0
         # Its predecessor's clock may be seconds apart from its own.
         later = state._replace(stepped_s=time.time() + 60.0)
-        assert _passed_s(limited, later) == 0.0
+        assert _step_elapsed_s(limited, later) == 0.0
         earlier = state._replace(stepped_s=time.time() - 60.0)
-        assert _passed_s(limited, earlier) == 8.0
+        assert _step_elapsed_s(limited, earlier) == 8.0
 
     async def test_without_a_limit_a_step_begins_anew(self) -> None:
         scene = Scene(HELP)
         declared = scene.machine.in_force().declarations.rollouts["nest"]
-        assert _passed_s(declared, scene.rollout()) == 0.0
+        assert _step_elapsed_s(declared, scene.rollout()) == 0.0
 
 
 class TestQuarantine:
@@ -236,4 +236,4 @@
         scene = Scene(HELP)
         bar = Quarantine("q", "ann", ANY_REVISION, NEW, "errors", 4.0)
         scene.machine.apply(50, encode_command(bar))
-        assert not scene.keeper._may_quarantine(OLD)
+        assert not scene.keeper._can_quarantine(OLD)
--- a/packages/sycamorestand-control/tests/test_voter_repair_wired.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair_wired.py
@@ -16,7 +16,7 @@
 from sycamorestand_control.groups import Group
 from sycamorestand_control.groups import LogGroups
 from sycamorestand_control.joining import ask_to_join
-from sycamorestand_control.membership import Admissions
+from sycamorestand_control.membership import MembershipManager
 from sycamorestand_peer.mesh import PeerMesh
 from sycamorestand_peer.messages import JoinRequest
 from sycamorestand_peer.messages import ProposalForward
@@ -58,7 +58,9 @@
         self.mesh = PeerMesh(address, lambda: (b"k" * 32,), self._received)
         table = {log: Group(Machine(), int) for log in LOGS}
         self.groups = LogGroups(self.mesh, folder, ReplicaSettings(), table)
-        self.admissions = Admissions(self.mesh, self.groups, 3, replace_lost)
+        self.admissions = MembershipManager(
+            self.mesh, self.groups, 3, replace_lost
+        )
         self._known = [each for each in known if each != address]
         self._scope = anyio.CancelScope()
 
@@ -94,7 +96,7 @@
         elif isinstance(message, JoinRequest):
             self.admissions.receive(sender, message)
         elif isinstance(message, ProposalForward):
-            answer = self.groups.answer_forward
+            answer = self.groups.handle_forward
             self._tasks.start_soon(answer, sender, message)
 
 
@@ -232,8 +234,8 @@
             for log in LOGS:
                 await voters[0].groups.propose(log, b"", PROPOSE_S)
             leader = next(v for v in voters if v.groups.is_leader(0))
-            await _until(lambda: bool(leader.admissions.waiting()))
-            await leader.admissions.replace(
+            await _until(lambda: bool(leader.admissions.waiting_joiners()))
+            await leader.admissions.replace_voter(
                 0, wiped.groups.member_id, newcomer.groups.member_id
             )
             await _until_voting([*voters, newcomer])
@@ -247,7 +249,9 @@
             voters, wiped, newcomer = await _two_and_a_newcomer(
                 tasks, tmp_path
             )
-            await _until(lambda: all(v.admissions.waiting() for v in voters))
+            await _until(
+                lambda: all(v.admissions.waiting_joiners() for v in voters)
+            )
             await anyio.sleep(1.0)
             for log in LOGS:
                 assert newcomer.groups.member_id not in voters[0].voters(log)
