--- a/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -1,4 +1,4 @@
-"""The leader's watch over versions: roll-out steps and quarantines."""
+"""The leader's control loop for versions: roll-outs and quarantines."""
 
 from __future__ import annotations
 
@@ -45,16 +45,17 @@
 
 LOG: Final = logging.getLogger(__name__)
 CHECK_INTERVAL_S: Final = 0.25
-# The bound on false alarms counts on few looks, and a look at 35 versions
-# takes milliseconds of the leader; half a minute is a third of a thousandth
-# of a day's requests.
+# Versions are checked for a quarantine every 30 s, once in 120 checks. The
+# bound on false alarms holds only for few checks, and a check of 35 versions
+# takes milliseconds of the leader's time. In 30 s a bad version gets at most
+# a third of a thousandth of a day's requests.
 QUARANTINE_EVERY_CHECKS: Final = 120
 PROPOSE_TIMEOUT_S: Final = 3.0
 MAX_REASON_CHARACTERS: Final = 400
 
 
 class _MonitoredRollout(NamedTuple):
-    """A monitor and the committed roll-out step that it watches."""
+    """A roll-out's monitor and the committed step that it compares."""
 
     started_revision: int
     step: int
@@ -62,12 +63,12 @@
 
 
 class VersionController:
-    """Adds up what entries report and acts on it while it leads.
+    """Sums the entries' reports and acts on them while it leads.
 
-    Counts are soft state: a new leader begins with none and with the step
-    that is committed, so a step may last longer after a leader change but
-    none is skipped and none is made twice (a step names the one it
-    leaves).
+    The sums are soft state. A new leader starts with empty sums at the
+    committed step, so a step may last longer after a leader change. No
+    step is skipped or made twice, because each `RolloutStep` names the
+    step that it leaves.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         self.verdicts: dict[str, str] = {}
 
     def handle_report(self, message: SampleReport) -> None:
-        """Add an entry's counts; a doubled report is dropped."""
+        """Add an entry's counts; drop a report that was received before."""
         report_id = (message.incarnation, message.sequence)
         if report_id <= self._last_reports.get(message.vm, (0, 0)):
             return
@@ -99,11 +100,11 @@
             run.monitor.add(old, new)
 
     def request_shares(self) -> dict[str, float]:
-        """Return each version's share of the requests of late."""
+        """Return each version's share of recent requests, from 0 to 1."""
         return self._requests.shares(time.time())
 
     async def run(self) -> None:
-        """Judge at an interval, until cancelled."""
+        """Check all versions every `CHECK_INTERVAL_S`, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             if not self._groups.is_leader(CONFIGURATION_GROUP):
@@ -112,12 +113,12 @@
             await self.check(time.time())
 
     async def check(self, now_s: float) -> None:
-        """Judge once and commit what follows."""
+        """Check all versions once and commit the resulting commands."""
         self._sync_rollouts()
         self._forget_unblocked()
         for command in self._decide(now_s):
             await self._commit(command)
-        # What is reported from here on belongs to the step just made.
+        # Reports that arrive from here on count for the new step.
         self._sync_rollouts()
 
     def _decide(self, now_s: float) -> list[Command]:
@@ -203,7 +204,7 @@
 
     def _sync_rollout(self, model: str, rollout: RolloutState) -> None:
         run = self._monitored.get(model)
-        # The time of day may jump by seconds and would cut a step short.
+        # Wall-clock time may jump by seconds, which would cut a step short.
         now_s = time.monotonic()
         if run is None or run.started_revision != rollout.started_revision:
             declared = self._configuration.in_force().declarations
@@ -222,10 +223,10 @@
             self._monitored[model] = run._replace(step=rollout.step)
 
     def _forget_unblocked(self) -> None:
-        """Forget what a version did before operators let it back.
+        """Drop the counts of versions that operators have unblocked.
 
-        Its counts would be the same evidence again, and it would be
-        quarantined again at the next look, whatever was mended.
+        With its old counts, a version whose quarantine was lifted would be
+        quarantined again at the next check, even if it has been fixed.
         """
         in_force = self._configuration.in_force()
         blocked = frozenset((*in_force.quarantined, *in_force.withdrawn))
@@ -235,7 +236,11 @@
         self._blocked_versions = blocked
 
     def _objective(self, model: str) -> Objective:
-        """Return the weights of the profile that most dreads exposure."""
+        """Return the objective with the highest exposure weight.
+
+        Only profiles with a step on the model count. Where there are none,
+        the default objective applies.
+        """
         profiles = self._configuration.in_force().declarations.profiles
         objectives = [
             profile.objective
@@ -257,10 +262,11 @@
         return old, new
 
     def _can_quarantine(self, identity: str) -> bool:
-        """Tell whether another version of the model can take the work.
+        """Return whether another version of the model can take its work.
 
-        Without one a quarantine would turn every request away on the word
-        of a statistic; then operators are told and decide.
+        Without one, a quarantine would refuse every request because of a
+        statistical test alone. The verdict is then only shown to operators,
+        who decide.
         """
         in_force = self._configuration.in_force()
         model_name = identity.partition(VERSION_SEPARATOR)[0]
@@ -274,10 +280,11 @@
 
 
 def _step_elapsed_s(declared: Rollout, rollout: RolloutState) -> float:
-    """Return how long the committed step has lasted before this leader.
+    """Return the seconds that the step lasted before this process led.
 
-    A time limit goes on while the leader changes. Clocks of two machines
-    may differ by seconds, so it is never more than the step's least time.
+    A time limit keeps running while the leader changes; without a limit
+    the result is 0. The clocks of two machines may differ by seconds, so
+    the result is capped at the step's shortest duration.
     """
     if not declared.patience_s:
         return 0.0
--- a/packages/sycamorestand-control/tests/test_version_controller.py
+++ b/packages/sycamorestand-control/tests/test_version_controller.py
@@ -1,4 +1,4 @@
-"""The leader's watch over versions, with its commands really applied."""
+"""Tests of the version controller with a configuration that applies."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class FakeGroups:
-    """A log of one voter: what is proposed is applied at once."""
+    """The log of a single voter, which applies each proposal at once."""
 
     def __init__(self, machine: ConfigurationMachine) -> None:
         self.machine = machine
@@ -57,8 +57,8 @@
         return self.machine.apply(len(self.commands) + 10, command)
 
 
-class Scene:
-    """A running roll-out and the keeper of the voter that leads."""
+class Harness:
+    """A running roll-out and the version controller of the leader."""
 
     def __init__(self, *profiles: Profile) -> None:
         self.machine = ConfigurationMachine()
@@ -79,16 +79,16 @@
             result = self.machine.apply(index + 1, encode_command(command))
             assert result.outcome == "applied", result.message
         self.sequence = 0
-        self.take_over()
+        self.change_leader()
 
-    def take_over(self) -> None:
-        """Have a new leader go on, which has seen no reports."""
+    def change_leader(self) -> None:
+        """Replace the leader by one that has received no reports."""
         self.groups = FakeGroups(self.machine)
-        self.keeper = VersionController(
+        self.controller = VersionController(
             self.groups,  # type: ignore[arg-type]
             self.machine,
         )
-        self.keeper._sync_rollouts()
+        self.controller._sync_rollouts()
 
     def report(self, version: str, requests: int, errors: int = 0) -> None:
         stats = empty_stats()
@@ -101,139 +101,139 @@
         self.send(SampleReport("vm-1", 1, self.sequence, rows))
 
     def send(self, report: SampleReport) -> None:
-        self.last = report
-        self.keeper.handle_report(report)
+        self.last_report = report
+        self.controller.handle_report(report)
 
-    async def look(self) -> None:
-        await self.keeper.check(time.time())
+    async def check(self) -> None:
+        await self.controller.check(time.time())
 
     def rollout(self) -> Any:
         return self.machine.rollout("nest")
 
 
 class TestRollout:
-    async def test_a_healthy_version_goes_on_step_by_step(self) -> None:
-        scene = Scene(HELP)
+    async def test_a_healthy_version_advances_step_by_step(self) -> None:
+        harness = Harness(HELP)
         for step in (1, 2):
-            scene.report(OLD, 300)
-            scene.report(NEW, 300)
-            await scene.look()
-            assert scene.rollout().step == step
-        assert scene.rollout().state == "completed"
+            harness.report(OLD, 300)
+            harness.report(NEW, 300)
+            await harness.check()
+            assert harness.rollout().step == step
+        assert harness.rollout().state == "completed"
 
-    async def test_a_step_tells_what_it_was_made_on(
+    async def test_an_advance_logs_the_compared_signals(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """A bad version was let on, and no line told what had been seen."""
-        scene = Scene(HELP)
-        scene.report(OLD, 300)
-        scene.report(NEW, 300)
+        """Without the log line, nobody can tell why a bad version advanced."""
+        harness = Harness(HELP)
+        harness.report(OLD, 300)
+        harness.report(NEW, 300)
         with caplog.at_level("INFO"):
-            await scene.look()
+            await harness.check()
         lines = [r for r in caplog.records if r.message == "version compared"]
         assert [vars(line)["verdict"] for line in lines] == ["Advance"]
         assert any("errors: 0 of 300" in t for t in vars(lines[0])["signals"])
 
-    async def test_a_model_that_no_profile_names_is_rolled_out(self) -> None:
-        """Only routes lead to the model, so no profile gives weights.
+    async def test_a_model_without_a_profile_is_rolled_out(self) -> None:
+        """Only routes use the model, so no profile gives its weights.
 
-        The leader ended with an exception at its first look, and the next
-        leader after it, as long as the roll-out stood.
+        The first check then raised in the leader, and in each leader after
+        it for as long as the roll-out ran.
         """
-        scene = Scene()
-        scene.report(OLD, 300)
-        scene.report(NEW, 300)
-        await scene.look()
-        assert scene.rollout().step == 1
+        harness = Harness()
+        harness.report(OLD, 300)
+        harness.report(NEW, 300)
+        await harness.check()
+        assert harness.rollout().step == 1
 
     async def test_a_version_with_errors_is_stopped_with_evidence(
         self,
     ) -> None:
-        """The new version fails every third request at its first share."""
-        scene = Scene(HELP)
-        scene.report(OLD, 600)
-        scene.report(NEW, 300, errors=100)
-        await scene.look()
-        assert scene.rollout().state == STOPPED
-        assert scene.rollout().share == 0.0
-        assert "error" in scene.rollout().reason
-        assert scene.rollout().evidence
-
-    async def test_a_new_leader_goes_on_at_the_committed_step(self) -> None:
-        """The leader is lost in the middle of a roll-out.
-
-        The next one has none of its counts. It holds the step that is
-        committed until it has seen enough by itself, then goes on by one.
+        """The new version fails a third of its requests at its first share."""
+        harness = Harness(HELP)
+        harness.report(OLD, 600)
+        harness.report(NEW, 300, errors=100)
+        await harness.check()
+        assert harness.rollout().state == STOPPED
+        assert harness.rollout().share == 0.0
+        assert "error" in harness.rollout().reason
+        assert harness.rollout().evidence
+
+    async def test_a_new_leader_continues_at_the_committed_step(self) -> None:
+        """The leader is lost during a roll-out.
+
+        The next leader has none of its counts. It keeps the committed step
+        until it has enough samples itself, then advances by one step.
         """
-        scene = Scene(HELP)
-        scene.report(OLD, 300)
-        scene.report(NEW, 300)
-        await scene.look()
-        scene.take_over()
-        await scene.look()
-        assert scene.rollout().step == 1
-        assert scene.rollout().state == RUNNING
-        scene.report(OLD, 300)
-        scene.report(NEW, 300)
-        await scene.look()
-        assert scene.rollout().step == 2
-
-    async def test_a_doubled_report_counts_once(self) -> None:
-        scene = Scene(HELP)
-        scene.report(OLD, 30)
-        scene.report(NEW, 30)
-        scene.send(scene.last)
-        await scene.look()
-        assert scene.rollout().step == 0
+        harness = Harness(HELP)
+        harness.report(OLD, 300)
+        harness.report(NEW, 300)
+        await harness.check()
+        harness.change_leader()
+        await harness.check()
+        assert harness.rollout().step == 1
+        assert harness.rollout().state == RUNNING
+        harness.report(OLD, 300)
+        harness.report(NEW, 300)
+        await harness.check()
+        assert harness.rollout().step == 2
+
+    async def test_a_duplicate_report_counts_once(self) -> None:
+        harness = Harness(HELP)
+        harness.report(OLD, 30)
+        harness.report(NEW, 30)
+        harness.send(harness.last_report)
+        await harness.check()
+        assert harness.rollout().step == 0
 
 
 class TestTimeLimit:
-    async def test_a_new_leader_counts_a_step_from_its_commit(self) -> None:
-        """The leader is lost in the middle of a roll-out with a limit.
+    async def test_a_new_leader_times_a_step_from_its_commit(self) -> None:
+        """The leader is lost during a roll-out with a time limit.
 
-        Counted from the change of leaders, the step lasted up to twice its
-        time, and a good version was not completed when it was due.
+        Timed from the leader change, a step lasted up to twice its limit,
+        and the roll-out of a good version completed too late.
         """
-        scene = Scene(HELP)
-        declared = scene.machine.in_force().declarations.rollouts["nest"]
+        harness = Harness(HELP)
+        declared = harness.machine.in_force().declarations.rollouts["nest"]
         limited = declared._replace(
             steps_s=(8.0, 2.0, 0.0), patience_s=1.0, min_samples=12
         )
-        state = scene.rollout()._replace(stepped_s=time.time() - 6.0)
+        state = harness.rollout()._replace(stepped_s=time.time() - 6.0)
         assert 5.5 < _step_elapsed_s(limited, state) < 7.0
-        # Its predecessor's clock may be seconds apart from its own.
+        # The previous leader's clock may differ by seconds.
         later = state._replace(stepped_s=time.time() + 60.0)
         assert _step_elapsed_s(limited, later) == 0.0
         earlier = state._replace(stepped_s=time.time() - 60.0)
         assert _step_elapsed_s(limited, earlier) == 8.0
 
-    async def test_without_a_limit_a_step_begins_anew(self) -> None:
-        scene = Scene(HELP)
-        declared = scene.machine.in_force().declarations.rollouts["nest"]
-        assert _step_elapsed_s(declared, scene.rollout()) == 0.0
+    async def test_without_a_limit_the_step_time_restarts(self) -> None:
+        harness = Harness(HELP)
+        declared = harness.machine.in_force().declarations.rollouts["nest"]
+        assert _step_elapsed_s(declared, harness.rollout()) == 0.0
 
 
 class TestQuarantine:
-    async def test_a_lifted_version_starts_with_a_clean_record(self) -> None:
-        """Operators mend a version and lift its quarantine.
+    async def test_lifting_a_quarantine_drops_the_old_counts(self) -> None:
+        """Operators fix a version and lift its quarantine.
 
         With the old counts it would be quarantined again at once, and
-        operators could not get it back at all.
+        operators could never bring it back.
         """
-        scene = Scene(HELP)
-        scene.report(OLD, 100, errors=50)
+        harness = Harness(HELP)
+        harness.report(OLD, 100, errors=50)
         bar = Quarantine("q", "ann", ANY_REVISION, OLD, "errors", 4.0)
-        scene.machine.apply(50, encode_command(bar))
-        await scene.look()
-        assert OLD in scene.keeper._watch._recent
+        harness.machine.apply(50, encode_command(bar))
+        await harness.check()
+        assert OLD in harness.controller._watch._recent
         lift = LiftQuarantine("l", "ann", ANY_REVISION, OLD, "mended", 5.0)
-        scene.machine.apply(51, encode_command(lift))
-        await scene.look()
-        assert OLD not in scene.keeper._watch._recent
+        harness.machine.apply(51, encode_command(lift))
+        await harness.check()
+        assert OLD not in harness.controller._watch._recent
 
-    async def test_the_last_version_is_not_taken_away(self) -> None:
-        """Nothing else of the model may run: operators must decide."""
-        scene = Scene(HELP)
+    async def test_the_only_runnable_version_is_not_quarantined(self) -> None:
+        """No other version of the model may run, so operators decide."""
+        harness = Harness(HELP)
         bar = Quarantine("q", "ann", ANY_REVISION, NEW, "errors", 4.0)
-        scene.machine.apply(50, encode_command(bar))
-        assert not scene.keeper._can_quarantine(OLD)
+        harness.machine.apply(50, encode_command(bar))
+        assert not harness.controller._can_quarantine(OLD)
