--- a/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/voter_repair.py
@@ -1,16 +1,18 @@
-"""Which change of voters a leader makes by itself, one at a time.
-
-It answers a voter that lost its disk or its VM with nobody there to put
-another one in its place: until that is done, a second loss leaves no
-majority. Everything is decided from the log's membership and from who was
-heard, so a new leader goes on where the one before it stopped.
-
-A voter counts as lost only while somebody asks to take its place. At once
-where another id is heard at its address: one process listens there, so the
-old id's disk is gone. Elsewhere after `SILENCE_S`: a voter that is slow
-still answers, and one that was only away becomes a learner again when it
-asks. A mistake here costs a copy, never an accepted change: a voter is
-removed by the votes of a majority that holds the log.
+"""Choose the membership change that a leader makes to repair its group.
+
+A voter may lose its disk or its VM while no operator is there to replace
+it. Until it is replaced, the loss of a second voter leaves no majority. The
+leader therefore repairs the group itself, one change at a time. Each change
+follows only from the log's membership and from when each process was last
+heard, so a new leader continues where the previous one stopped.
+
+A lost voter is replaced only by a process that asks to join. A voter whose
+address another id uses counts as lost after `TAKEN_OVER_SILENCE_S`: only
+one process listens at an address, so the old id's disk is gone. Any other
+voter counts as lost after `SILENCE_S`: a slow voter still answers, and a
+voter that was only cut off becomes a learner again when it asks. A wrong
+removal costs a replica but never a committed change, because a majority
+that holds the log has to commit it.
 """
 
 from __future__ import annotations
@@ -20,21 +22,24 @@
 from typing import Literal
 from typing import NamedTuple
 
-# A killed process is back in about a second. With less, each restart next
-# to a spare would cost a voter; with more, the repair is not over when the
-# next VM may be lost, 4 s after the newcomer's start.
+# A killed process restarts in about a second. A shorter limit would replace
+# a voter at each restart while a spare asks to join. With a longer one the
+# repair would not be finished when the next VM may be lost, 4 s after the
+# start of the joining process.
 SILENCE_S: Final = 2.5
-# A voter that lives answers a heartbeat each 0.1 s; a leader that was just
-# elected must not take one for gone that it has not yet asked.
+# A live voter answers a heartbeat every 0.1 s. A leader that was just
+# elected must not count a voter as lost before it has sent it a heartbeat.
 TAKEN_OVER_SILENCE_S: Final = 0.5
-# As the agreement core, which takes no voter that is silent for longer.
+# The same limit as in the consensus core, which promotes no learner that has
+# been silent for longer.
 ALIVE_WITHIN_S: Final = 0.8
-# Two may wait in the log: one stays a spare when the other is needed.
+# With two learners in the log, one remains as a spare when the other one is
+# promoted.
 MAX_LEARNERS: Final = 2
 
 
 class ObservedMember(NamedTuple):
-    """A member, or a process that asks to be one, and its silence."""
+    """A member or a joining process, and how long it has been silent."""
 
     member_id: str
     address: str
@@ -43,7 +48,7 @@
 
 
 class MembershipChange(NamedTuple):
-    """One change of the membership."""
+    """One change of a log's membership, for the replica to commit."""
 
     kind: Literal["add", "promote", "remove"]
     member_id: str
@@ -58,8 +63,8 @@
 ) -> MembershipChange | None:
     """Return the change that the leader ``own_id`` makes next, if any.
 
-    ``joiners`` ask at present; those that are members already are in
-    ``members`` as well.
+    ``joiners`` are the processes that ask to join at present. A joiner that
+    is already a member is in ``members`` as well.
     """
     voters = [m for m in members if m.voter]
     learners = [m for m in members if not m.voter]
@@ -104,7 +109,7 @@
     joiners: Sequence[ObservedMember],
     members: Sequence[ObservedMember],
 ) -> MembershipChange | None:
-    """Free the place of a learner that no longer asks, or lost its disk."""
+    """Remove a learner that stopped asking to join or lost its disk."""
     asking = {joiner.member_id for joiner in joiners}
     for learner in learners:
         gone = learner.member_id not in asking
@@ -123,8 +128,8 @@
     if len(voters) <= voters_wanted or not lost:
         return None
     remaining = [voter for voter in voters if voter != lost[0]]
-    # A removal is committed by those that stay, so another voter that was
-    # lost meanwhile does not stop it.
+    # The remaining voters commit the removal, so they need a majority among
+    # themselves; one more lost voter does not prevent it.
     if _count_alive(remaining) <= len(remaining) // 2:
         return None
     return MembershipChange("remove", lost[0].member_id)
@@ -136,10 +141,11 @@
     learners: Sequence[ObservedMember],
     voters_wanted: int,
 ) -> MembershipChange | None:
-    """Make a learner a voter where one is missing.
+    """Promote a learner if a voter is missing or lost.
 
-    With one more voter the majority may be larger by one: it must be there
-    without the lost voter, or nothing could be committed any more.
+    One more voter may raise the majority by one. The live voters and the
+    learner must reach it without the lost voters, or nothing could be
+    committed any more.
     """
     if not learners or len(voters) > voters_wanted:
         return None
--- a/packages/sycamorestand-control/tests/test_voter_repair.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair.py
@@ -11,8 +11,8 @@
 
 LEADER = ObservedMember("a", "a:1", 0.0, voter=True)
 OTHER = ObservedMember("b", "b:1", 0.1, voter=True)
-WELL = ObservedMember("c", "c:1", 0.1, voter=True)
-# Restarting, or on a busy VM: silent, and not for long.
+HEALTHY = ObservedMember("c", "c:1", 0.1, voter=True)
+# Silent for a short time, because it restarts or its VM is busy.
 SLOW = ObservedMember("c", "c:1", SILENCE_S - 0.1, voter=True)
 LOST = ObservedMember("c", "c:1", SILENCE_S, voter=True)
 SPARE = ObservedMember("n", "n:1", 0.2)
@@ -20,82 +20,89 @@
 WANTED = 3
 
 
-def step(
+def change_for(
     members: list[ObservedMember], *joiners: ObservedMember
 ) -> MembershipChange | None:
     return next_change("a", members, joiners, WANTED)
 
 
 class TestLostDisk:
-    def test_another_id_at_its_address_takes_its_place_at_once(self) -> None:
-        """A VM comes back a second later with an empty data folder.
+    def test_another_id_at_its_address_replaces_it_at_once(self) -> None:
+        """A VM restarts within a second on an empty data folder.
 
-        Four seconds after that another one may be lost, so the newcomer
-        must be a voter by then; nothing is waited for.
+        Another VM may be lost four seconds later, so the new process must
+        be a voter by then: the leader does not wait for `SILENCE_S`.
         """
         wiped = SLOW._replace(silent_s=1.0)
         members = [LEADER, OTHER, wiped]
-        assert step(members, WIPED) == MembershipChange("add", "n", "c:1")
+        assert change_for(members, WIPED) == MembershipChange(
+            "add", "n", "c:1"
+        )
         members.append(WIPED)
-        assert step(members, WIPED) == MembershipChange("promote", "n")
+        assert change_for(members, WIPED) == MembershipChange("promote", "n")
         members[-1] = WIPED._replace(voter=True)
-        assert step(members, WIPED) == MembershipChange("remove", "c")
+        assert change_for(members, WIPED) == MembershipChange("remove", "c")
 
-    def test_the_old_disk_is_back(self) -> None:
-        """A VM starts on an empty folder, then on its old disk.
+    def test_the_original_disk_returns(self) -> None:
+        """A VM starts on an empty folder, then on its original disk.
 
-        The old id answers later than the new one, so it stays.
+        The original id was heard more recently than the new id, so the
+        leader removes the new id and keeps the voter.
         """
         empty = WIPED._replace(silent_s=1.0)
-        assert step([LEADER, OTHER, WELL, empty], empty) == MembershipChange(
-            "remove", "n"
-        )
+        assert change_for(
+            [LEADER, OTHER, HEALTHY, empty], empty
+        ) == MembershipChange("remove", "n")
 
-    def test_lost_twice(self) -> None:
-        """The newcomer loses its disk as well and asks under a third id."""
+    def test_the_replacement_loses_its_disk_too(self) -> None:
+        """The joining process loses its disk and asks under a third id."""
         first = WIPED._replace(silent_s=1.0)
         third = ObservedMember("m", "c:1", 0.1)
         members = [LEADER, OTHER, LOST, first]
-        assert step(members, third) == MembershipChange("remove", "n")
-        assert step(members[:3], third) == MembershipChange("add", "m", "c:1")
+        assert change_for(members, third) == MembershipChange("remove", "n")
+        assert change_for(members[:3], third) == MembershipChange(
+            "add", "m", "c:1"
+        )
 
 
 class TestLostVm:
     def test_a_spare_waits_until_a_voter_is_silent_for_long(self) -> None:
         members = [LEADER, OTHER, SLOW]
-        assert step(members, SPARE) == MembershipChange("add", "n", "n:1")
-        assert step([*members, SPARE], SPARE) is None
+        assert change_for(members, SPARE) == MembershipChange(
+            "add", "n", "n:1"
+        )
+        assert change_for([*members, SPARE], SPARE) is None
         lost = [LEADER, OTHER, LOST, SPARE]
-        assert step(lost, SPARE) == MembershipChange("promote", "n")
+        assert change_for(lost, SPARE) == MembershipChange("promote", "n")
 
-    def test_nobody_asks(self) -> None:
-        """A voter is away for hours and no other machine is there."""
-        assert step([LEADER, OTHER, LOST]) is None
+    def test_no_change_without_a_joiner(self) -> None:
+        """A voter is lost for hours and no other process asks to join."""
+        assert change_for([LEADER, OTHER, LOST]) is None
 
-    def test_a_new_leader_ends_what_another_began(self) -> None:
-        """The leader ends between the promotion and the removal."""
+    def test_a_new_leader_completes_a_replacement(self) -> None:
+        """The leader fails between the promotion and the removal."""
         newcomer = SPARE._replace(voter=True)
-        assert step([LEADER, OTHER, LOST, newcomer]) == MembershipChange(
+        assert change_for([LEADER, OTHER, LOST, newcomer]) == MembershipChange(
             "remove", "c"
         )
 
-    def test_all_four_are_there(self) -> None:
+    def test_no_live_voter_is_removed(self) -> None:
         newcomer = SPARE._replace(voter=True)
-        assert step([LEADER, OTHER, WELL, newcomer]) is None
+        assert change_for([LEADER, OTHER, HEALTHY, newcomer]) is None
 
-    def test_not_below_a_majority(self) -> None:
-        """Two of three are silent: a fourth voter would need three."""
+    def test_no_promotion_without_a_majority(self) -> None:
+        """Two of three voters are silent; with four, three must be alive."""
         away = OTHER._replace(silent_s=1.0)
-        assert step([LEADER, away, LOST, SPARE], SPARE) is None
+        assert change_for([LEADER, away, LOST, SPARE], SPARE) is None
 
-    def test_a_learner_that_went_frees_its_place(self) -> None:
+    def test_a_silent_learner_is_removed(self) -> None:
         gone = SPARE._replace(silent_s=SILENCE_S)
-        assert step([LEADER, OTHER, WELL, gone]) == MembershipChange(
+        assert change_for([LEADER, OTHER, HEALTHY, gone]) == MembershipChange(
             "remove", "n"
         )
 
 
-seen = st.builds(
+observed_members = st.builds(
     ObservedMember,
     st.sampled_from("bcdefg"),
     st.sampled_from(["b:1", "c:1", "d:1"]),
@@ -107,23 +114,31 @@
 class TestAnyView:
     @settings(derandomize=True)
     @given(
-        st.lists(seen, max_size=5, unique_by=lambda each: each.member_id),
-        st.lists(seen, max_size=3, unique_by=lambda each: each.member_id),
+        st.lists(
+            observed_members,
+            max_size=5,
+            unique_by=lambda member: member.member_id,
+        ),
+        st.lists(
+            observed_members,
+            max_size=3,
+            unique_by=lambda member: member.member_id,
+        ),
     )
     def test_a_change_leaves_a_live_majority(
         self, others: list[ObservedMember], joiners: list[ObservedMember]
     ) -> None:
-        """Whatever is heard, no voter goes without need or majority."""
+        """No voter is removed unless it is surplus and a majority remains."""
         members = {each.member_id: each for each in [LEADER, *others]}
-        found = next_change("a", list(members.values()), joiners, WANTED)
-        if found is None:
+        change = next_change("a", list(members.values()), joiners, WANTED)
+        if change is None:
             return
-        assert found.member_id != "a"
+        assert change.member_id != "a"
         voters = [m for m in members.values() if m.voter]
-        subject = members.get(found.member_id)
-        if found.kind == "add":
+        subject = members.get(change.member_id)
+        if change.kind == "add":
             assert subject is None
-        elif found.kind == "promote":
+        elif change.kind == "promote":
             assert subject is not None
             assert not subject.voter
             alive = sum(m.silent_s < 0.8 for m in voters) + 1
