--- a/packages/sycamorestand-control/src/sycamorestand_control/joining.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/joining.py
@@ -1,4 +1,4 @@
-"""The side of a control process that is no voter yet, or no longer."""
+"""How a control process that does not vote asks to join its cluster."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 LOG: Final = logging.getLogger(__name__)
 JOIN_INTERVAL_S: Final = 0.5
 JOIN_TIMEOUT_S: Final = 1.0
-# An election takes up to 1.4 s and may fail once.
+# An election takes up to 1.4 s and may have to be repeated once.
 NO_LEADER_S: Final = 3.0
 IN_CLUSTER: Final = b"belongs to a cluster"
 
@@ -31,7 +31,10 @@
 async def cluster_exists(
     mesh: PeerMesh, groups: LogGroups, controls: Sequence[str], vm: str
 ) -> bool:
-    """Tell whether any other control process belongs to a cluster."""
+    """Return whether one of the control processes is in a cluster.
+
+    A process that does not answer in `JOIN_TIMEOUT_S` is skipped.
+    """
     for address in controls:
         call_id = mesh.next_call_id()
         request = JoinRequest(call_id, groups.member_id, mesh.address, vm)
@@ -51,12 +54,13 @@
     vm: str,
     keep_asking: bool = False,
 ) -> None:
-    """Ask all other control processes until this one is a member.
+    """Ask all other control processes until this one votes in every log.
 
-    Every process is asked, as only the leader acts on it and a newcomer
-    cannot know who leads. With ``keep_asking`` it goes on for good: a
-    voter that was replaced while it was away finds no leader, and its own
-    log does not tell it why.
+    Every process is asked, because only the leader acts on a request and a
+    joining process does not know which one leads. With ``keep_asking`` the
+    loop never ends: a voter that was replaced while it was cut off finds no
+    leader, and its own log does not show the replacement. It asks again
+    when it has had no leader for `NO_LEADER_S`.
     """
     leader_seen_s = boottime_s()
     while True:
@@ -80,7 +84,7 @@
     try:
         await mesh.call(address, call_id, request, JOIN_TIMEOUT_S)
     except PeerTimeout:
-        LOG.debug("no answer to join", extra={"peer": address})
+        LOG.debug("no answer to join request", extra={"peer": address})
 
 
 def _is_leader_missing(groups: LogGroups) -> bool:
@@ -90,7 +94,7 @@
 
 
 def is_voter(replica: Replica, member_id: str) -> bool:
-    """Tell whether a member votes, as this process knows it."""
+    """Return whether a member votes, as far as this process knows."""
     return any(
         member.member_id == member_id and member.voter
         for member in replica.status().members
--- a/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
@@ -1,10 +1,10 @@
-"""Which voter should lead which shard of the ledger.
+"""Spread the leadership of the ledger's shards over the voters.
 
-The load pattern is more charges and claims than one process can gather and
-sync. Shards alone bring nothing: the voter that started first leads all of
-them, and four shards took no more than one (dev/bench ledger). So each
-shard has a preferred leader that all voters compute alike, and whoever
-leads it hands over to that one.
+The ledger may have more charges and claims than one process can batch and
+sync. Shards alone do not help: the voter that started first leads all of
+them, and four shards then have the throughput of one (see dev/bench
+ledger). Every voter therefore computes the same preferred leader for each
+shard, and the present leader hands the shard over to it.
 """
 
 from __future__ import annotations
@@ -31,10 +31,11 @@
 
 LOG: Final = logging.getLogger(__name__)
 CHECK_INTERVAL_S: Final = 2.0
-# A hand-over stops the shard for some milliseconds. With a voter that
-# comes and goes each would bring one; at this pace they are not noticed.
+# A hand-over stops the shard for some milliseconds, and a voter that keeps
+# coming and going would cause one each time. At this interval the pauses
+# are not noticeable.
 HAND_OVER_INTERVAL_S: Final = 5.0
-# A voter that lags this far would make the shard wait for it.
+# The shard would have to wait for a new leader that lags further.
 MAX_LAG_ENTRIES: Final = 200
 HEARD_WITHIN_S: Final = 1.5
 
@@ -44,8 +45,9 @@
 ) -> dict[int, str]:
     """Return the voter that should lead each shard.
 
-    Shards go round the voters in one order, so that the counts differ by
-    one at most; a hash for each shard would leave voters without any.
+    Shards are assigned to the voters round-robin, so the numbers of shards
+    differ by at most one. Hashing each shard to a voter would leave some
+    voters without any.
     """
     ordered_voters = subset("ledger", voters, len(tuple(shards)) or 1)
     if not ordered_voters:
@@ -57,7 +59,10 @@
 
 
 class LeaderBalancer:
-    """Hands shards over to their preferred leaders, one at a time."""
+    """Hands shards over to their preferred leaders, one at a time.
+
+    ``hand_overs`` counts the attempts, also those that failed.
+    """
 
     def __init__(
         self,
@@ -72,13 +77,16 @@
         self.hand_overs = 0
 
     async def run(self) -> None:
-        """Look at an interval, until cancelled."""
+        """Balance the leaders every `CHECK_INTERVAL_S`, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             await self.balance()
 
     async def balance(self) -> None:
-        """Hand over at most one shard that another voter should lead."""
+        """Hand at most one shard over to its preferred leader.
+
+        Does nothing within `HAND_OVER_INTERVAL_S` of the last hand-over.
+        """
         if self._clock() < self._next_hand_over_s:
             return
         for shard, target in self._preferred_leaders().items():
@@ -89,7 +97,7 @@
             try:
                 await self._groups.replicas[shard].transfer_leadership(target)
             except ConsensusError as error:
-                LOG.info("shard kept", extra={"reason": str(error)})
+                LOG.info("shard not handed over", extra={"reason": str(error)})
             return
 
     def _preferred_leaders(self) -> dict[int, str]:
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -1,4 +1,4 @@
-"""The leader's side of membership: who becomes a voter, and for whom."""
+"""Admission and replacement of voters, as the leader of a log does it."""
 
 from __future__ import annotations
 
@@ -32,30 +32,33 @@
 
 LOG: Final = logging.getLogger(__name__)
 ADMIT_INTERVAL_S: Final = 0.2
-# A process that asked to join and then fell silent is not waited for.
+# A process that has not asked to join for this long counts as gone.
 JOINER_SILENCE_S: Final = 5.0
-# A learner that lags longer keeps the operator waiting for nothing, and
-# would stay a member that no quorum can count on.
+# A learner that has not caught up by then is removed. Otherwise the
+# operator's command would wait without a result, and the group would keep a
+# member that cannot vote.
 CATCH_UP_S: Final = 20.0
-# A commit takes milliseconds; on a busy machine, or beside an election, it
-# may take seconds. Without a quorum it never comes.
+# A commit takes milliseconds, or seconds on a busy machine or during an
+# election. Without a quorum it never completes.
 CHANGE_WAIT_S: Final = 5.0
-# A leader's loop that pauses this long was suspended or starved.
+# A loop whose round takes this long was suspended or got no processor time.
 SUSPENDED_AFTER_S: Final = 1.0
-# A request that another process passed on expects no reply.
+# The call id of a join request that another process has forwarded; such a
+# request gets no reply.
 FORWARDED: Final = 0
 
 
 class MembershipManager:
-    """The leader's side: who asked to join, and who is to replace whom.
-
-    A voter whose disk was lost comes back under a new id and asks like
-    any stranger. It is admitted by itself only while the group has fewer
-    voters than wanted, which is the formation of a new cluster; later a
-    lost voter still counts, so its replacement waits for an operator, or
-    with ``replace_lost`` for the rules of `voter_repair`. Without that, a
-    wiped voter would vote again in a term in which its old self had voted,
-    and two leaders could commit different entries.
+    """Records which processes ask to join, and changes the voters.
+
+    A voter whose disk was lost restarts under a new id and asks to join
+    like any unknown process. A joiner is admitted without an operator only
+    while the group has fewer voters than wanted, that is, while a new
+    cluster forms. Later the lost voter still counts, so its replacement
+    waits for an operator or, with ``replace_lost``, for the rules of
+    `voter_repair`. Without these rules a wiped voter could vote a second
+    time in a term in which it had voted under its old id, and two leaders
+    could commit different entries.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
         self._last_asked_s: dict[str, float] = {}
 
     def waiting_joiners(self) -> tuple[JoinRequest, ...]:
-        """Return processes that ask to join and are no members yet."""
+        """Return the processes that ask to join and are not members yet."""
         members = _member_ids(self._configuration_replica())
         return tuple(
             joiner
@@ -83,9 +86,12 @@
         )
 
     def receive(self, sender: str, request: JoinRequest) -> None:
-        """Note a joiner and tell it that it was heard."""
-        # One process listens at an address, so an earlier id there was
-        # lost with its disk: as a learner it would never catch up.
+        """Record a joiner, forward its request to the leaders, and reply.
+
+        The reply says whether this process belongs to a cluster.
+        """
+        # Only one process listens at an address, so an earlier id there was
+        # lost with its disk. As a learner it would never catch up.
         for member_id, earlier in list(self._joiners.items()):
             if earlier.address == request.address:
                 del self._joiners[member_id]
@@ -99,13 +105,18 @@
         self._mesh.send(sender, CallReply(request.call_id, "", in_cluster))
 
     async def run(self) -> None:
-        """Admit learners and promote them, while this process leads."""
+        """Admit or replace voters of the logs that this process leads.
+
+        Runs until cancelled and makes at most one change of each log every
+        `ADMIT_INTERVAL_S`.
+        """
         last_round_s = boottime_s()
         while True:
             await anyio.sleep(ADMIT_INTERVAL_S)
             now_s = boottime_s()
             if now_s - last_round_s > SUSPENDED_AFTER_S:
-                # Whoever was paused has heard nobody meanwhile.
+                # While suspended, this process received nothing, so the
+                # silence of the members must be counted anew.
                 self._leading_since_s.clear()
             last_round_s = now_s
             for group, replica in self._groups.replicas.items():
@@ -126,9 +137,9 @@
     ) -> None:
         """Make a joiner a voter of a log, then remove the old voter.
 
-        The new voter is a learner until it has caught up and synced, so
-        that at no moment a quorum rests on a disk without the entries.
-        Safe to repeat; raises `ConsensusError` where the log refuses or
+        The joiner remains a learner until it has caught up and synced, so
+        that no quorum ever includes a disk without the entries. The call is
+        idempotent. Raises `ConsensusError` if the log refuses a change or
         this process does not lead it.
         """
         if old_id == new_id:
@@ -161,19 +172,20 @@
         return self._groups.replicas[CONFIGURATION_GROUP]
 
     def _is_asking(self, joiner: JoinRequest) -> bool:
-        """Tell whether the joiner itself still asks.
+        """Return whether the joiner's own id still asks to join.
 
-        Its address may answer all the same: a VM that was started on an
-        empty folder and then on its old disk is there, the id of the
-        empty folder is not.
+        Its address may answer even if the id is gone: a VM that started on
+        an empty folder and then on its original disk answers under the
+        original id.
         """
         asked_s = self._last_asked_s[joiner.member_id]
         return boottime_s() - asked_s < JOINER_SILENCE_S
 
     def _forward(self, request: JoinRequest) -> None:
-        """Tell the leaders: a newcomer knows them not, and few others.
+        """Forward a join request to the leader of each log.
 
-        The addresses that it was given may be old, and none the leader's.
+        A joining process does not know the leaders. The addresses in its
+        settings may be outdated and include no leader.
         """
         for group in self._groups.replicas:
             leader = self._groups.leader_address(group)
@@ -221,10 +233,10 @@
         members: Sequence[MemberStatus],
         since_s: float,
     ) -> float:
-        """Return how long a member was silent, at most since we lead.
+        """Return a member's silence in seconds since this process leads.
 
-        A follower answers nobody but the leader, so silence from before
-        tells nothing.
+        A follower answers only the leader, so its silence towards this
+        process before that means nothing.
         """
         heard_s = max(
             self._groups.heard_s(member.member_id),
@@ -234,7 +246,7 @@
         silent_s = boottime_s() - heard_s
         if self._has_shared_address(member, members):
             return silent_s
-        # A log whose disk stalls is silent; its process is not lost.
+        # A stalled disk silences a log while its process is still alive.
         return min(silent_s, self._mesh.unheard_s(member.address))
 
     def _has_shared_address(
@@ -273,14 +285,15 @@
     async def _continue_replacement(
         self, replica: Replica, voters: Sequence[MemberStatus]
     ) -> bool:
-        """Take one step towards what was replaced in the first log.
-
-        `replace` goes through the logs in turn, and stops where a leader
-        changes. The voter then shows as replaced and misses a log: nobody
-        is told, and entries that are attached to it get no order through.
-        An operator has approved it for the first log, so that no stranger
-        gets in this way, and both are at one address, so that no sound
-        voter is removed. Returns whether a step was taken.
+        """Make one change towards the voters of the configuration log.
+
+        An operator's command calls `replace_voter` for one log after the
+        other and stops if a leader changes in between. The new voter then
+        lacks a log while the status shows it as a voter, and the ledger
+        batches of the entries attached to it fail. Continuing is safe: an
+        operator has approved the new voter for the configuration log, and
+        both ids have the same address, so no healthy voter is removed.
+        Returns whether a change was made.
         """
         if replica is self._configuration_replica():
             return False
@@ -298,7 +311,7 @@
                 await replica.remove(voter.member_id)
             else:
                 await self._add_learner(replica, successor)
-            LOG.info("replacement goes on", extra={"member": successor})
+            LOG.info("replacement continued", extra={"member": successor})
             return True
         return False
 
@@ -306,10 +319,11 @@
 async def _retry_while_under_way(
     change: Callable[[], Awaitable[None]],
 ) -> None:
-    """Make a change once an earlier one is committed, if there is one.
+    """Make a change, and retry while an earlier change is under way.
 
-    The leader's own round makes changes too; the operator's command was
-    refused for one that its own system had under way.
+    The leader's own loop makes changes too. Without the retry, one of them
+    would cause an operator's command to be refused. Raises `ChangeUnderWay`
+    after `CHANGE_WAIT_S`.
     """
     deadline_s = boottime_s() + CHANGE_WAIT_S
     while True:
@@ -323,16 +337,23 @@
 
 
 async def _promote_when_ready(replica: Replica, member_id: str) -> None:
+    """Promote a learner once it has caught up, or remove it.
+
+    Raises `MembershipRefused` if it has not caught up in `CATCH_UP_S`, and
+    `ConsensusError` if this process loses the leadership.
+    """
     deadline_s = boottime_s() + CATCH_UP_S
-    # The leader's own round may promote it first. Asked for once more, a
-    # promotion is refused, and taken for a learner that lags the new voter
-    # was removed again after 20 s, the other logs never reached.
+    # The leader's own loop may promote the learner first, and a second
+    # promotion is refused. Without this check, the new voter was taken for a
+    # lagging learner and removed after 20 s, before the other logs were
+    # changed.
     while not is_voter(replica, member_id):
         try:
             await replica.promote(member_id)
             return
         except ConsensusError:
-            # Not caught up yet, or leadership moved: the latter ends it.
+            # Either the learner has not caught up yet, or this process no
+            # longer leads; only the latter ends the wait.
             if replica.status().role != "leader":
                 raise
         if boottime_s() > deadline_s:
--- a/packages/sycamorestand-control/tests/test_membership.py
+++ b/packages/sycamorestand-control/tests/test_membership.py
@@ -18,7 +18,7 @@
 
 
 class FakeReplica:
-    """A log whose learners catch up at once, or never."""
+    """A log whose learners catch up at once or not at all."""
 
     def __init__(self, catches_up: bool = True) -> None:
         self.members = [MemberStatus("old", "old:1", True, 1)]
@@ -47,11 +47,11 @@
 
 
 class BusyReplica(FakeReplica):
-    """Refuses one step once, as an earlier change is not committed yet."""
+    """Refuses one change once, as if another one were under way."""
 
-    def __init__(self, step: str) -> None:
+    def __init__(self, change: str) -> None:
         super().__init__()
-        self._refused = step
+        self._refused = change
 
     async def add_learner(self, member_id: str, address: str) -> None:
         self._refuse(f"add {member_id}")
@@ -61,8 +61,8 @@
         self._refuse(f"remove {member_id}")
         await super().remove(member_id)
 
-    def _refuse(self, step: str) -> None:
-        if step == self._refused:
+    def _refuse(self, change: str) -> None:
+        if change == self._refused:
             self._refused = ""
             raise ChangeUnderWay("another change is not committed yet")
 
@@ -81,11 +81,11 @@
     def send(self, address: str, message: Any) -> None: ...
 
 
-class Scene:
+class Harness:
     def __init__(self, replica: FakeReplica) -> None:
         self.mesh = FakeMesh()
         self.replica = replica
-        self.admissions = MembershipManager(
+        self.membership = MembershipManager(
             self.mesh,  # type: ignore[arg-type]
             FakeGroups(replica),  # type: ignore[arg-type]
             3,
@@ -93,113 +93,119 @@
 
     def ask(self, member_id: str, address: str) -> None:
         request = JoinRequest(1, member_id, address, "vm")
-        self.admissions.receive(address, request)
+        self.membership.receive(address, request)
 
     def waiting(self) -> list[str]:
         return [
-            joiner.member_id for joiner in self.admissions.waiting_joiners()
+            joiner.member_id for joiner in self.membership.waiting_joiners()
         ]
 
 
 class TestReplace:
     @pytest.mark.anyio
-    async def test_the_old_voter_goes_after_the_new_one_is_in(self) -> None:
-        """A voter's disk is lost and a new one asks to join.
+    async def test_the_old_voter_is_removed_after_the_promotion(self) -> None:
+        """A voter's disk is lost and a new process asks to join.
 
-        Were the old one removed first, the loss of another voter in
-        between would leave a quorum that rests on an empty disk.
+        If the old voter were removed first, the loss of another voter in
+        between would leave a quorum that depends on an empty disk.
         """
-        scene = Scene(FakeReplica())
-        scene.ask("new", "new:1")
-        await scene.admissions.replace_voter(0, "old", "new")
-        assert scene.replica.calls == ["add new", "promote new", "remove old"]
+        harness = Harness(FakeReplica())
+        harness.ask("new", "new:1")
+        await harness.membership.replace_voter(0, "old", "new")
+        assert harness.replica.calls == [
+            "add new",
+            "promote new",
+            "remove old",
+        ]
 
     @pytest.mark.anyio
-    async def test_a_repeat_goes_on_where_the_first_ended(self) -> None:
-        scene = Scene(FakeReplica())
-        scene.ask("new", "new:1")
-        await scene.replica.add_learner("new", "new:1")
-        await scene.admissions.replace_voter(0, "old", "new")
-        await scene.admissions.replace_voter(0, "old", "new")
-        assert scene.replica.calls == ["add new", "promote new", "remove old"]
+    async def test_a_repeated_call_makes_only_missing_changes(self) -> None:
+        harness = Harness(FakeReplica())
+        harness.ask("new", "new:1")
+        await harness.replica.add_learner("new", "new:1")
+        await harness.membership.replace_voter(0, "old", "new")
+        await harness.membership.replace_voter(0, "old", "new")
+        assert harness.replica.calls == [
+            "add new",
+            "promote new",
+            "remove old",
+        ]
 
     @pytest.mark.anyio
-    async def test_who_does_not_ask_is_not_admitted(self) -> None:
-        scene = Scene(FakeReplica())
+    async def test_a_process_that_does_not_ask_is_refused(self) -> None:
+        harness = Harness(FakeReplica())
         with pytest.raises(MembershipRefused, match="does not ask"):
-            await scene.admissions.replace_voter(0, "old", "stranger")
-        assert scene.replica.calls == []
+            await harness.membership.replace_voter(0, "old", "stranger")
+        assert harness.replica.calls == []
 
     @pytest.mark.anyio
     @pytest.mark.parametrize("step", ["add new", "remove old"])
-    async def test_a_change_that_is_under_way_is_waited_for(
-        self, step: str
-    ) -> None:
-        """The leader's own step was not committed, and the command refused."""
+    async def test_a_change_under_way_is_waited_for(self, step: str) -> None:
+        """The leader's own uncommitted change made a command fail."""
         replica = BusyReplica(step)
-        scene = Scene(replica)
-        scene.ask("new", "new:1")
-        await scene.admissions.replace_voter(0, "old", "new")
+        harness = Harness(replica)
+        harness.ask("new", "new:1")
+        await harness.membership.replace_voter(0, "old", "new")
         assert replica.calls == ["add new", "promote new", "remove old"]
 
     @pytest.mark.anyio
-    async def test_one_that_is_never_committed_is_not(
+    async def test_waiting_for_a_change_under_way_times_out(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Without a quorum nothing is committed, and the operator is told."""
+        """Without a quorum no change is committed; the operator is told."""
         module = "sycamorestand_control.membership."
         monkeypatch.setattr(module + "CHANGE_WAIT_S", 0.0)
-        scene = Scene(BusyReplica("remove old"))
-        scene.ask("new", "new:1")
+        harness = Harness(BusyReplica("remove old"))
+        harness.ask("new", "new:1")
         with pytest.raises(ChangeUnderWay):
-            await scene.admissions.replace_voter(0, "old", "new")
+            await harness.membership.replace_voter(0, "old", "new")
 
     @pytest.mark.anyio
-    async def test_a_learner_that_lags_is_removed_again(
+    async def test_a_learner_that_does_not_catch_up_is_removed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The new VM dies while it catches up.
+        """The new VM fails while it catches up.
 
-        The operator is told after a bounded time, the old voter stays and
-        the half-made member is gone.
+        The operator gets an error after a bounded time, the old voter
+        remains, and the learner is removed.
         """
         module = "sycamorestand_control.membership."
         monkeypatch.setattr(module + "CATCH_UP_S", 0.0)
-        scene = Scene(FakeReplica(catches_up=False))
-        scene.ask("new", "new:1")
+        harness = Harness(FakeReplica(catches_up=False))
+        harness.ask("new", "new:1")
         with pytest.raises(MembershipRefused, match="did not catch up"):
-            await scene.admissions.replace_voter(0, "old", "new")
-        assert scene.replica.calls == ["add new", "remove new"]
+            await harness.membership.replace_voter(0, "old", "new")
+        assert harness.replica.calls == ["add new", "remove new"]
 
 
-class TestWaiting:
-    def test_an_id_lost_with_its_disk_is_not_shown(self) -> None:
+class TestWaitingJoiners:
+    def test_an_id_that_was_lost_with_its_disk_is_dropped(self) -> None:
         """A VM asks, loses its disk again and asks under another id.
 
-        The first id will never answer; shown as waiting, an operator
-        would put it in as a voter that cannot vote.
+        The first id will never answer. If it were listed, an operator could
+        make it a voter that never votes.
         """
-        scene = Scene(FakeReplica())
-        scene.ask("first", "new:1")
-        scene.ask("second", "new:1")
-        assert scene.waiting() == ["second"]
+        harness = Harness(FakeReplica())
+        harness.ask("first", "new:1")
+        harness.ask("second", "new:1")
+        assert harness.waiting() == ["second"]
 
-    def test_a_member_does_not_wait(self) -> None:
-        scene = Scene(FakeReplica())
-        scene.ask("old", "old:1")
-        assert scene.waiting() == []
+    def test_a_member_is_not_listed(self) -> None:
+        harness = Harness(FakeReplica())
+        harness.ask("old", "old:1")
+        assert harness.waiting() == []
 
-    def test_who_no_longer_asks_does_not_wait(
+    def test_a_process_that_stopped_asking_is_not_listed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A VM starts on an empty folder, then on its old disk.
+        """A VM starts on an empty folder, then on its original disk.
 
-        Its address answers, but the id of the empty folder is gone: it
-        asks no more, so nobody must be told to put it in.
+        Its address answers, but the id of the empty folder no longer asks
+        to join, so operators must not be told to admit it.
         """
-        scene = Scene(FakeReplica())
-        scene.ask("new", "new:1")
-        assert scene.waiting() == ["new"]
+        harness = Harness(FakeReplica())
+        harness.ask("new", "new:1")
+        assert harness.waiting() == ["new"]
         module = "sycamorestand_control.membership."
         monkeypatch.setattr(module + "JOINER_SILENCE_S", 0.0)
-        assert scene.waiting() == []
+        assert harness.waiting() == []
--- a/packages/sycamorestand-control/tests/test_voter_repair.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair.py
@@ -129,7 +129,7 @@
         self, others: list[ObservedMember], joiners: list[ObservedMember]
     ) -> None:
         """No voter is removed unless it is surplus and a majority remains."""
-        members = {each.member_id: each for each in [LEADER, *others]}
+        members = {member.member_id: member for member in [LEADER, *others]}
         change = next_change("a", list(members.values()), joiners, WANTED)
         if change is None:
             return
--- a/packages/sycamorestand-control/tests/test_voter_repair_wired.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair_wired.py
@@ -1,4 +1,4 @@
-"""Voters that replace themselves: logs, links and disks are the real ones."""
+"""Repair of voters with real logs, links and disks."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 pytestmark = pytest.mark.anyio
 LOGS = (0, 1)
-BOUND_S = 30
+WAIT_TIMEOUT_S = 30
 PROPOSE_S = 10.0
 
 
@@ -46,7 +46,7 @@
 
 
 class Voter:
-    """The parts of a control process that have to do with its logs."""
+    """The parts of a control process that manage its logs."""
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
         known: list[str],
         replace_lost: bool = True,
     ) -> None:
-        self.mesh = PeerMesh(address, lambda: (b"k" * 32,), self._received)
+        self.mesh = PeerMesh(address, lambda: (b"k" * 32,), self._dispatch)
         table = {log: Group(Machine(), int) for log in LOGS}
         self.groups = LogGroups(self.mesh, folder, ReplicaSettings(), table)
-        self.admissions = MembershipManager(
+        self.membership = MembershipManager(
             self.mesh, self.groups, 3, replace_lost
         )
         self._known = [each for each in known if each != address]
@@ -80,7 +80,7 @@
                 self._tasks = tasks
                 await tasks.start(self.mesh.run)
                 tasks.start_soon(self.groups.run)
-                tasks.start_soon(self.admissions.run)
+                tasks.start_soon(self.membership.run)
                 tasks.start_soon(
                     ask_to_join,
                     self.mesh,
@@ -90,17 +90,17 @@
                     True,
                 )
 
-    def _received(self, sender: str, message: Any) -> None:
+    def _dispatch(self, sender: str, message: Any) -> None:
         if isinstance(message, ReplicaPayload):
             self.groups.receive(sender, message)
         elif isinstance(message, JoinRequest):
-            self.admissions.receive(sender, message)
+            self.membership.receive(sender, message)
         elif isinstance(message, ProposalForward):
             answer = self.groups.handle_forward
             self._tasks.start_soon(answer, sender, message)
 
 
-async def _three(
+async def _start_three(
     tasks: TaskGroup, folder: Path, replace_lost: bool = True
 ) -> list[Voter]:
     addresses = [free_address() for _ in range(3)]
@@ -113,46 +113,46 @@
     first = voters[0]
     own = [(first.groups.member_id, first.mesh.address)]
     await first.groups.bootstrap_blank(own)
-    await _until_voting(voters)
+    await _wait_until_voting(voters)
     return voters
 
 
-async def _two_and_a_newcomer(
+async def _start_with_a_wiped_voter(
     tasks: TaskGroup, folder: Path
 ) -> tuple[list[Voter], Voter, Voter]:
-    """Return two voters, the wiped third and who is at its address now.
+    """Return two voters, the wiped third, and the process at its address.
 
-    None of them replaces a lost voter by itself.
+    None of them replaces a lost voter without an operator.
     """
-    voters = await _three(tasks, folder, replace_lost=False)
+    voters = await _start_three(tasks, folder, replace_lost=False)
     wiped = voters.pop(0)
     wiped.stop()
-    await _until(lambda: _is_free(wiped.mesh.address))
+    await _wait_until(lambda: _is_free(wiped.mesh.address))
     (folder / "new").mkdir()
     known = [voter.mesh.address for voter in voters]
-    newcomer = Voter(folder / "new", wiped.mesh.address, known, False)
-    newcomer.start(tasks)
-    return voters, wiped, newcomer
+    joiner = Voter(folder / "new", wiped.mesh.address, known, False)
+    joiner.start(tasks)
+    return voters, wiped, joiner
 
 
-async def _until_voting(voters: list[Voter]) -> None:
-    """Wait until these three, and nobody else, vote in both logs."""
+async def _wait_until_voting(voters: list[Voter]) -> None:
+    """Wait until exactly these processes vote in both logs."""
     wanted = {voter.groups.member_id for voter in voters}
-    await _until(
+    await _wait_until(
         lambda: all(
             voter.voters(log) == wanted for voter in voters for log in LOGS
         )
     )
 
 
-async def _until(condition: Callable[[], bool]) -> None:
-    with anyio.fail_after(BOUND_S):
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    with anyio.fail_after(WAIT_TIMEOUT_S):
         while not condition():
             await anyio.sleep(0.02)
 
 
 def _is_free(address: str) -> bool:
-    """Tell whether the socket that listened there is closed for good."""
+    """Return whether the socket that listened there is closed."""
     host, _, port = address.rpartition(":")
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -164,95 +164,97 @@
 
 
 class TestLostVoter:
-    async def test_its_disk_is_lost_and_then_another_voter(
+    async def test_a_wiped_voter_is_replaced_before_the_next_loss(
         self, tmp_path: Path
     ) -> None:
-        """A voter comes back on an empty folder at its old address.
+        """A voter restarts on an empty folder at its old address.
 
-        Nobody calls for its replacement. It votes in both logs soon, its
-        old id does not, and when another voter is lost right after that
-        commands are still committed, with all that was before.
+        No operator acts. The new id soon votes in both logs instead of the
+        old one. When another voter is lost right after that, commands are
+        still committed and no earlier command is missing.
         """
         async with anyio.create_task_group() as tasks:
-            voters = await _three(tasks, tmp_path)
+            voters = await _start_three(tasks, tmp_path)
             for log in LOGS:
                 assert await voters[0].groups.propose(log, b"", PROPOSE_S) == 1
             wiped = voters.pop(0)
             wiped.stop()
-            await _until(lambda: _is_free(wiped.mesh.address))
+            await _wait_until(lambda: _is_free(wiped.mesh.address))
             (tmp_path / "new").mkdir()
             known = [voter.mesh.address for voter in voters]
-            newcomer = Voter(tmp_path / "new", wiped.mesh.address, known)
-            newcomer.start(tasks)
-            await _until_voting([*voters, newcomer])
+            joiner = Voter(tmp_path / "new", wiped.mesh.address, known)
+            joiner.start(tasks)
+            await _wait_until_voting([*voters, joiner])
             voters.pop().stop()
             for log in LOGS:
-                assert await newcomer.groups.propose(log, b"", PROPOSE_S) == 2
+                assert await joiner.groups.propose(log, b"", PROPOSE_S) == 2
             tasks.cancel_scope.cancel()
 
-    async def test_it_was_only_away_and_comes_back(
+    async def test_a_replaced_voter_returns_as_a_spare(
         self, tmp_path: Path
     ) -> None:
-        """A voter is cut off for long while a spare asks, and is replaced.
+        """A voter is cut off for long and replaced by a spare.
 
-        Its own log does not tell it so. It asks again, waits as a spare,
-        and takes the place of the next voter that is lost.
+        Its own log does not show the replacement. It asks to join again,
+        waits as a spare and replaces the next voter that is lost.
         """
         async with anyio.create_task_group() as tasks:
-            voters = await _three(tasks, tmp_path)
+            voters = await _start_three(tasks, tmp_path)
             known = [voter.mesh.address for voter in voters]
             away = voters.pop(0)
             away.stop()
             (tmp_path / "spare").mkdir()
             spare = Voter(tmp_path / "spare", free_address(), known)
             spare.start(tasks)
-            await _until_voting([*voters, spare])
-            await _until(lambda: _is_free(away.mesh.address))
+            await _wait_until_voting([*voters, spare])
+            await _wait_until(lambda: _is_free(away.mesh.address))
             back = Voter(tmp_path / "0", away.mesh.address, known)
             back.start(tasks)
             voters.pop().stop()
-            await _until_voting([*voters, spare, back])
+            await _wait_until_voting([*voters, spare, back])
             tasks.cancel_scope.cancel()
 
 
 class TestInterruptedReplacement:
-    async def test_the_other_logs_follow_the_configurations(
+    async def test_the_ledger_follows_the_configuration_log(
         self, tmp_path: Path
     ) -> None:
-        """Leadership moves in the middle of `replace-voter`.
+        """The leader changes during `replace-voter`.
 
-        The operator's command has replaced the lost voter in the log of
-        the configuration and not in the ledger's. The new voter shows as
-        one, nothing tells that it misses a log, and entries attached to it
-        get no order through. The ledger's leader finishes what the
-        operator asked for, and removes the old voter.
+        The operator's command has replaced the lost voter in the
+        configuration log but not in the ledger's log. The status shows the
+        new process as a voter, but the ledger batches of the entries
+        attached to it fail. The ledger's leader must complete the
+        replacement and remove the old voter.
         """
         async with anyio.create_task_group() as tasks:
-            voters, wiped, newcomer = await _two_and_a_newcomer(
+            voters, wiped, joiner = await _start_with_a_wiped_voter(
                 tasks, tmp_path
             )
             for log in LOGS:
                 await voters[0].groups.propose(log, b"", PROPOSE_S)
             leader = next(v for v in voters if v.groups.is_leader(0))
-            await _until(lambda: bool(leader.admissions.waiting_joiners()))
-            await leader.admissions.replace_voter(
-                0, wiped.groups.member_id, newcomer.groups.member_id
+            await _wait_until(
+                lambda: bool(leader.membership.waiting_joiners())
             )
-            await _until_voting([*voters, newcomer])
+            await leader.membership.replace_voter(
+                0, wiped.groups.member_id, joiner.groups.member_id
+            )
+            await _wait_until_voting([*voters, joiner])
             tasks.cancel_scope.cancel()
 
-    async def test_a_stranger_replaces_nobody_by_itself(
+    async def test_no_voter_is_replaced_without_an_operator(
         self, tmp_path: Path
     ) -> None:
-        """A voter is wiped and no operator has said anything yet."""
+        """A voter is wiped and no operator has asked for a replacement."""
         async with anyio.create_task_group() as tasks:
-            voters, wiped, newcomer = await _two_and_a_newcomer(
+            voters, wiped, joiner = await _start_with_a_wiped_voter(
                 tasks, tmp_path
             )
-            await _until(
-                lambda: all(v.admissions.waiting_joiners() for v in voters)
+            await _wait_until(
+                lambda: all(v.membership.waiting_joiners() for v in voters)
             )
             await anyio.sleep(1.0)
             for log in LOGS:
-                assert newcomer.groups.member_id not in voters[0].voters(log)
+                assert joiner.groups.member_id not in voters[0].voters(log)
             tasks.cancel_scope.cancel()
