--- a/packages/sycamorestand-control/src/sycamorestand_control/hub.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/hub.py
@@ -1,4 +1,4 @@
-"""What a control process does for the entries attached to it."""
+"""Serve the entries that are attached to a control process."""
 
 from __future__ import annotations
 
@@ -30,18 +30,23 @@
 
 LOG: Final = logging.getLogger(__name__)
 TICK_S: Final = 0.1
-# Longer than an entry's lease: a silent entry is told nothing more.
+# Longer than an entry's lease. Nothing more is sent to an entry that has been
+# silent for this long.
 DETACH_AFTER_S: Final = 5.0
-# A push that was lost is repeated with a renewal, yet not with each of
-# them: the whole configuration is the largest message there is.
+# A lost push is repeated when the entry renews its lease, but not at each
+# renewal, because the whole configuration is the largest message.
 PUSH_RETRY_S: Final = 0.3
-# Loads and addresses are coarse and late by nature.
+# Loads and addresses are approximate and late in any case, so they are sent
+# less often.
 SLOW_INTERVAL_S: Final = 1.0
-# Callers need a few addresses to choose among, not all of 330.
+# Callers only need a few addresses to choose from, not those of all 330
+# entries.
 ADDRESSES_FOR_CALLERS: Final = 8
 
 
 class _AttachedEntry:
+    """What was last heard from and sent to an entry."""
+
     def __init__(self, address: str, vm: str, data_centre: str) -> None:
         self.address = address
         self.vm = vm
@@ -54,7 +59,12 @@
 
 
 class EntryHub:
-    """Leases, configuration, backend servers and addresses for entries."""
+    """Sends its entries leases, configuration, servers and addresses.
+
+    ``other_controls`` returns the peer addresses of the other control
+    processes, and ``voters`` those of all voters. ``denied`` counts the
+    leases that were denied.
+    """
 
     def __init__(
         self,
@@ -76,15 +86,18 @@
         self.denied = 0
 
     def attached_vms(self) -> tuple[str, ...]:
-        """Return the VMs of the entries that this process serves."""
+        """Return the VMs of the entries attached to this process."""
         return tuple(entry.vm for entry in self._attached.values())
 
     def attached_addresses(self) -> tuple[str, ...]:
-        """Return the peer addresses of the entries served here."""
+        """Return the peer addresses of the entries attached here."""
         return tuple(self._attached)
 
     def handle_lease_request(self, sender: str, message: LeaseRequest) -> None:
-        """Renew an entry's lease, and send it what it lacks."""
+        """Answer a lease request, and send what the entry lacks.
+
+        That is a newer configuration and changes of the backend servers.
+        """
         entry = self._attach(sender, message)
         self._tables.record_entry(sender, message)
         self._answer_lease(sender, message)
@@ -92,20 +105,23 @@
         self._tables.send_to_entry(sender)
 
     def revision_applied(self) -> None:
-        """Send the new revision to every entry at once."""
+        """Send the newly applied revision to every attached entry."""
         for entry in self._attached.values():
             self._push_configuration(entry, entry.pushed_revision)
 
     async def run(self) -> None:
-        """Keep entries' tables and addresses fresh, until cancelled."""
+        """Send the entries changes of tables and addresses, until cancelled.
+
+        Also detaches entries that have been silent for `DETACH_AFTER_S`.
+        """
         next_slow_push_s = 0.0
         stopping: frozenset[str] = frozenset()
         while True:
             await anyio.sleep(TICK_S)
             now_s = boottime_s()
             if stopping != self._tables.stopping_vms():
-                # Callers must be sent elsewhere before the VM is gone; a
-                # change of load alone can wait.
+                # Callers must be sent elsewhere before the VM stops. A
+                # change of load alone can wait for the next interval.
                 stopping = self._tables.stopping_vms()
                 self._push_addresses()
             self._detach_silent(now_s)
@@ -137,8 +153,9 @@
                     message.sent_at_s, grant.length_s, grant.revision
                 ),
             )
-            # With each lease: a count that is told once and lost on its way
-            # would leave an entry with a larger part for as long as it runs.
+            # The count is sent with each lease. If it were sent once and
+            # lost, the entry would use too large a share of the limits for as
+            # long as it runs.
             self._mesh.send(sender, EntryCount(len(self._tables.entries())))
             return
         self.denied += 1
@@ -165,11 +182,12 @@
         self._mesh.send(entry.address, self._make_push(in_force))
 
     def _make_push(self, in_force: InForce) -> ConfigurationPush:
-        """Return the push of a revision, made once for all entries.
+        """Return the message for a revision, packed once for all entries.
 
-        The operator's document stays here: entries act on what was made
-        of it, and it is most of the bytes. With 1,100 routes it would keep
-        an entry's slow link busy for longer than a change may take.
+        The operator's document is left out. Entries use only the parsed
+        declarations, and the document is most of the bytes: with 1,100
+        routes it would occupy an entry's slow link for longer than a change
+        may take.
         """
         if self._cached_push.revision != in_force.revision:
             declarations = in_force.declarations
@@ -185,10 +203,10 @@
             self._tables.send_loads_to_entry(entry.address, entry.vm)
 
     def _push_controls(self) -> None:
-        """Tell entries where control is now.
+        """Send each entry the addresses of the present voters.
 
-        After every voter has been replaced, an entry that knew only those
-        that it was started with would find none when its own one goes.
+        An entry that knew only the voters from its start would find no
+        control process once all of them have been replaced.
         """
         voters = self._voters()
         for entry in self._attached.values():
@@ -201,7 +219,11 @@
     def _distance(
         self, entry: _AttachedEntry, control: str
     ) -> tuple[bool, bool, int]:
-        """Rank a control process; those alike are spread over entries."""
+        """Return the sort key of a control process for an entry.
+
+        A process on the entry's host comes first, then one in its data
+        centre. A hash spreads the entries over processes of equal distance.
+        """
         name = self._tables.control_name(control)
         spread = zlib.crc32(f"{entry.address} {control}".encode())
         return (
--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -1,4 +1,4 @@
-"""Both levels of configuration leases, as one control process runs them."""
+"""Grant and hold configuration leases in a control process."""
 
 from __future__ import annotations
 
@@ -39,10 +39,11 @@
 
 
 class LeaseService:
-    """Holds this process's lease and grants those of entries under it.
+    """Holds this process's lease and grants leases to its entries.
 
+    An entry's lease ends before the lease of the process that granted it.
     While the process leads, it also grants the leases of all control
-    processes, its own included.
+    processes, including its own.
     """
 
     def __init__(
@@ -59,11 +60,11 @@
         self._was_held = False
 
     def remaining_s(self) -> float:
-        """Return how long this process may still grant leases."""
+        """Return how many seconds this process may still grant leases."""
         return self._held.remaining_s(boottime_s())
 
     def revision_applied(self) -> None:
-        """Ask of holders the revision that was just applied."""
+        """Require the newly applied revision of every lease holder."""
         revision = self._revision()
         self._entries.require(revision)
         if self._term is not None:
@@ -73,42 +74,49 @@
     def grant_entry(
         self, holder: str, acked_revision: int
     ) -> LeaseGrant | None:
-        """Grant or renew the lease of an entry, None where it may not be."""
+        """Grant or renew an entry's lease, or return None to deny it."""
         grant = self._entries.grant(
             holder, acked_revision, boottime_s(), self.remaining_s()
         )
         if self._acked_revision() > self._reported_revision:
-            # An operator waits for this acknowledgement; the next renewal
-            # would bring it up to an interval later.
+            # An operator waits for this acknowledgement, and the next renewal
+            # would send it up to `RENEW_INTERVAL_S` later.
             self._renew_now.set()
         return grant
 
     def live_entries(self) -> tuple[str, ...]:
-        """Return the entries whose lease may still run."""
+        """Return the entries whose lease may not have expired yet."""
         return self._entries.live(boottime_s())
 
     def in_force(self, revision: int) -> InForceStatus | None:
-        """Return the leader's answer, None while this process is none."""
+        """Return whether a revision is in force, as the leader knows it.
+
+        Returns None if this process does not lead or has not applied the
+        revision yet.
+        """
         table = self._leading_table()
         if table is None or self._revision() < revision:
             return None
         return table.in_force(revision, boottime_s())
 
     def live_controls(self) -> tuple[str, ...]:
-        """Return the control processes whose lease may still run."""
+        """Return the control processes whose lease may not have expired.
+
+        Only the leader knows them; other processes return none.
+        """
         table = self._leading_table()
         return () if table is None else table.live(boottime_s())
 
     def handle_request(
         self, sender: str, message: ControlLeaseRequest
     ) -> None:
-        """Grant a control process's lease, where this process leads."""
+        """Grant a control process's lease if this process leads."""
         granted = self._grant_control(message)
         if granted is not None:
             self._mesh.send(sender, granted)
 
     def granted(self, message: ControlLeaseGranted) -> None:
-        """Take a lease from the leader."""
+        """Store the lease that the leader has granted to this process."""
         grant = LeaseGrant(message.length_s, message.revision)
         self._held.renewed(message.sent_at_s, grant)
 
@@ -123,8 +131,8 @@
             rounds += 1
             if rounds % FORGET_EVERY_ROUNDS == 0:
                 self._entries.forget_expired(boottime_s())
-            # Without a lease it asks often: a process that has started
-            # waits for the leader to be known and for nothing else.
+            # Without a lease the process asks more often: after a start it
+            # only waits until the leader is known.
             pause_s = (
                 RENEW_INTERVAL_S
                 if self.remaining_s() > 0
@@ -149,10 +157,10 @@
         self._reported_revision = acked_revision
 
     def _log_lease_change(self) -> None:
-        """Log when the lease is lost, or held again.
+        """Log when the lease is lost or held again.
 
-        Without one the process may be cut off, and what is told to it
-        reaches nobody.
+        A process without a lease may be cut off, so messages to it may
+        reach no other process.
         """
         held = self.remaining_s() > 0
         if held == self._was_held:
@@ -170,8 +178,8 @@
         if table is None:
             return None
         replica = self._groups.replicas[CONFIGURATION_GROUP]
-        # Read after the request came: a quorum that was there before says
-        # nothing about a leader that has been cut off since.
+        # The leader's lease is read after the request arrived: an earlier
+        # quorum does not show that the leader has not been cut off since.
         grant = table.grant(
             message.control,
             message.acked_revision,
@@ -192,10 +200,10 @@
         return self._term.table if self._term.number == status.term else None
 
     async def _sync_term(self) -> None:
-        """Start a table when this process has become the leader.
+        """Create a new lease table when this process becomes the leader.
 
-        Only after the barrier does it hold every revision that an earlier
-        leader may have reported in force.
+        Only after the read barrier has this process applied every revision
+        that an earlier leader may have reported as in force.
         """
         replica = self._groups.replicas[CONFIGURATION_GROUP]
         status = replica.status()
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -1,9 +1,10 @@
 """Soft state that control processes share: backend servers and entries.
 
-Each process hears some announcers at first hand and tells the others of
-them by versioned deltas; what it merges goes to its entries, by deltas
-too. Nothing here is on disk: after a restart announcers are heard again
-within their leases.
+Each process receives the announcements of some servers and entries itself
+and sends them to the other processes as versioned deltas. It sends the
+merged table of backend servers to its entries, also as deltas. Nothing is
+stored on disk: after a restart, servers and entries announce themselves
+again within their leases.
 """
 
 from __future__ import annotations
@@ -43,24 +44,25 @@
 
 LOG: Final = logging.getLogger(__name__)
 SEND_INTERVAL_S: Final = 0.1
-# An origin that has nothing new says so, so that it is known to live: its
-# records are dropped elsewhere after three of these.
+# A process without changes sends an empty delta as a keepalive. The other
+# processes drop its records after three missed ones.
 KEEPALIVE_INTERVAL_S: Final = 1.0
 LOADS_INTERVAL_S: Final = 1.0
 BACKEND_SERVERS: Final = "backend_servers"
 ENTRIES: Final = "entries"
 LOADS: Final = "loads"
 CONTROLS: Final = "controls"
-# Without a grant for this long an entry refuses new work, so callers are
-# not sent to it any more.
+# An entry that got no grant for this long refuses new work, so callers are
+# no longer sent to it.
 NODE_LEASE_S: Final = ENTRY_LEASE_S
-# Servers whose load an entry is told; it chooses between two at a time,
-# and with more it would only hear of servers that it hardly uses.
+# The number of servers whose load is sent to an entry. An entry chooses
+# between two servers at a time, so further ones would be servers that it
+# hardly uses.
 LOADS_PER_ENTRY: Final = 24
 
 
 class ControlName(NamedTuple):
-    """Where a control process runs, for people."""
+    """The VM and data centre of a control process, for display."""
 
     vm: str
     data_centre: str
@@ -70,14 +72,18 @@
 
 
 class EntryState(NamedTuple):
-    """What the control process that serves an entry knows of it."""
+    """The revision and lease of an entry attached to this process."""
 
     acked_revision: int
     lease_ends_s: float = 0.0
 
 
 class SharedTables:
-    """Backend servers and entries, as far as this process has heard."""
+    """The backend servers and entries that this process knows.
+
+    ``others`` returns the peer addresses of the other control processes.
+    ``resyncs`` counts the deltas that showed a gap.
+    """
 
     def __init__(
         self,
@@ -101,12 +107,12 @@
         self.resyncs = 0
 
     def handle_announcement(self, announcement: Announcement) -> None:
-        """Take an announcement that an entry of this process received."""
+        """Merge an announcement that an attached entry has relayed."""
         if self._servers.announce(announcement, boottime_s()):
             self._log_server(announcement)
 
     def _log_server(self, announcement: Announcement) -> None:
-        """Log what a server says, unless it said the same before."""
+        """Log an announcement if any logged field has changed."""
         fields = {
             "server": announcement.name,
             "address": announcement.address,
@@ -119,7 +125,7 @@
             LOG.info("backend server announced", extra=fields)
 
     def record_entry(self, sender: str, message: LeaseRequest) -> None:
-        """Note that an entry of this process is alive, and its state."""
+        """Record that an attached entry is alive, and its revision."""
         address = message.address
         record = NodeRecord(
             address.vm,
@@ -141,17 +147,17 @@
         )
 
     def record_grant(self, vm: str, length_s: float) -> None:
-        """Note a lease that was granted to an entry of this process."""
+        """Record a lease that was granted to an attached entry."""
         known = self._states.get(vm, EntryState(0))
         ends_s = boottime_s() + length_s
         self._states[vm] = known._replace(lease_ends_s=ends_s)
 
     def servers(self) -> dict[str, Announcement]:
-        """Return the backend servers that are known, by name."""
+        """Return the known backend servers by name."""
         return self._servers.servers()
 
     def entries(self) -> dict[str, NodeRecord]:
-        """Return the entries that are known, by VM."""
+        """Return the known entries by VM."""
         return self._entries.nodes()
 
     def stopping_vms(self) -> frozenset[str]:
@@ -160,15 +166,15 @@
         return frozenset(node.vm for node in nodes if node.stopping)
 
     def entry_state(self, vm: str) -> EntryState | None:
-        """Return an entry's state, None where another process serves it."""
+        """Return an entry's state, None if it is not attached here."""
         return self._states.get(vm)
 
     def control_name(self, address: str) -> ControlName:
-        """Return where the control process with a peer address runs."""
+        """Return the VM and data centre of the control process there."""
         return self._names.get(address, UNNAMED)
 
     def load(self, name: str) -> Any:
-        """Return the load last heard of a backend server."""
+        """Return the last reported load of a backend server, if any."""
         return self._servers.load(name, boottime_s())
 
     def addresses(
@@ -178,7 +184,7 @@
         limit: int,
         draining_vms: tuple[str, ...],
     ) -> tuple[EntryAddress, ...]:
-        """Return entry addresses, the one to try first ahead."""
+        """Return at most ``limit`` entry addresses, the best one first."""
         return tuple(
             EntryAddress(
                 node.vm,
@@ -195,7 +201,7 @@
         )
 
     def handle_update(self, sender: str, message: TableUpdate) -> None:
-        """Take what another control process tells; ask again after a gap."""
+        """Merge a table update; request a full one if there is a gap."""
         now_s = boottime_s()
         if message.table == LOADS:
             update = msgspec.msgpack.decode(message.payload, type=LoadUpdate)
@@ -220,23 +226,26 @@
             self._mesh.send(sender, TableResync(message.table))
 
     def handle_resync(self, sender: str, message: TableResync) -> None:
-        """Send everything to whoever has a gap, with the next delta."""
+        """Have the next delta to the sender contain the full table."""
         stream = self._streams.get(message.table)
         if stream is not None:
             stream.reset(sender)
 
     def send_to_entry(self, address: str) -> None:
-        """Send an entry the changes of backend servers that it lacks."""
+        """Send an entry the changes of backend servers since its last."""
         stream = self._streams[BACKEND_SERVERS]
         stream.send(address, merged=True)
 
     def send_loads_to_entry(self, address: str, vm: str) -> None:
-        """Send an entry the loads of the servers that it uses most."""
+        """Send an entry the loads of its preferred servers.
+
+        These are at most `LOADS_PER_ENTRY`, chosen by rendezvous hashing.
+        """
         names = subset(vm, self.servers(), LOADS_PER_ENTRY)
         self._send_loads(address, names)
 
     async def run(self) -> None:
-        """Tell the other control processes, until cancelled."""
+        """Expire records and send deltas to the others, until cancelled."""
         next_loads_s = 0.0
         while True:
             await anyio.sleep(SEND_INTERVAL_S)
@@ -280,7 +289,7 @@
 
 
 class _DeltaStreams:
-    """What of one table each peer has been sent."""
+    """Sends deltas of one table and tracks the version each peer has."""
 
     def __init__(
         self, mesh: PeerMesh, table: str, registry: Registry[Any]
@@ -291,11 +300,15 @@
         self._sent: dict[str, _Sent] = {}
 
     def reset(self, address: str) -> None:
-        """Have the next delta to a peer hold everything."""
+        """Make the next delta to a peer a full table."""
         self._sent.pop(address, None)
 
     def send(self, address: str, *, merged: bool) -> None:
-        """Send a delta where there is news, or a sign of life is due."""
+        """Send a delta if the table has changed or a keepalive is due.
+
+        With ``merged`` it contains the records of all processes, otherwise
+        only those that this process received itself.
+        """
         registry = self._registry
         version = registry.version if merged else registry.own_version
         sent = self._sent.get(address, _Sent(UNKNOWN_VERSION, 0.0))
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""The hub and the lease service, over a log and a mesh in memory."""
+"""Tests of the hub and the lease service with an in-memory log and mesh."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 pytestmark = pytest.mark.anyio
 CONTROL = "127.0.0.1:8001"
 ENTRY = "127.0.0.1:9001"
-# Longer than any lease that a granter may have forgotten.
+# Longer than any lease that a granter may have granted before its restart.
 AFTER_OLD_LEASES_S = 10.0
 
 
@@ -43,7 +43,7 @@
 
 
 class FakeReplica:
-    """A log that this process leads while it has a quorum."""
+    """A log that this process leads, with a leader lease that tests set."""
 
     def __init__(self) -> None:
         self.role = "leader"
@@ -67,8 +67,8 @@
         return "127.0.0.1:8002"
 
 
-class Scene:
-    """One control process that leads, and the entries that ask it."""
+class Harness:
+    """A control process that leads, and its entries' lease requests."""
 
     def __init__(self) -> None:
         self.mesh = Mailbox(CONTROL)
@@ -100,7 +100,7 @@
         self.leases.revision_applied()
         self.hub.revision_applied()
 
-    def ask(
+    def request_lease(
         self, acked_revision: int, vm: str = "vm-1", sender: str = ENTRY
     ) -> None:
         self._sequence += 1
@@ -121,109 +121,111 @@
 
 
 @pytest.fixture
-async def scene(clock: Clock) -> Scene:
-    scene = Scene()
-    await scene.renew_own()
+async def harness(clock: Clock) -> Harness:
+    harness = Harness()
+    await harness.renew_own()
     clock.now_s += AFTER_OLD_LEASES_S
-    await scene.renew_own()
-    return scene
+    await harness.renew_own()
+    return harness
 
 
 class TestEntryLease:
-    async def test_an_entry_with_the_newest_revision_gets_one(
-        self, scene: Scene
+    async def test_an_entry_with_the_newest_revision_gets_a_lease(
+        self, harness: Harness
     ) -> None:
-        scene.ask(1)
-        (grant,) = scene.mesh.take(LeaseGrantMessage)
+        harness.request_lease(1)
+        (grant,) = harness.mesh.take(LeaseGrantMessage)
         assert grant.sent_at_s == 77.0
         assert 0 < grant.length_s <= 2.0
 
-    async def test_with_each_lease_it_hears_how_many_entries_there_are(
-        self, scene: Scene
+    async def test_each_lease_comes_with_the_number_of_entries(
+        self, harness: Harness
     ) -> None:
-        """More entries than callers are told addresses of."""
+        """There are more entries than addresses for callers."""
         for number in range(20):
             sender = f"127.0.0.1:{9_100 + number}"
-            scene.ask(1, f"vm-{number}", sender)
-        scene.mesh.sent.clear()
-        scene.ask(1, "vm-0", "127.0.0.1:9100")
-        (count,) = scene.mesh.take(EntryCount)
+            harness.request_lease(1, f"vm-{number}", sender)
+        harness.mesh.sent.clear()
+        harness.request_lease(1, "vm-0", "127.0.0.1:9100")
+        (count,) = harness.mesh.take(EntryCount)
         assert count.entries == 20
 
-    async def test_an_entry_behind_gets_the_revision_first(
-        self, scene: Scene
+    async def test_an_outdated_entry_gets_the_revision_first(
+        self, harness: Harness
     ) -> None:
         """An entry starts, or was cut off while a version was withdrawn.
 
-        It is refused a lease and sent the newest configuration; once it
-        has acknowledged that, it gets the lease.
+        Its request is denied and it gets the newest configuration. It gets
+        the lease only once it has acknowledged that configuration.
         """
-        scene.ask(0)
-        (denied,) = scene.mesh.take(LeaseDenied)
+        harness.request_lease(0)
+        (denied,) = harness.mesh.take(LeaseDenied)
         assert denied.reason == "behind"
-        (push,) = scene.mesh.take(ConfigurationPush)
+        (push,) = harness.mesh.take(ConfigurationPush)
         assert unpack_configuration(push).revision == 1
-        scene.ask(1)
-        assert scene.mesh.take(LeaseGrantMessage)
+        harness.request_lease(1)
+        assert harness.mesh.take(LeaseGrantMessage)
 
-    async def test_an_entry_is_told_no_document(self, scene: Scene) -> None:
+    async def test_the_document_is_not_sent_to_entries(
+        self, harness: Harness
+    ) -> None:
         """An operator's document of 1,100 routes comes into force.
 
-        Sent along, it would be two thirds of the bytes on each entry's
-        link, and hold up leases behind it; entries need its number only.
+        It would be two thirds of the bytes on each entry's link and delay
+        the leases behind it. Entries only need its number.
         """
-        scene.configuration = InForce(
+        harness.configuration = InForce(
             2, Declarations(document=SourceDocument(7, b"x" * 9))
         )
-        scene.hub.revision_applied()
-        scene.ask(1)
-        (push,) = scene.mesh.take(ConfigurationPush)
+        harness.hub.revision_applied()
+        harness.request_lease(1)
+        (push,) = harness.mesh.take(ConfigurationPush)
         in_force = unpack_configuration(push)
         assert in_force.revision == 2
         assert in_force.declarations.document == SourceDocument(7)
-        assert scene.configuration.declarations.document.content
+        assert harness.configuration.declarations.document.content
 
     async def test_without_a_quorum_no_lease_is_granted(
-        self, scene: Scene, clock: Clock
+        self, harness: Harness, clock: Clock
     ) -> None:
-        """The process is on the far side of a partition for long.
+        """The process is in the minority of a long partition.
 
-        Its own lease runs out, and with it every lease that it gives;
-        the entry is told of the other control processes.
+        Its own lease expires, so it must grant no more leases. The denial
+        names the other control processes to the entry.
         """
-        scene.replica.lease_s = 0.0
+        harness.replica.lease_s = 0.0
         for _ in range(10):
             clock.now_s += 0.4
-            await scene.renew_own()
-        scene.ask(1)
-        (denied,) = scene.mesh.take(LeaseDenied)
+            await harness.renew_own()
+        harness.request_lease(1)
+        (denied,) = harness.mesh.take(LeaseDenied)
         assert denied.reason == "no_quorum"
         assert denied.controls == ("127.0.0.1:8002",)
 
-    async def test_an_entry_lease_ends_before_its_granters(
-        self, scene: Scene, clock: Clock
+    async def test_an_entry_lease_ends_before_the_granters_lease(
+        self, harness: Harness, clock: Clock
     ) -> None:
-        scene.replica.lease_s = 0.0
+        harness.replica.lease_s = 0.0
         clock.now_s += 1.5
-        scene.ask(1)
-        (grant,) = scene.mesh.take(LeaseGrantMessage)
-        assert grant.length_s < scene.leases.remaining_s()
+        harness.request_lease(1)
+        (grant,) = harness.mesh.take(LeaseGrantMessage)
+        assert grant.length_s < harness.leases.remaining_s()
 
 
 class TestOwnLease:
-    async def test_its_loss_and_return_are_logged_once(
+    async def test_losing_and_regaining_it_is_logged_once(
         self,
-        scene: Scene,
+        harness: Harness,
         clock: Clock,
         caplog: pytest.LogCaptureFixture,
     ) -> None:
-        """What a process without a lease is told may reach nobody."""
+        """Messages to a process without a lease may reach no other process."""
         caplog.set_level(logging.INFO)
         for lease_s in (0.7, 0.7, 0.0, 0.0, 0.7):
-            scene.replica.lease_s = lease_s
+            harness.replica.lease_s = lease_s
             clock.now_s += 2.0
-            await scene.renew_own()
-            scene.leases._log_lease_change()
+            await harness.renew_own()
+            harness.leases._log_lease_change()
         lines = [r.message for r in caplog.records if "lease" in r.message]
         assert lines == [
             "control lease held",
@@ -233,90 +235,95 @@
 
 
 class TestInForce:
-    async def test_it_waits_for_the_last_live_entry(
-        self, scene: Scene, clock: Clock
+    async def test_a_revision_waits_for_the_last_live_entry(
+        self, harness: Harness, clock: Clock
     ) -> None:
         """A version is withdrawn while one entry is silent.
 
-        The revision is in force only when that entry's lease has run
-        out: until then it may give the version new work.
+        Until that entry's lease has expired, the entry may still send the
+        version new work, so the revision must not count as in force.
         """
-        scene.ask(1)
-        scene.ask(1, "vm-2", "127.0.0.1:9002")
-        await scene.renew_own()
-        scene.apply(2)
-        scene.ask(2)
-        await scene.renew_own()
-        status = scene.leases.in_force(2)
+        harness.request_lease(1)
+        harness.request_lease(1, "vm-2", "127.0.0.1:9002")
+        await harness.renew_own()
+        harness.apply(2)
+        harness.request_lease(2)
+        await harness.renew_own()
+        status = harness.leases.in_force(2)
         assert status is not None
         assert not status.in_force
         clock.now_s += 2.1
-        scene.ask(2)
-        await scene.renew_own()
-        status = scene.leases.in_force(2)
+        harness.request_lease(2)
+        await harness.renew_own()
+        status = harness.leases.in_force(2)
         assert status is not None
         assert status.in_force
 
     async def test_a_new_leader_waits_out_its_predecessors_leases(
-        self, scene: Scene
+        self, harness: Harness
     ) -> None:
-        scene.replica.term = 2
-        await scene.renew_own()
-        status = scene.leases.in_force(1)
+        harness.replica.term = 2
+        await harness.renew_own()
+        status = harness.leases.in_force(1)
         assert status is not None
         assert not status.in_force
 
-    async def test_a_deposed_leader_says_nothing(self, scene: Scene) -> None:
-        scene.replica.role = "follower"
-        assert scene.leases.in_force(1) is None
+    async def test_a_deposed_leader_grants_and_reports_nothing(
+        self, harness: Harness
+    ) -> None:
+        harness.replica.role = "follower"
+        assert harness.leases.in_force(1) is None
         request = ControlLeaseRequest("127.0.0.1:8003", 1.0, 1, 1)
-        scene.leases.handle_request("127.0.0.1:8003", request)
-        assert scene.mesh.take(ControlLeaseGranted) == []
+        harness.leases.handle_request("127.0.0.1:8003", request)
+        assert harness.mesh.take(ControlLeaseGranted) == []
 
 
 class TestAddresses:
-    async def test_a_stopping_entry_is_left_out(self, scene: Scene) -> None:
-        scene.ask(1)
-        scene.ask(1, "vm-2", "127.0.0.1:9002")
-        scene.hub._push_addresses()
-        first = scene.mesh.take(AddressList)
+    async def test_a_stopping_entry_is_not_in_the_address_list(
+        self, harness: Harness
+    ) -> None:
+        harness.request_lease(1)
+        harness.request_lease(1, "vm-2", "127.0.0.1:9002")
+        harness.hub._push_addresses()
+        first = harness.mesh.take(AddressList)
         assert {a.vm for a in first[0].addresses} == {"vm-1", "vm-2"}
-        scene._sequence += 1
+        harness._sequence += 1
         stopping = EntryAddress("vm-2", "dalton", "127.0.0.1", 80, True)
-        request = LeaseRequest(stopping, 5, scene._sequence, 1.0, 1)
-        scene.hub.handle_lease_request("127.0.0.1:9002", request)
-        assert scene.tables.stopping_vms() == {"vm-2"}
-        scene.hub._push_addresses()
-        second = scene.mesh.take(AddressList)
+        request = LeaseRequest(stopping, 5, harness._sequence, 1.0, 1)
+        harness.hub.handle_lease_request("127.0.0.1:9002", request)
+        assert harness.tables.stopping_vms() == {"vm-2"}
+        harness.hub._push_addresses()
+        second = harness.mesh.take(AddressList)
         assert {a.vm for a in second[0].addresses} == {"vm-1"}
 
-    async def test_a_silent_entry_is_let_go(
-        self, scene: Scene, clock: Clock
+    async def test_a_silent_entry_is_detached(
+        self, harness: Harness, clock: Clock
     ) -> None:
-        scene.ask(1)
+        harness.request_lease(1)
         clock.now_s += 60.0
-        scene.hub._detach_silent(clock())
-        assert scene.hub.attached_vms() == ()
+        harness.hub._detach_silent(clock())
+        assert harness.hub.attached_vms() == ()
 
 
 class TestControlList:
-    async def test_an_entry_learns_who_came_in_place_of_a_lost_voter(
+    async def test_an_entry_gets_the_address_of_a_new_voter(
         self, clock: Clock
     ) -> None:
         """A voter is replaced by one at an address that no entry knows.
 
-        Entries are told once, the one on their own VM first; otherwise
-        they would be without control after the next replacements.
+        Each new list is sent once, with the voter on the entry's own VM
+        first. Without it, entries would find no control process after
+        further replacements.
         """
-        scene = Scene()
-        scene.ask(0)
-        scene.hub._push_controls()
-        scene.hub._push_controls()
-        told = scene.mesh.take(ControlList)
-        assert [m.addresses for m in told] == [
+        harness = Harness()
+        harness.request_lease(0)
+        harness.hub._push_controls()
+        harness.hub._push_controls()
+        lists = harness.mesh.take(ControlList)
+        assert [m.addresses for m in lists] == [
             ("127.0.0.1:8001", "10.0.0.1:8001")
         ]
-        scene.voters = ("127.0.0.1:8001", "10.0.0.9:8001")
-        scene.hub._push_controls()
-        (told_again,) = scene.mesh.take(ControlList)
-        assert set(told_again.addresses) == set(scene.voters)
+        harness.voters = ("127.0.0.1:8001", "10.0.0.9:8001")
+        harness.hub._push_controls()
+        (new_list,) = harness.mesh.take(ControlList)
+        assert set(new_list.addresses) == set(harness.voters)
