--- a/packages/sycamorestand-control/src/sycamorestand_control/formation.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/formation.py
@@ -1,4 +1,4 @@
-"""The first start of a cluster, by the one process that is told to make it."""
+"""Creation of a cluster by the process that is started with --first-start."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
     groups: LogGroups,
     configuration: ConfigurationMachine,
 ) -> None:
-    """Make a new cluster, unless this folder belongs to one already.
+    """Create a new cluster, unless the data folder belongs to one already.
 
-    A process that is restarted with the setting still in place finds
-    its log and goes on with it. Raises `StartRefused`.
+    A process that restarts with the setting still in place continues with
+    the log in its folder. Raises `StartRefused` if another cluster exists
+    or refuses the creation.
     """
     await _refuse_second_cluster(settings, mesh, groups)
     own = [(groups.member_id, settings.peer_address)]
@@ -59,11 +60,11 @@
 async def _refuse_second_cluster(
     settings: ControlSettings, mesh: PeerMesh, groups: LogGroups
 ) -> None:
-    """Refuse to make a cluster beside one that is known to be there.
+    """Raise `StartRefused` if another process belongs to a cluster.
 
-    A voter whose disk was lost, with the setting of the first start
-    still in place, would make an empty cluster of its own, and lease
-    its entries a configuration that knows of no withdrawal.
+    A voter whose disk was lost, with the first-start setting still in
+    place, would otherwise create an empty cluster. It would grant its
+    entries leases under a configuration without any withdrawals.
     """
     if not await groups.is_blank():
         return
--- a/packages/sycamorestand-control/src/sycamorestand_control/groups.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/groups.py
@@ -1,4 +1,4 @@
-"""The replicated logs of a control process and the way to their leaders."""
+"""The replicated logs of a control process, and proposals to leaders."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 CONFIGURATION_GROUP: Final = 0
 FIRST_LEDGER_GROUP: Final = 1
 FORWARD_TIMEOUT_S: Final = 1.5
-# An election takes up to 1.4 s; a question asked in the middle of one is
-# repeated this often until the leader is known.
+# The interval at which a proposal is retried until a leader is known. An
+# election takes up to 1.4 s.
 RETRY_PAUSE_S: Final = 0.05
 LEADER_CHECK_INTERVAL_S: Final = 0.1
 
@@ -48,17 +48,20 @@
 
 
 class Group(NamedTuple):
-    """One log: its machine and how its results travel between voters."""
+    """The state machine of a log, and the type of its results.
+
+    The type decodes the results that another voter returns.
+    """
 
     machine: StateMachine
     result_type: Any
 
 
 class LogGroups:
-    """Every replicated log that this process is a member of.
+    """Runs the replicated logs of this process and proposes to them.
 
-    All logs share the links between processes; the group number in each
-    message tells them apart.
+    All logs share the links between processes. The group number in each
+    message identifies the log.
     """
 
     def __init__(
@@ -86,24 +89,27 @@
 
     @property
     def member_id(self) -> str:
-        """Return the id under which this folder is a member."""
+        """Return the member id that is stored in this data folder."""
         return self.replicas[CONFIGURATION_GROUP].member_id
 
     async def run(self) -> None:
-        """Take part in every log until cancelled."""
+        """Run the replica of every log until cancelled."""
         async with anyio.create_task_group() as tasks:
             for replica in self.replicas.values():
                 tasks.start_soon(replica.run)
 
     async def is_blank(self) -> bool:
-        """Tell whether this folder belongs to no cluster yet."""
+        """Return whether the data folder belongs to no cluster yet.
+
+        Waits until the replica has read its files.
+        """
         replica = self.replicas[CONFIGURATION_GROUP]
         while replica.status().state == STARTING:
             await anyio.sleep(RETRY_PAUSE_S)
         return replica.status().state == BLANK
 
     async def bootstrap_blank(self, members: list[tuple[str, str]]) -> None:
-        """Start every log whose files belong to no group yet."""
+        """Bootstrap every log that has no members yet."""
         for replica in self.replicas.values():
             while replica.status().state == STARTING:
                 await anyio.sleep(RETRY_PAUSE_S)
@@ -111,14 +117,18 @@
                 await replica.bootstrap(members)
 
     async def hand_over(self) -> None:
-        """Give up leadership of every log that this process leads."""
+        """Transfer the leadership of every log that this process leads.
+
+        A log without another voter is left out. Raises `ConsensusError`
+        if a transfer fails.
+        """
         for replica in self.replicas.values():
             others = [m for m in replica.status().members if m.voter]
             if replica.status().role == "leader" and len(others) > 1:
                 await replica.transfer_leadership(None)
 
     def receive(self, address: str, message: ReplicaPayload) -> None:
-        """Hand a voter's bytes to the log that they are for."""
+        """Pass a payload to the replica of its log."""
         self._addresses[message.sender] = address
         self._heard_s[message.sender] = boottime_s()
         replica = self.replicas.get(message.group)
@@ -126,19 +136,22 @@
             replica.receive(message.sender, message.payload)
 
     def heard_s(self, member_id: str) -> float:
-        """Return when a member was last heard in any log, 0 if never."""
+        """Return when a member was last heard in any log, 0 if never.
+
+        The time is in seconds of the boot clock.
+        """
         return self._heard_s.get(member_id, 0.0)
 
     def is_leader(self, group: int) -> bool:
-        """Tell whether this process leads a log, as far as it knows."""
+        """Return whether this process leads a log, as far as it knows."""
         return self.replicas[group].status().role == "leader"
 
     def leader_address(self, group: int) -> str:
-        """Return the leader's peer address, empty where it is unknown."""
+        """Return the leader's peer address, empty if it is unknown."""
         return self.address_of(self.replicas[group].status().leader_id)
 
     def address_of(self, member_id: str) -> str:
-        """Return a member's peer address, empty where it is unknown."""
+        """Return a member's peer address, empty if it is unknown."""
         if member_id and member_id not in self._addresses:
             self._learn_addresses()
         return self._addresses.get(member_id, "")
@@ -146,12 +159,12 @@
     async def propose(
         self, group: int, command: bytes, timeout_s: float
     ) -> Any:
-        """Commit a command through whichever voter leads.
+        """Commit a command through the leader and return its result.
 
-        The command must be safe to commit twice (a change id, a claim, a
-        charge): an answer that was lost is asked for again. Raises
-        `NoLeader` where nothing can have been committed and
-        `OutcomeUnknown` where it may have been.
+        The command must be idempotent, such as one with a change id, a
+        claim or a charge, because it is proposed again if the answer is
+        lost. After ``timeout_s`` the method raises `OutcomeUnknown` if the
+        command may have been committed, and `NoLeader` otherwise.
         """
         deadline_s = boottime_s() + timeout_s
         maybe_committed = False
@@ -170,7 +183,7 @@
     async def handle_forward(
         self, sender: str, message: ProposalForward
     ) -> None:
-        """Propose for another control process and send it the result."""
+        """Propose a forwarded command and send the result to the sender."""
         reply = await self._propose_forwarded(message)
         self._mesh.send(sender, reply)
 
@@ -205,10 +218,11 @@
     async def _forward(
         self, address: str, group: int, command: bytes
     ) -> CallReply:
-        """Have the leader propose; give up on one that no longer leads.
+        """Have the leader propose, and give up when it no longer leads.
 
-        Without that a proposal on its way to a leader that died waits for
-        its whole time, half a second after the next one is elected.
+        Otherwise a proposal to a failed leader would wait for the full
+        `FORWARD_TIMEOUT_S`, until half a second after the next leader is
+        elected. Raises `PeerTimeout` if there is no answer.
         """
         call_id = self._mesh.next_call_id()
         message = ProposalForward(call_id, group, command)
--- a/packages/sycamorestand-control/src/sycamorestand_control/ledger_writer.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Many small ledger batches into few proposals, at the shard's leader."""
+"""Merge many small ledger batches into few proposals."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     from sycamorestand_model.ledger import LedgerResult
 
 LOG: Final = logging.getLogger(__name__)
-# Under the log's largest command, with room for the envelope.
+# Below the log's largest command, with room for the envelope.
 MAX_BATCH_BYTES: Final = 512 * 1024
-# One proposal waits for the disk while the next one is being gathered; a
-# third or fourth keeps the leader's disk busy while followers answer.
-# More in flight would only make batches smaller.
+# While one proposal waits for the disk, the next one collects batches. A
+# third and a fourth keep the leader's disk busy while the followers answer.
+# More proposals in flight would only make each of them smaller.
 MAX_IN_FLIGHT: Final = 4
 
 
@@ -41,13 +41,14 @@
 
 
 class LedgerWriter:
-    """Gathers the batches of many entries while the log is busy.
-
-    The load is thousands of entries' small batches a second. Proposed
-    one by one, each would cost its own frame to every follower and its
-    own record; gathered, the cost of a sync is shared by all that came
-    meanwhile. The time in a command is this process's clock, so that an
-    entry with a wrong clock cannot age the ledger.
+    """Collects the batches of many entries while the log is busy.
+
+    Entries send thousands of small batches a second. If each were proposed
+    alone, it would need its own frame to every follower and its own log
+    record. Batches that arrive during a proposal share the cost of the next
+    sync. The time in a command comes from this process's clock, so that an
+    entry with a wrong clock cannot expire records of the ledger early.
+    ``records`` and ``proposals`` count what was proposed.
     """
 
     def __init__(
@@ -60,9 +61,9 @@
         self.proposals = 0
 
     async def submit(self, batch: bytes) -> list[LedgerResult]:
-        """Make one encoded batch durable; return its results in order.
+        """Commit an encoded batch and return its results in order.
 
-        Raises the error of the proposal that carried it.
+        Raises the error of the proposal that contained the batch.
         """
         records = decode_batch(batch).records
         pending = _PendingBatch(tuple(records), len(batch), anyio.Event(), [])
@@ -76,7 +77,7 @@
         return results
 
     async def run(self) -> None:
-        """Propose what was gathered, until cancelled."""
+        """Propose the collected batches, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for _ in range(MAX_IN_FLIGHT):
                 tasks.start_soon(self._propose_loop)
@@ -112,7 +113,7 @@
         except (SycamorestandError, ControlError) as error:
             return [error] * len(batches)
         except Exception:
-            # Whoever waits for these must be answered all the same.
+            # The callers that wait for these batches must get an answer.
             LOG.exception("ledger batch failed")
             return [OutcomeUnknown("the batch may be durable")] * len(batches)
         return _split_results(results, [len(item.records) for item in batches])
--- a/packages/sycamorestand-control/src/sycamorestand_control/peer_queries.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/peer_queries.py
@@ -1,4 +1,4 @@
-"""Questions between control processes, for what only one of them knows."""
+"""Queries between control processes, for state that only one of them has."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class QueryRefused(ControlError):
-    """The process that was asked says why it does not do it."""
+    """The queried process refuses, with the reason as the message."""
 
 
 class PeerQueries:
-    """Asks other control processes, and answers them.
+    """Sends queries to other control processes and answers theirs.
 
-    ``handlers`` answer by kind; they raise `ControlError` or
-    `ConsensusError` where this process cannot.
+    ``handlers`` maps the kind of a query to its handler. A handler raises
+    `ControlError` or `ConsensusError` if this process cannot answer.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._handlers = handlers
 
     async def handle_query(self, sender: str, message: Query) -> None:
-        """Answer a question of another control process."""
+        """Answer a query of another control process."""
         try:
             payload = await self._handle(message.kind, message.payload)
         except (ConsensusError, ControlError) as error:
@@ -64,9 +64,10 @@
         timeout_s: float,
         group: int = CONFIGURATION_GROUP,
     ) -> bytes:
-        """Return the answer of whoever leads a log, this one included.
+        """Return the answer of a log's leader, which may be this process.
 
-        Raises `NoLeader` where none answers and `Refused` with its words.
+        Raises `NoLeader` if no leader answers in time, and `QueryRefused`
+        with the leader's reason if it refuses.
         """
         if self._groups.is_leader(group):
             try:
@@ -84,7 +85,10 @@
     async def query_each(
         self, addresses: Iterable[str], kind: str, timeout_s: float
     ) -> list[bytes]:
-        """Return the answers of those that answer in time."""
+        """Query all addresses at once; return the answers that arrive.
+
+        Processes that refuse or do not answer in ``timeout_s`` are skipped.
+        """
         answers: list[bytes] = []
 
         async def query_one(address: str) -> None:
--- a/packages/sycamorestand-control/src/sycamorestand_control/rows.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rows.py
@@ -1,4 +1,4 @@
-"""Shared tables as the rows that operators read."""
+"""Build the rows of operators' listings from the shared tables."""
 
 from __future__ import annotations
 
@@ -21,15 +21,18 @@
     from sycamorestand_peer.mesh import PeerMesh
     from sycamorestand_state.nodes import NodeRecord
 
-# A peer that was never heard of has been silent for infinitely long, which
-# no column shows.
+# The silence of a peer that was never heard is infinite; listings show this
+# many seconds at most.
 MAX_SILENT_S: Final = 86_400.0
 
 
 def node_rows(
     tables: SharedTables, draining_vms: Collection[str], own_vm: str
 ) -> tuple[NodeRow, ...]:
-    """Return the entries; lease and revision only of those served here."""
+    """Return a row for each known entry.
+
+    Only entries attached to this process have a lease and a revision.
+    """
     now_s = boottime_s()
     rows = []
     for node in sorted(tables.entries().values()):
@@ -52,10 +55,10 @@
 def merge_node_rows(
     tables: Iterable[Iterable[NodeRow]],
 ) -> tuple[NodeRow, ...]:
-    """Return one row an entry: that of the process with its lease.
+    """Return one row per entry, from the process that granted its lease.
 
-    An entry that has moved is still known to the process that it left,
-    so the longest lease decides.
+    An entry that moved to another process is still known to the previous
+    one, so the row with the longest remaining lease is used.
     """
     best: dict[str, NodeRow] = {}
     for rows in tables:
@@ -67,7 +70,7 @@
 
 
 def backend_rows(tables: SharedTables) -> tuple[BackendRow, ...]:
-    """Return the backend servers with the load last heard of them."""
+    """Return the backend servers with their last reported load."""
     rows = []
     for name, server in sorted(tables.servers().items()):
         load = tables.load(name)
@@ -93,7 +96,7 @@
 ) -> tuple[VoterRow, ...]:
     """Return the members of a log as this process sees them.
 
-    Only the leader knows how far the others have come.
+    Only the leader knows the log index that the other members have reached.
     """
     rows = []
     for member in status.members:
--- a/packages/sycamorestand-control/tests/test_ledger_writer.py
+++ b/packages/sycamorestand-control/tests/test_ledger_writer.py
@@ -11,16 +11,16 @@
 pytestmark = pytest.mark.anyio
 
 
-class TestFault:
-    async def test_the_waiting_entry_is_answered(self) -> None:
-        """Proposing fails in a way that nobody thought of.
+class TestUnexpectedError:
+    async def test_an_unexpected_error_is_answered(self) -> None:
+        """A proposal raises an unexpected error.
 
-        The entry hears that the outcome is unknown and repeats its batch.
-        Without an answer its callers would wait for their whole time, and
-        with the writer gone so would all that come after.
+        The entry must learn that the outcome is unknown, and the writer
+        must continue. Otherwise the entry's callers, and all later ones,
+        would wait until their timeout.
         """
         outcomes: list[RuntimeError | list[LedgerResult]] = [
-            RuntimeError("a state that nobody thought of"),
+            RuntimeError("an unexpected state"),
             [],
         ]
 
