--- a/packages/sycamorestand-control/src/sycamorestand_control/arrival_lender.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/arrival_lender.py
@@ -1,4 +1,8 @@
-"""Lends entries the further arrivals that others do not need."""
+"""Lend entries the retry budget that other entries have given back.
+
+The budget is counted in arrivals: the times that a request reaches a
+backend server after the first time.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +23,9 @@
 class ArrivalLender:
     """Answers entries' trades from the pool of this control process.
 
-    Each voter has a pool. It lends and takes whether it has a quorum or not:
-    what pools hold is bounded for each of them.
+    Each voter has a pool of its own, which also lends and accepts arrivals
+    without a quorum, because the content of each pool is bounded.
+    ``lent`` and ``asked`` count arrivals.
     """
 
     def __init__(
@@ -36,7 +41,7 @@
         self.asked = 0.0
 
     def handle_trade(self, sender: str, message: ArrivalTrade) -> None:
-        """Take what an entry gives and send what it is lent."""
+        """Add the arrivals that an entry gives, and send those it borrows."""
         lent = self._pool.trade(
             message.given, message.asked, self._pool_count(), boottime_s()
         )
@@ -45,10 +50,10 @@
         self._mesh.send(sender, ArrivalsLent(message.number, lent))
 
     def _pool_count(self) -> int:
-        """Return how many pools there may be, 0 where this is none.
+        """Return how many pools may exist, 0 if this process has none.
 
-        One more than voters: one that was replaced while it was cut off
-        goes on for a while.
+        That is one more than there are voters, because a voter that was
+        replaced while it was cut off continues for some time.
         """
         voters = self._voters()
         if self._mesh.address not in voters:
--- a/packages/sycamorestand-control/src/sycamorestand_control/background.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/background.py
@@ -1,4 +1,4 @@
-"""Parts of a control process that run in the background."""
+"""Restart background tasks of a control process after a failure."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 import anyio
 
 LOG: Final = logging.getLogger(__name__)
-# A part that fails each time must not fill the log, nor take the processor.
+# Limits the log lines and processor time of a part that fails each time.
 RESTART_PAUSE_S: Final = 1.0
 
 
 async def keep_running(
     part: Callable[[], Awaitable[None]], on_failure: Callable[[], None]
 ) -> None:
-    """Run a part until cancelled, and begin it anew where it fails.
+    """Run a part until it returns, and restart it after an exception.
 
-    A fault in one part, such as a roll-out that nobody thought of, would
-    otherwise end the voter, and the next leader by the same fault, until
-    no quorum is left. What the part decides rests on the log and on tables
-    that outlive it. Not for the logs themselves: where their files cannot
-    be trusted the process has to end.
+    An unexpected state, such as an unusual roll-out, could otherwise end
+    the leader and then each next leader, until no quorum is left. A restart
+    is safe because parts decide from the log and from tables that outlive
+    them. It is not for the logs themselves: if their files cannot be
+    trusted, the process must end.
     """
     while True:
         try:
@@ -31,7 +31,7 @@
             return
         except Exception:
             on_failure()
-            LOG.exception("background part failed and is begun anew")
+            LOG.exception("background part failed and is restarted")
         await anyio.sleep(RESTART_PAUSE_S)
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/change_commands.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/change_commands.py
@@ -1,4 +1,4 @@
-"""Operators' changes as commands of the log, and results as answers."""
+"""Turn operators' changes into log commands, and results into answers."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 def make_command(
     request: ChangeRequest, now_s: float, cluster_key: bytes
 ) -> Command:
-    """Return the command for a change.
+    """Return the log command for a change.
 
-    Without a base revision the change is compared with none. The
-    revision of the voter that was asked must not stand in for it: a
-    resend through another voter would then be another change.
+    A change without a base revision applies to any revision. The revision
+    of the receiving voter must not be used instead: a resend through
+    another voter would then be a different command.
     """
     base = request.base_revision
     if base is None:
@@ -52,7 +52,7 @@
 def make_answer(
     result: ChangeResult, conflicts: tuple[Conflict, ...]
 ) -> ChangeAnswer:
-    """Return what the operator reads of a committed change's result."""
+    """Return the operator's answer for the result of a committed change."""
     message = "; ".join(part for part in (result.message, *result.notes))
     if result.duplicate and result.outcome in ("applied", "unchanged"):
         return ChangeAnswer("duplicate", result.revision, message)
@@ -108,10 +108,11 @@
 def _rotate(
     request: ChangeRequest, base: int, now_s: float, cluster_key: bytes
 ) -> Command:
-    """Return a rotation whose key follows from the change id.
+    """Return a key rotation whose key is derived from the change id.
 
-    A resend through another control process must be the same change, so
-    the new key cannot be drawn anew; it is as secret as the cluster key.
+    A resend through another control process must result in the same
+    command, so the key cannot be random. The derivation uses the cluster
+    key, so the new key is as secret as that one.
     """
     session_key = hashlib.blake2b(
         request.change_id.encode(),
@@ -130,7 +131,7 @@
 def _make_with_reason(
     command_type: Callable[..., Command],
 ) -> Callable[[ChangeRequest, int, float], Command]:
-    """Return the maker of a command that has a subject and a reason."""
+    """Return a function that makes a command with a subject and a reason."""
 
     def make(request: ChangeRequest, base: int, now_s: float) -> Command:
         return command_type(
--- a/packages/sycamorestand-control/src/sycamorestand_control/errors.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/errors.py
@@ -6,19 +6,19 @@
 
 
 class ControlError(SycamorestandError):
-    """Base of errors of the control process."""
+    """Base class of the errors of the control process."""
 
 
 class NoLeader(ControlError):
-    """No leader could be reached in time; nothing is known to have run."""
+    """No leader was reached in time, and no proposal is known to have run."""
 
 
 class OutcomeUnknown(ControlError):
-    """A proposal may or may not be committed; resend it with its id."""
+    """A proposal may have been committed; resend it with the same id."""
 
 
 class StartRefused(ControlError):
-    """The process cannot start with these settings and this folder."""
+    """The process cannot start with its settings and data folder."""
 
 
 __all__ = ["ControlError", "NoLeader", "OutcomeUnknown", "StartRefused"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/explain.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/explain.py
@@ -1,4 +1,4 @@
-"""Why the system treats a subject as it does, for ``sycactl explain``."""
+"""Explain how the system treats a subject, for ``sycactl explain``."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
     ledger: LedgerReader,
     verdicts: Mapping[str, str],
 ) -> tuple[str, ...]:
-    """Return lines about a version, model, request, server or VM.
+    """Return lines about a version, model, customer, request, server or VM.
 
-    No line at all means that nothing is known of the subject.
+    A request is named by its customer and request key, joined by a slash.
+    The result is empty if the subject is unknown.
     """
     lines = [
         *_explain_version(subject, configuration, tables),
--- a/packages/sycamorestand-control/src/sycamorestand_control/ledger_reader.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/ledger_reader.py
@@ -1,4 +1,4 @@
-"""Reading the ledger's shards for operators."""
+"""Read the charges of all ledger shards for operators."""
 
 from __future__ import annotations
 
@@ -14,17 +14,21 @@
 
 
 class LedgerReader:
-    """Pages through the charges of all shards as one sequence.
+    """Pages through the charges of all shards in one sequence.
 
-    A charge's sequence is its shard's own number times the number of
-    shards plus the shard, so that one number pages through all of them.
+    The sequence of a charge is its number in the shard, times the number
+    of shards, plus the number of the shard. So one sequence covers all
+    shards.
     """
 
     def __init__(self, machines: Sequence[LedgerMachine]) -> None:
         self._machines = machines
 
     def bills(self, customer: str, after: int, limit: int) -> BillPage:
-        """Return single charges after a sequence, in their order."""
+        """Return at most ``limit`` charges after a sequence, in order.
+
+        An empty customer selects the charges of all customers.
+        """
         rows = [
             row
             for shard, machine in enumerate(self._machines)
@@ -36,7 +40,7 @@
         return BillPage(page, next_after, len(rows) > limit)
 
     def find(self, customer: str, request_key: str) -> BillRow | None:
-        """Return the charge of one request, None where there is none."""
+        """Return the charge of a request, None if there is none."""
         after = 0
         while True:
             page = self.bills(customer, after, 1_000)
--- a/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
@@ -1,4 +1,4 @@
-"""What a control process shows to Prometheus, read when it is asked."""
+"""Prometheus metrics of a control process, read at each scrape."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ControlMetrics:
-    """The gauges of one control process in a registry of their own.
+    """Exports the state of a control process from its own registry.
 
-    The parts keep plain counters; copying them at each scrape costs the
-    event loop nothing in between.
+    The parts keep plain counters, which are copied to gauges at each
+    scrape. Between scrapes this costs the event loop nothing.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._gauges: dict[str, Gauge] = {}
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         self._read_logs()
         self._read_leases()
         self._read_tables()
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_server.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_server.py
@@ -1,4 +1,4 @@
-"""Serves the operators' interface on an address of this VM."""
+"""Serve the operators' interface over HTTP."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
     from sycamorestand_control.operator_api.asgi import AsgiApp
 
 BACKLOG: Final = 256
-# Operators' requests that run at a planned stop may end within this; a
-# `replace-voter` that takes longer is safe to repeat elsewhere.
+# At a planned stop, running requests have this long to complete. A longer
+# `replace-voter` can safely be repeated at another control process.
 STOP_TIMEOUT_S: Final = 5.0
 
 
 class OperatorServer:
     """One HTTP server for operators, health and metrics.
 
-    The address is bound at once, so that a process whose port is taken
-    says so in one line and ends, before it takes part in anything.
+    The constructor binds the address. If the port is in use, the process
+    ends with one clear error before it joins its cluster. Raises
+    `StartRefused`.
     """
 
     def __init__(self, application: AsgiApp, host: str, port: int) -> None:
@@ -36,7 +37,7 @@
         self._ended = anyio.Event()
 
     async def run(self) -> None:
-        """Serve until `stop` or cancelled."""
+        """Serve until `stop` is called or the task is cancelled."""
         try:
             await self._server.serve(sockets=[self._listener])
         finally:
@@ -44,7 +45,10 @@
             self._ended.set()
 
     async def stop(self) -> None:
-        """Accept nothing new and let running requests end."""
+        """Stop accepting requests and wait for the running ones.
+
+        Returns after `STOP_TIMEOUT_S` at the latest.
+        """
         self._server.should_exit = True
         with anyio.move_on_after(STOP_TIMEOUT_S):
             await self._ended.wait()
--- a/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
@@ -1,10 +1,10 @@
-"""Ratings that one entry was given, told to all the others.
+"""Share the ratings that each entry receives with all other entries.
 
-The load pattern is a mix of request classes spread over many entries. Each
-entry learns by ratings which classes the cheap model answers well enough;
-alone, an entry at a small user sees a class a few times a minute, and pays
-for the strong model until it has seen enough. Ratings are counts, so they
-add up: every entry learns from all of them, for a few kilobytes a second.
+Requests of many classes are spread over many entries. From ratings, an
+entry learns which classes the cheap model answers well enough. With little
+traffic, an entry alone sees a class only a few times a minute, and uses the
+expensive model until it has enough ratings. Ratings are counts and can be
+added, so every entry learns from all ratings, for a few kilobytes a second.
 """
 
 from __future__ import annotations
@@ -25,15 +25,20 @@
     from sycamorestand_peer.mesh import PeerMesh
 
 EXCHANGE_INTERVAL_S: Final = 2.0
-# Versions times classes at the target size; the rest is left out rather
-# than let callers' class names grow the message.
+# The number of versions times request classes at the target size. Further
+# rows are dropped, so that callers cannot grow the message with made-up
+# class names.
 MAX_ROWS: Final = 512
 
 RatingKey = tuple[str, str, bool]
 
 
 class RatingExchange:
-    """Adds ratings up and hands each entry those of all the others."""
+    """Sums ratings and sends each entry the sums of all the others.
+
+    ``entries`` and ``others`` return the peer addresses of the entries
+    attached here and of the other control processes.
+    """
 
     def __init__(
         self,
@@ -48,7 +53,10 @@
         self._rated: dict[str, Counter[RatingKey]] = {}
 
     def add_ratings(self, sender: str, ratings: Iterable[RatingCount]) -> None:
-        """Take what an entry, or another control process, has counted."""
+        """Add the counts of an entry or another control process.
+
+        At most `MAX_ROWS` keys are kept for each sender.
+        """
         passed = self._passed.setdefault(sender, Counter())
         rated = self._rated.setdefault(sender, Counter())
         for count in ratings:
@@ -59,17 +67,17 @@
             rated[key] += count.rated
 
     async def run(self) -> None:
-        """Exchange at an interval, until cancelled."""
+        """Exchange ratings every `EXCHANGE_INTERVAL_S`, until cancelled."""
         while True:
             await anyio.sleep(EXCHANGE_INTERVAL_S)
             self.exchange()
 
     def exchange(self) -> None:
-        """Send everybody what the others have counted, and start over.
+        """Send everyone the counts of the others, and clear all counts.
 
-        Other control processes get the counts of this one's entries
-        alone; theirs come back on the same way, so nothing is counted
-        twice however many processes there are.
+        Other control processes get only the counts of this one's entries,
+        and send only those of their own. So no rating is counted twice,
+        whatever the number of processes.
         """
         others = set(self._others())
         senders = set(self._rated)
--- a/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
@@ -1,9 +1,9 @@
-"""Sessions that stay during a roll-out's step, told to all entries.
+"""Relay to all entries which sessions keep their version in a roll-out.
 
-Each entry knows the sessions that it has served; the next request of one may
-come to any other entry. What entries tell within a tick goes on as one
-message to each of them, so that with 330 entries the begin of a step costs
-a message for each and not one for each two.
+Each entry knows the sessions that it has served, but the next request of a
+session may arrive at any other entry. The reports of all entries within a
+tick are merged into one message to each entry. So with 330 entries, the
+start of a step takes one message per entry instead of one per pair.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class SessionRelay:
-    """Passes on what entries, and other control processes, tell."""
+    """Merges and forwards the sessions that senders report as staying."""
 
     def __init__(
         self,
@@ -40,21 +40,21 @@
         self._pending: dict[Step, dict[str, set[int]]] = {}
 
     def handle_sessions_stay(self, sender: str, message: SessionsStay) -> None:
-        """Take the sessions that stay by one sender's word."""
+        """Add the sessions that an entry or a control process reports."""
         step = Step(message.service, message.version, message.step)
         places = self._pending.setdefault(step, {}).setdefault(sender, set())
         places.update(message.places)
 
     async def run(self) -> None:
-        """Pass on at an interval, until cancelled."""
+        """Forward the reports every `TICK_S`, until cancelled."""
         while True:
             await anyio.sleep(TICK_S)
             self.forward()
 
     def forward(self) -> None:
-        """Tell everybody what the others told, and start over.
+        """Send everyone the reports of the others, and clear them.
 
-        Other control processes get what this one's entries told alone.
+        Other control processes get only the reports of this one's entries.
         """
         pending, self._pending = self._pending, {}
         others = set(self._others())
--- a/packages/sycamorestand-control/src/sycamorestand_control/settings.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/settings.py
@@ -1,4 +1,4 @@
-"""What a control process must be told."""
+"""The settings of a control process."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 class ControlSettings(NamedTuple):
     """Settings of one control process, see ``sycamorestand control``.
 
-    ``cluster_keys`` returns the keys that are valid now, which change
-    while the process runs. ``allowance`` is what services may get beyond
-    first arrivals, as entries are told it.
+    ``cluster_keys`` returns the keys that are valid at present; they may
+    change while the process runs. ``allowance`` limits how often requests
+    may reach servers after their first arrival; entries get the same value.
     """
 
     vm: str
--- a/packages/sycamorestand-control/tests/test_arrival_lender.py
+++ b/packages/sycamorestand-control/tests/test_arrival_lender.py
@@ -1,4 +1,4 @@
-"""A voter lends entries what others gave."""
+"""A voter lends entries the arrivals that other entries gave."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def answer_of(
     voters: tuple[str, ...], *trades: ArrivalTrade
 ) -> tuple[ArrivalLender, dict[str, float]]:
-    """Return a lender, and what it answers to the last of some trades."""
+    """Return a lender and its answer to the last of the trades."""
     mailbox: Any = Mailbox()
     lender = ArrivalLender(mailbox, ALLOWANCE, lambda: voters)
     for trade in trades:
@@ -34,10 +34,10 @@
 
 class TestArrivalLender:
     @pytest.fixture(autouse=True)
-    def _time_stands(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def _freeze_time(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(arrival_lender, "boottime_s", lambda: 100.0)
 
-    def test_what_one_entry_gives_another_borrows(self) -> None:
+    def test_given_arrivals_are_lent_to_another_entry(self) -> None:
         lender, lent = answer_of(
             (CONTROL,),
             ArrivalTrade(1, {"words": 1.5}, {}),
@@ -46,15 +46,15 @@
         assert lent == {"words": 1.5}
         assert (lender.asked, lender.lent) == (2.0, 1.5)
 
-    def test_what_it_has_no_room_for_goes_back(self) -> None:
+    def test_arrivals_above_the_capacity_are_returned(self) -> None:
         room = ALLOWANCE.slack * 0.25 / 2
         _, lent = answer_of(
             (CONTROL,), ArrivalTrade(1, {"words": room + 4.0}, {})
         )
         assert lent == {"words": 4.0}
 
-    def test_a_process_without_a_vote_has_no_pool(self) -> None:
-        """The sum over pools is divided by voters; others would add to it."""
+    def test_a_process_that_is_no_voter_has_no_pool(self) -> None:
+        """The total is divided by the voters; another pool would exceed it."""
         lender, lent = answer_of(
             ("10.0.0.7:7000",),
             ArrivalTrade(1, {"words": 1.5}, {}),
--- a/packages/sycamorestand-control/tests/test_change_commands.py
+++ b/packages/sycamorestand-control/tests/test_change_commands.py
@@ -30,33 +30,32 @@
 
 class TestMakeCommand:
     @pytest.mark.parametrize("kind", get_args(ChangeKind))
-    def test_every_kind_is_a_command_that_the_log_takes(
-        self, kind: str
-    ) -> None:
+    def test_every_kind_becomes_an_encodable_command(self, kind: str) -> None:
         command = make_command(request(kind, 7), 1.0, KEY)
         assert decode_command(encode_command(command)) == command
         assert command.change_id == "change-1"
         assert command.operator == "ann"
 
     @pytest.mark.parametrize("kind", get_args(ChangeKind))
-    def test_a_resend_is_the_same_change_wherever_it_is_made(
+    def test_a_resend_through_any_voter_is_the_same_change(
         self, kind: str
     ) -> None:
-        """An answer is lost; the client resends to another voter.
+        """An answer is lost and the client resends to another voter.
 
-        That voter has another clock and may have applied more. All but
-        the time must be the same, or the resend is refused as another
-        change under a known id, although the first was accepted.
+        That voter has another clock and may have applied more revisions.
+        Apart from the time, the command must be the same. Otherwise the
+        resend is refused as a different change under a known id, although
+        the first one was accepted.
         """
         first = make_command(request(kind), 1.0, KEY)
         again = make_command(request(kind), 2.0, KEY)
         assert again._replace(now_s=1.0) == first
 
-    def test_no_base_is_compared_with_none(self) -> None:
+    def test_without_a_base_any_revision_matches(self) -> None:
         command = make_command(request("reinstate"), 1.0, KEY)
         assert command.base_revision == ANY_REVISION
 
-    def test_an_apply_keeps_its_base(self) -> None:
+    def test_an_apply_keeps_its_base_revision(self) -> None:
         command = make_command(request("apply", 3), 1.0, KEY)
         assert isinstance(command, ApplyDeclarations)
         assert command.base_revision == 3
--- a/packages/sycamorestand-control/tests/test_operator_server.py
+++ b/packages/sycamorestand-control/tests/test_operator_server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server, as operators see its stop."""
+"""The operators' HTTP server during a planned stop."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     await send({"type": "http.response.body", "body": b""})
 
 
-def asked(port: int) -> socket.socket:
-    """Return a connection on which a request was sent."""
+def connect_and_send(port: int) -> socket.socket:
+    """Return a new connection after sending a request on it."""
     caller = socket.create_connection(("127.0.0.1", port), 1)
     caller.settimeout(5)
     caller.sendall(REQUEST)
@@ -41,39 +41,43 @@
         return port
 
 
-async def received(caller: socket.socket) -> bytes:
-    """Return the next bytes of an answer, none at the connection's end."""
+async def read_answer(caller: socket.socket) -> bytes:
+    """Return the next bytes of an answer, none after the connection ended."""
     return await anyio.to_thread.run_sync(caller.recv, 4096)
 
 
 class TestStop:
     @pytest.mark.parametrize("kept", [False, True])
-    async def test_requests_that_have_arrived_are_answered(
+    async def test_requests_that_arrived_before_it_are_answered(
         self, kept: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """An operator's call was reset at a control process's stop."""
+        """A planned stop reset the connections of operators' requests."""
         port = free_port()
         server = OperatorServer(application, "127.0.0.1", port)
         shutdown = server._server.shutdown
         callers: list[socket.socket] = []
 
-        async def ask_first(sockets: list[socket.socket] | None) -> None:
-            # Nothing else of this thread runs until the stop begins.
+        async def send_before_shutdown(
+            sockets: list[socket.socket] | None,
+        ) -> None:
+            # No other task of this thread runs until the stop begins.
             if kept:
                 callers[0].sendall(REQUEST)
             else:
-                callers.extend(asked(port) for _ in range(CALLERS))
+                callers.extend(connect_and_send(port) for _ in range(CALLERS))
             await shutdown(sockets)
 
-        monkeypatch.setattr(server._server, "shutdown", ask_first)
+        monkeypatch.setattr(server._server, "shutdown", send_before_shutdown)
         async with anyio.create_task_group() as group:
             group.start_soon(server.run)
             await anyio.sleep(0.2)
             if kept:
-                callers.append(await anyio.to_thread.run_sync(asked, port))
-                assert await received(callers[0])
+                callers.append(
+                    await anyio.to_thread.run_sync(connect_and_send, port)
+                )
+                assert await read_answer(callers[0])
             await server.stop()
-            answers = [await received(caller) for caller in callers]
+            answers = [await read_answer(caller) for caller in callers]
         for caller in callers:
             caller.close()
         assert len(answers) == (1 if kept else CALLERS)
--- a/packages/sycamorestand-control/tests/test_rating_exchange.py
+++ b/packages/sycamorestand-control/tests/test_rating_exchange.py
@@ -23,7 +23,7 @@
 
 
 class Process:
-    """A control process with its entries, and the others it knows."""
+    """A control process with its entries and other control processes."""
 
     def __init__(self, entries: list[str], others: list[str]) -> None:
         self.mesh = FakeMesh()
@@ -40,7 +40,7 @@
 
 
 class TestRatingExchange:
-    def test_an_entry_gets_those_of_all_the_others(self) -> None:
+    def test_an_entry_gets_the_ratings_of_all_others(self) -> None:
         process = Process(["e1", "e2"], ["c2"])
         process.exchange.add_ratings("e1", [count(3, 4)])
         process.exchange.add_ratings("e2", [count(1, 5)])
@@ -49,11 +49,11 @@
         assert sent["e1"] == (count(11, 15),)
         assert sent["e2"] == (count(13, 14),)
 
-    def test_nothing_comes_back_from_another_control_process(self) -> None:
-        """Two control processes tell each other of their own entries.
+    def test_ratings_are_not_sent_back_to_their_sender(self) -> None:
+        """Two control processes exchange the ratings of their entries.
 
-        What the one has from the other it does not send back; otherwise
-        each round would count the same ratings again.
+        If one sent back the ratings that it got from the other, each round
+        would count the same ratings again.
         """
         process = Process(["e1"], ["c2"])
         process.exchange.add_ratings("c2", [count(10, 10)])
@@ -65,13 +65,13 @@
         assert process.sent() == {"e2": (count(3, 4),)}
         assert process.sent() == {}
 
-    def test_harder_requests_are_kept_apart(self) -> None:
+    def test_escalated_requests_are_counted_separately(self) -> None:
         process = Process(["e2"], [])
         process.exchange.add_ratings("e1", [count(3, 4), count(1, 4, True)])
         assert set(process.sent()["e2"]) == {count(3, 4), count(1, 4, True)}
 
     def test_made_up_classes_do_not_grow_the_message(self) -> None:
-        """A caller sends each request under another class name."""
+        """A caller uses a new class name for each request."""
         process = Process(["e2"], [])
         rows = [
             RatingCount("nest@1", f"class-{n}", False, 1, 1)
--- a/packages/sycamorestand-control/tests/test_session_relay.py
+++ b/packages/sycamorestand-control/tests/test_session_relay.py
@@ -1,4 +1,4 @@
-"""Sessions that stay reach every entry, and none twice."""
+"""Every entry gets the staying sessions of all others exactly once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Process:
-    """A control process with two entries, and another one it knows."""
+    """A control process with two entries and one other control process."""
 
     def __init__(self) -> None:
         self.mailbox = Mailbox()
@@ -25,13 +25,13 @@
     def sent(self) -> dict[str, tuple[int, ...]]:
         self.mailbox.sent = []
         self.relay.forward()
-        told = {to: m.places for to, m in self.mailbox.sent}
-        assert len(told) == len(self.mailbox.sent)
-        return told
+        by_address = {to: m.places for to, m in self.mailbox.sent}
+        assert len(by_address) == len(self.mailbox.sent)
+        return by_address
 
 
 class TestSessionRelay:
-    def test_each_entry_gets_those_of_all_the_others(self) -> None:
+    def test_each_entry_gets_the_sessions_of_all_others(self) -> None:
         process = Process()
         process.relay.handle_sessions_stay("e1", stay(1, 2))
         process.relay.handle_sessions_stay("e2", stay(3))
@@ -39,13 +39,13 @@
         expected = {"e1": (3, 4), "e2": (1, 2, 4), "c2": (1, 2, 3)}
         assert process.sent() == expected
 
-    def test_what_was_passed_on_is_not_told_again(self) -> None:
+    def test_sessions_are_forwarded_only_once(self) -> None:
         process = Process()
         process.relay.handle_sessions_stay("e1", stay(1))
         process.sent()
         assert process.sent() == {}
 
-    def test_nothing_goes_back_to_another_control_process(self) -> None:
+    def test_sessions_are_not_sent_back_to_their_sender(self) -> None:
         process = Process()
         process.relay.handle_sessions_stay("c2", stay(4))
         assert process.sent() == {"e1": (4,), "e2": (4,)}
