--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
@@ -1,4 +1,4 @@
-"""The control process behind the operators' interface."""
+"""Answer operators' requests from the parts of a control process."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 class Parts(NamedTuple):
-    """The parts of the control process that operators reach."""
+    """The parts of a control process that operators' requests need."""
 
     vm: str
     data_centre: str
@@ -88,10 +88,10 @@
 
 
 class ControlBackend:
-    """Answers operators at any control process.
+    """Answers operators' requests at any control process.
 
-    The leader is asked where only it can know, so that an operator need
-    not find it.
+    It queries the leader for what only the leader knows, so operators need
+    not know which process leads.
     """
 
     def __init__(self, parts: Parts) -> None:
@@ -109,7 +109,7 @@
         )
 
     async def change(self, request: ChangeRequest) -> ChangeAnswer:
-        """Commit one change through whichever voter leads."""
+        """Commit one change through the leader, and log the outcome."""
         begin_s = time.monotonic()
         outcome = "no answer"
         revision = -1
@@ -159,21 +159,23 @@
         return make_answer(result, self._conflicts(request.base_revision))
 
     async def _catch_up(self, revision: int) -> None:
-        """Wait until this voter has applied what the change lost against.
+        """Wait until this voter has applied a revision.
 
-        The leader may answer before this voter hears of the commit, and
-        the operator would read of a conflict with nobody.
+        The leader may report a conflict before this voter has learned of
+        the conflicting commit, and the answer would list no conflicts.
+        Gives up after `CATCH_UP_S`.
         """
         with anyio.move_on_after(CATCH_UP_S):
             while self._parts.configuration.revision < revision:
                 await anyio.sleep(CATCH_UP_PAUSE_S)
 
     async def settle(self) -> None:
-        """Return once this voter has applied all that was acknowledged.
+        """Wait until this voter has applied every acknowledged change.
 
-        The leader is asked, and makes sure of a quorum first: one that was
-        deposed unawares would tell what has since been replaced. Raises
-        `NoLeader` where that cannot be established now.
+        The newest revision comes from the leader, which confirms its quorum
+        first: a leader that was deposed without noticing would report an
+        outdated one. Raises `NoLeader` if no leader can confirm it, or if
+        this voter does not catch up in `CATCH_UP_S`.
         """
         try:
             answer = await self.queries.query_leader(
@@ -187,14 +189,14 @@
             raise NoLeader("this voter lags behind the newest revision")
 
     async def declarations(self) -> DeclarationsAnswer:
-        """Return what this voter has applied."""
+        """Return the revision and declarations that this voter has applied."""
         configuration = self._parts.configuration
         return DeclarationsAnswer(
             configuration.revision, configuration.in_force().declarations
         )
 
     async def in_force(self, revision: int) -> InForceAnswer:
-        """Return the leader's word; only it knows every lease."""
+        """Return the leader's answer, as only the leader knows every lease."""
         payload = msgspec.msgpack.encode(revision)
         try:
             answer = await self.queries.query_leader(
@@ -205,7 +207,7 @@
         return msgspec.msgpack.decode(answer, type=InForceAnswer)
 
     async def status(self) -> StatusAnswer:
-        """Return this process's view; it works without a leader too."""
+        """Return this process's view, also without a leader."""
         parts = self._parts
         status = parts.groups.replicas[CONFIGURATION_GROUP].status()
         in_force = parts.configuration.in_force()
@@ -233,7 +235,7 @@
         return revision if answer.in_force else 0
 
     async def audit(self, after: int, limit: int) -> AuditPage:
-        """Return audit entries; the sequence is the index in the log."""
+        """Return audit entries, with their log index as the sequence."""
         found = self._parts.configuration.audit(after, limit + 1)
         entries = tuple(
             AuditEntry(
@@ -258,14 +260,14 @@
         return AuditPage(entries, next_after, len(found) > limit)
 
     async def bills(self, customer: str, after: int, limit: int) -> BillPage:
-        """Return charges of all shards that this voter has applied."""
+        """Return the charges of all shards as applied by this voter."""
         return self._parts.ledger.bills(customer, after, limit)
 
     async def nodes(self) -> tuple[NodeRow, ...]:
-        """Return the entry processes, with what their control knows.
+        """Return the entries, with leases and revisions from their control.
 
-        A control process that does not answer in time is left out: its
-        entries are shown without lease and revision.
+        If a control process does not answer in `QUERY_TIMEOUT_S`, its
+        entries are listed without lease and revision.
         """
         answers = await self.queries.query_each(
             self._other_controls(), NODES, QUERY_TIMEOUT_S
@@ -278,13 +280,17 @@
         return merge_node_rows(found)
 
     async def backends(self) -> tuple[BackendRow, ...]:
-        """Return the backend servers that are announced."""
+        """Return the backend servers that this process knows."""
         return backend_rows(self._parts.tables)
 
     async def replace_voter(
         self, request: ReplaceVoterRequest
     ) -> ChangeAnswer:
-        """Have the leader replace a voter by one that asked to join."""
+        """Replace a voter by a joining process, in one log after the other.
+
+        The leader of each log makes the changes. Raises `OutcomeUnknown` if
+        only some of the logs were changed.
+        """
         revision = self._parts.configuration.revision
         for group in sorted(self._parts.groups.replicas):
             payload = msgspec.msgpack.encode(
@@ -299,7 +305,7 @@
         return ChangeAnswer("accepted", revision, "the voter is replaced")
 
     async def rollouts(self) -> tuple[RolloutRow, ...]:
-        """Return the committed roll-outs with what is found of them now."""
+        """Return the committed roll-outs with their latest verdicts."""
         verdicts = self._parts.keeper.verdicts
         return tuple(
             RolloutRow(
@@ -315,7 +321,10 @@
         )
 
     async def explain(self, subject: str) -> Explanation:
-        """Return why the system treats the subject as it does."""
+        """Return how the system treats a subject, and why.
+
+        Raises `UnknownSubject` if nothing is known of it.
+        """
         lines = explain_subject(
             subject,
             self._parts.configuration,
@@ -328,7 +337,7 @@
         return Explanation(subject, lines)
 
     async def transfer_leadership(self, operator: str) -> TransferAnswer:
-        """Have the leader hand over to another voter."""
+        """Have the leader transfer its logs to another voter."""
         try:
             await self.queries.query_leader(TRANSFER, b"", HAND_OVER_TIMEOUT_S)
         except ControlError as error:
@@ -337,11 +346,11 @@
         return TransferAnswer(status.leader_id, status.term)
 
     def knows_operators(self) -> bool:
-        """Tell whether a configuration has reached this process."""
+        """Return whether this process has received a configuration."""
         return self._parts.configuration.cluster is not None
 
     def ready(self) -> bool:
-        """Tell whether this process holds a lease to serve entries with."""
+        """Return whether this process holds a lease and can serve entries."""
         return self._parts.leases.remaining_s() > 0
 
     async def _answer_in_force(self, payload: bytes) -> bytes:
@@ -433,7 +442,7 @@
 ) -> ChangeAnswer:
     if group == CONFIGURATION_GROUP:
         return ChangeAnswer("refused", revision, str(error))
-    # "Refused" would say that nothing was changed.
+    # The answer "refused" would mean that no log was changed.
     raise OutcomeUnknown(
         f"earlier logs are done, log {group} is not: {error};"
         " repeat the command"
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -1,4 +1,4 @@
-"""One control process: its logs, its entries and its operators."""
+"""Build and run a control process."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 class ControlProcess:
-    """Builds the parts of a control process and joins them."""
+    """Builds and connects the parts of a control process."""
 
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
@@ -169,7 +169,10 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until ``stop`` is set, then hand over and end."""
+        """Serve until ``stop`` is set, then transfer leadership and end.
+
+        Raises `StartRefused` if the process cannot start.
+        """
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await tasks.start(self.mesh.run)
@@ -316,9 +319,11 @@
     def _handle_sample_report(
         self, sender: str, message: SampleReport
     ) -> None:
-        """Take an entry's counts, and pass them on to the leader.
+        """Process an entry's counts and forward them to the leader.
 
-        Ratings go round by the exchange, so the leader's copy has none.
+        The forwarded copy has no ratings, because the rating exchange
+        already shares them. Reports from other control processes are not
+        forwarded again.
         """
         self.version_controller.handle_report(message)
         leader = self.groups.leader_address(CONFIGURATION_GROUP)
@@ -351,10 +356,10 @@
         try:
             await function(*arguments)
         except Exception:
-            # One peer's message, such as a batch of another release, must
-            # not end the voter with all that depends on it.
+            # A single message, such as a batch from another release, must not
+            # end the voter.
             self.mesh.counters.faults += 1
-            LOG.exception("message not answered")
+            LOG.exception("message handler failed")
 
     async def _answer_batch(self, sender: str, message: LedgerBatch) -> None:
         if not 0 <= message.shard < len(self.ledger_writers):
@@ -374,7 +379,7 @@
 
 
 class _ObservedMachine:
-    """A state machine that tells when its revision has risen."""
+    """A state machine that calls back when its revision has increased."""
 
     def __init__(
         self, machine: ConfigurationMachine, on_revision: Callable[[], None]
--- a/packages/sycamorestand-control/tests/test_process.py
+++ b/packages/sycamorestand-control/tests/test_process.py
@@ -1,4 +1,4 @@
-"""One control process, alone, on loopback: the smallest real cluster."""
+"""Tests of a cluster of one control process on loopback."""
 
 from __future__ import annotations
 
@@ -61,10 +61,10 @@
     async def test_a_change_is_in_force_and_survives_a_restart(
         self, tmp_path: Path
     ) -> None:
-        """A change is accepted, the process ends, another one starts.
+        """A change is accepted and the process restarts.
 
-        It reads the change from its folder; the setting that made the
-        cluster is still there and makes no second one.
+        It must read the change from its data folder. The first-start
+        setting is still in place and must not create a second cluster.
         """
         settings = settings_in(tmp_path)
         async with running(settings) as process:
@@ -77,13 +77,13 @@
             assert in_force.draining_vms == ("vm-9",)
             assert process.configuration.cluster == cluster
 
-    async def test_a_lone_process_says_in_force_only_after_old_leases(
+    async def test_nothing_is_in_force_before_old_leases_expire(
         self, tmp_path: Path
     ) -> None:
-        """The process was restarted; entries may hold its old leases.
+        """Entries may hold leases from before a restart of the process.
 
-        It cannot know them, so it says nothing is in force until the
-        longest of them has run out, and then it does.
+        The process does not know them, so it must not report a revision as
+        in force until the longest of them has expired.
         """
         async with running(settings_in(tmp_path)) as process:
             answer = await process.backend.change(drain("1", "vm-9"))
@@ -115,13 +115,13 @@
         assert 'operator_refusals_total{code="unauthenticated"} 1' in text
         assert 'sycamorestand_control_log_leads{log="0"} 1' in text
 
-    async def test_a_batch_that_cannot_be_read_ends_nothing(
+    async def test_an_undecodable_batch_does_not_end_the_process(
         self, tmp_path: Path
     ) -> None:
-        """An entry of another release sends a batch with a strange record.
+        """An entry of another release sends a batch that cannot be decoded.
 
-        Its records are not applied, the fault is counted, and the process
-        goes on to accept changes.
+        The batch is not applied, the fault is counted, and the process
+        still accepts changes.
         """
         async with running(settings_in(tmp_path)) as process:
             batch = LedgerBatch(1, 0, b"\x93\x01")
@@ -132,13 +132,13 @@
             answer = await process.backend.change(drain("1", "vm-9"))
             assert answer.outcome == "accepted"
 
-    async def test_an_empty_folder_makes_no_second_cluster(
+    async def test_a_wiped_voter_does_not_create_a_second_cluster(
         self, tmp_path: Path
     ) -> None:
-        """A voter's disk is lost, its first-start setting is still there.
+        """A voter's disk is lost while its first-start setting remains.
 
-        It hears that the others belong to a cluster and ends with one
-        line, before it has led or leased anything.
+        It learns that the others belong to a cluster and ends with an
+        error before it leads a log or grants a lease.
         """
         (tmp_path / "one").mkdir()
         (tmp_path / "two").mkdir()
@@ -154,10 +154,10 @@
         assert refused is not None
         assert process.configuration.cluster is None
 
-    async def test_a_taken_address_is_one_clear_error(
+    async def test_an_address_in_use_is_a_clear_error(
         self, tmp_path: Path
     ) -> None:
-        """Another program listens where operators are to connect."""
+        """Another program listens at the operators' address."""
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
@@ -172,28 +172,28 @@
 
 
 class TestBackgroundPart:
-    async def test_a_part_that_fails_ends_no_process(
+    async def test_a_failing_part_does_not_end_the_process(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The keeper of versions meets a state that nobody thought of.
+        """The version controller raises an unexpected error.
 
-        It is begun anew and the fault is counted; the voter stays, and
-        takes changes meanwhile. Otherwise each leader in turn would end.
+        It is restarted and the fault is counted, while the voter still
+        accepts changes. Otherwise each leader in turn would end.
         """
         monkeypatch.setattr(
             "sycamorestand_control.background.RESTART_PAUSE_S", 0.01
         )
-        looked = anyio.Event()
+        checked = anyio.Event()
 
         async def check(now_s: float) -> None:
             if process.mesh.counters.faults == 0:
-                raise RuntimeError("a state that nobody thought of")
-            looked.set()
+                raise RuntimeError("an unexpected state")
+            checked.set()
 
         async with running(settings_in(tmp_path)) as process:
             process.version_controller.check = check  # type: ignore[method-assign]
             with anyio.fail_after(WAIT_S):
-                await looked.wait()
+                await checked.wait()
             answer = await process.backend.change(drain("1", "vm-9"))
             assert answer.outcome == "accepted"
             assert process.mesh.counters.faults == 1
