--- a/packages/sycamorestand-control/src/sycamorestand_control/background.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/background.py
@@ -10,28 +10,28 @@
 import anyio
 
 LOG: Final = logging.getLogger(__name__)
-# Limits the log lines and processor time of a part that fails each time.
+# Limits the log lines and processor time of a task that fails each time.
 RESTART_PAUSE_S: Final = 1.0
 
 
 async def keep_running(
-    part: Callable[[], Awaitable[None]], on_failure: Callable[[], None]
+    task: Callable[[], Awaitable[None]], on_failure: Callable[[], None]
 ) -> None:
-    """Run a part until it returns, and restart it after an exception.
+    """Run a task until it returns, and restart it after an exception.
 
     An unexpected state, such as an unusual roll-out, could otherwise end
     the leader and then each next leader, until no quorum is left. A restart
-    is safe because parts decide from the log and from tables that outlive
-    them. It is not for the logs themselves: if their files cannot be
-    trusted, the process must end.
+    is safe because tasks decide from the log and from tables that outlive
+    them. The logs themselves must not run this way: if their files cannot
+    be trusted, the process must end.
     """
     while True:
         try:
-            await part()
+            await task()
             return
         except Exception:
             on_failure()
-            LOG.exception("background part failed and is restarted")
+            LOG.exception("background task failed and is restarted")
         await anyio.sleep(RESTART_PAUSE_S)
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/formation.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/formation.py
@@ -37,8 +37,8 @@
     or refuses the creation.
     """
     await _refuse_second_cluster(settings, mesh, groups)
-    own = [(groups.member_id, settings.peer_address)]
-    await groups.bootstrap_blank(own)
+    own_member = [(groups.member_id, settings.peer_address)]
+    await groups.bootstrap_blank(own_member)
     if configuration.cluster is not None:
         return
     command = CreateCluster(
--- a/packages/sycamorestand-control/src/sycamorestand_control/groups.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/groups.py
@@ -123,8 +123,8 @@
         if a transfer fails.
         """
         for replica in self.replicas.values():
-            others = [m for m in replica.status().members if m.voter]
-            if replica.status().role == "leader" and len(others) > 1:
+            voters = [m for m in replica.status().members if m.voter]
+            if replica.status().role == "leader" and len(voters) > 1:
                 await replica.transfer_leadership(None)
 
     def receive(self, address: str, message: ReplicaPayload) -> None:
@@ -229,7 +229,7 @@
         replies: list[CallReply] = []
         async with anyio.create_task_group() as tasks:
 
-            async def ask() -> None:
+            async def call_leader() -> None:
                 with contextlib.suppress(PeerTimeout):
                     replies.append(
                         await self._mesh.call(
@@ -238,7 +238,7 @@
                     )
                 tasks.cancel_scope.cancel()
 
-            tasks.start_soon(ask)
+            tasks.start_soon(call_leader)
             while self.leader_address(group) in ("", address):
                 await anyio.sleep(LEADER_CHECK_INTERVAL_S)
             tasks.cancel_scope.cancel()
--- a/packages/sycamorestand-control/src/sycamorestand_control/hub.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/hub.py
@@ -225,11 +225,11 @@
         centre. A hash spreads the entries over processes of equal distance.
         """
         name = self._tables.control_name(control)
-        spread = zlib.crc32(f"{entry.address} {control}".encode())
+        tie_breaker = zlib.crc32(f"{entry.address} {control}".encode())
         return (
             _host(control) != _host(entry.address),
             name.data_centre != entry.data_centre,
-            spread,
+            tie_breaker,
         )
 
     def _push_addresses(self) -> None:
--- a/packages/sycamorestand-control/src/sycamorestand_control/joining.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/joining.py
@@ -66,10 +66,10 @@
     while True:
         if not _is_leader_missing(groups):
             leader_seen_s = boottime_s()
-        voter = _is_voter_everywhere(groups)
-        if voter and not keep_asking:
+        votes_everywhere = _is_voter_everywhere(groups)
+        if votes_everywhere and not keep_asking:
             return
-        if not voter or boottime_s() - leader_seen_s > NO_LEADER_S:
+        if not votes_everywhere or boottime_s() - leader_seen_s > NO_LEADER_S:
             async with anyio.create_task_group() as tasks:
                 for address in controls():
                     tasks.start_soon(_ask_one, mesh, groups, address, vm)
--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -30,6 +30,7 @@
 
 LOG: Final = logging.getLogger(__name__)
 RETRY_INTERVAL_S: Final = 0.05
+# Expired leases of entries are dropped once in this many rounds of `run`.
 FORGET_EVERY_ROUNDS: Final = 25
 
 
@@ -162,11 +163,11 @@
         A process without a lease may be cut off, so messages to it may
         reach no other process.
         """
-        held = self.remaining_s() > 0
-        if held == self._was_held:
+        is_held = self.remaining_s() > 0
+        if is_held == self._was_held:
             return
-        self._was_held = held
-        LOG.info("control lease held" if held else "control lease lost")
+        self._was_held = is_held
+        LOG.info("control lease held" if is_held else "control lease lost")
 
     def _acked_revision(self) -> int:
         return self._entries.acknowledged(self._revision(), boottime_s())
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -302,12 +302,12 @@
             for member in self._configuration_replica().status().members
             if member.voter
         }
-        present = {voter.member_id for voter in voters}
+        voter_ids = {voter.member_id for voter in voters}
         for voter in voters:
             successor = approved.get(voter.address, voter.member_id)
             if successor == voter.member_id:
                 continue
-            if successor in present:
+            if successor in voter_ids:
                 await replica.remove(voter.member_id)
             else:
                 await self._add_learner(replica, successor)
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
@@ -272,12 +272,12 @@
         answers = await self.queries.query_each(
             self._other_controls(), NODES, QUERY_TIMEOUT_S
         )
-        found = [
+        row_lists = [
             msgspec.msgpack.decode(answer, type=tuple[NodeRow, ...])
             for answer in answers
         ]
-        found.append(self._own_node_rows())
-        return merge_node_rows(found)
+        row_lists.append(self._own_node_rows())
+        return merge_node_rows(row_lists)
 
     async def backends(self) -> tuple[BackendRow, ...]:
         """Return the backend servers that this process knows."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -177,7 +177,7 @@
             self._tasks = tasks
             await tasks.start(self.mesh.run)
             tasks.start_soon(self.groups.run)
-            for part in (
+            for task in (
                 self.leases.run,
                 self.hub.run,
                 self.tables.run,
@@ -190,7 +190,7 @@
                 self.balancer.run,
                 *(writer.run for writer in self.ledger_writers),
             ):
-                tasks.start_soon(keep_running, part, self._count_fault)
+                tasks.start_soon(keep_running, task, self._count_fault)
             operators = self._operator_server()
             tasks.start_soon(operators.run)
             await self._form_cluster()
--- a/packages/sycamorestand-control/src/sycamorestand_control/rows.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rows.py
@@ -100,15 +100,15 @@
     """
     rows = []
     for member in status.members:
-        own = member.member_id == status.member_id
-        silent_s = 0.0 if own else mesh.unheard_s(member.address)
+        is_own = member.member_id == status.member_id
+        silent_s = 0.0 if is_own else mesh.unheard_s(member.address)
         rows.append(
             VoterRow(
                 member.member_id,
                 *tables.control_name(member.address),
                 member.address,
                 _voter_role(member, status.leader_id),
-                status.applied_index if own else member.match_index,
+                status.applied_index if is_own else member.match_index,
                 int(min(silent_s, MAX_SILENT_S) * 1_000),
             )
         )
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -141,16 +141,16 @@
             NODE_LEASE_S,
         )
         self._entries.announce(record, boottime_s())
-        known = self._states.get(address.vm, EntryState(0))
-        self._states[address.vm] = known._replace(
+        state = self._states.get(address.vm, EntryState(0))
+        self._states[address.vm] = state._replace(
             acked_revision=message.acked_revision
         )
 
     def record_grant(self, vm: str, length_s: float) -> None:
         """Record a lease that was granted to an attached entry."""
-        known = self._states.get(vm, EntryState(0))
+        state = self._states.get(vm, EntryState(0))
         ends_s = boottime_s() + length_s
-        self._states[vm] = known._replace(lease_ends_s=ends_s)
+        self._states[vm] = state._replace(lease_ends_s=ends_s)
 
     def servers(self) -> dict[str, Announcement]:
         """Return the known backend servers by name."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -95,9 +95,9 @@
         for version, counts in stats.items():
             self._watch.add(version, counts)
             self._requests.add(version, counts.requests, time.time())
-        for model, run in self._monitored.items():
+        for model, monitored in self._monitored.items():
             old, new = self._stats_to_compare(model, stats)
-            run.monitor.add(old, new)
+            monitored.monitor.add(old, new)
 
     def request_shares(self) -> dict[str, float]:
         """Return each version's share of recent requests, from 0 to 1."""
@@ -123,8 +123,8 @@
 
     def _decide(self, now_s: float) -> list[Command]:
         commands: list[Command] = []
-        for model, run in self._monitored.items():
-            command = self._evaluate_rollout(model, run, now_s)
+        for model, monitored in self._monitored.items():
+            command = self._evaluate_rollout(model, monitored, now_s)
             if command is not None:
                 commands.append(command)
         self._checks += 1
@@ -137,41 +137,41 @@
         return commands
 
     def _evaluate_rollout(
-        self, model: str, run: _MonitoredRollout, now_s: float
+        self, model: str, monitored: _MonitoredRollout, now_s: float
     ) -> Command | None:
-        verdict = run.monitor.check(time.monotonic())
+        verdict = monitored.monitor.check(time.monotonic())
         self.verdicts[model] = verdict.reason
         if isinstance(verdict, Advance | Stop):
             LOG.info(
                 "version compared",
                 extra={
                     "model": model,
-                    "step": run.step,
+                    "step": monitored.step,
                     "verdict": type(verdict).__name__,
                     "reason": verdict.reason,
-                    "signals": list(run.monitor.compared()),
+                    "signals": list(monitored.monitor.compared()),
                 },
             )
         if isinstance(verdict, Stop):
             return StopRollout(
-                f"stop-{model}-{run.started_revision}",
+                f"stop-{model}-{monitored.started_revision}",
                 SYSTEM,
                 ANY_REVISION,
                 model,
-                run.started_revision,
+                monitored.started_revision,
                 verdict.reason,
                 _evidence(verdict),
                 now_s,
             )
         if isinstance(verdict, Advance):
             return RolloutStep(
-                f"step-{model}-{run.started_revision}-{run.step}",
+                f"step-{model}-{monitored.started_revision}-{monitored.step}",
                 SYSTEM,
                 ANY_REVISION,
                 model,
-                run.started_revision,
-                run.step,
-                run.step + 1,
+                monitored.started_revision,
+                monitored.step,
+                monitored.step + 1,
                 verdict.reason,
                 now_s,
             )
@@ -203,10 +203,13 @@
             self._sync_rollout(model, rollout)
 
     def _sync_rollout(self, model: str, rollout: RolloutState) -> None:
-        run = self._monitored.get(model)
+        monitored = self._monitored.get(model)
         # Wall-clock time may jump by seconds, which would cut a step short.
         now_s = time.monotonic()
-        if run is None or run.started_revision != rollout.started_revision:
+        if (
+            monitored is None
+            or monitored.started_revision != rollout.started_revision
+        ):
             declared = self._configuration.in_force().declarations
             monitor = RolloutMonitor(
                 declared.rollouts[model],
@@ -217,10 +220,10 @@
             self._monitored[model] = _MonitoredRollout(
                 rollout.started_revision, rollout.step, monitor
             )
-        elif run.step != rollout.step:
-            run.monitor.step = rollout.step - 1
-            run.monitor.advance(now_s)
-            self._monitored[model] = run._replace(step=rollout.step)
+        elif monitored.step != rollout.step:
+            monitored.monitor.step = rollout.step - 1
+            monitored.monitor.advance(now_s)
+            self._monitored[model] = monitored._replace(step=rollout.step)
 
     def _forget_unblocked(self) -> None:
         """Drop the counts of versions that operators have unblocked.
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -213,7 +213,7 @@
 
 
 class TestOwnLease:
-    async def test_losing_and_regaining_it_is_logged_once(
+    async def test_each_loss_and_regain_is_logged_once(
         self,
         harness: Harness,
         clock: Clock,
--- a/packages/sycamorestand-control/tests/test_operator_server.py
+++ b/packages/sycamorestand-control/tests/test_operator_server.py
@@ -48,7 +48,7 @@
 
 class TestStop:
     @pytest.mark.parametrize("kept", [False, True])
-    async def test_requests_that_arrived_before_it_are_answered(
+    async def test_requests_already_received_are_answered(
         self, kept: bool, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A planned stop reset the connections of operators' requests."""
--- a/packages/sycamorestand-control/tests/test_process.py
+++ b/packages/sycamorestand-control/tests/test_process.py
@@ -171,8 +171,8 @@
         assert str(port) in str(refused.exceptions[0])
 
 
-class TestBackgroundPart:
-    async def test_a_failing_part_does_not_end_the_process(
+class TestBackgroundTask:
+    async def test_a_failing_task_does_not_end_the_process(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """The version controller raises an unexpected error.
