--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -87,7 +87,7 @@
 
     def live_entries(self) -> tuple[str, ...]:
         """Return the entries whose lease may not have expired yet."""
-        return self._entries.live(boottime_s())
+        return self._entries.live_holders(boottime_s())
 
     def in_force(self, revision: int) -> InForceStatus | None:
         """Return whether a revision is in force, as the leader knows it.
@@ -106,7 +106,7 @@
         Only the leader knows them; other processes return none.
         """
         table = self._leading_table()
-        return () if table is None else table.live(boottime_s())
+        return () if table is None else table.live_holders(boottime_s())
 
     def handle_request(
         self, sender: str, message: ControlLeaseRequest
@@ -119,7 +119,7 @@
     def granted(self, message: ControlLeaseGranted) -> None:
         """Store the lease that the leader has granted to this process."""
         grant = LeaseGrant(message.length_s, message.revision)
-        self._held.renewed(message.sent_at_s, grant)
+        self._held.renew(message.sent_at_s, grant)
 
     async def run(self) -> None:
         """Renew this process's own lease until cancelled."""
@@ -170,7 +170,9 @@
         LOG.info("control lease held" if is_held else "control lease lost")
 
     def _acked_revision(self) -> int:
-        return self._entries.acknowledged(self._revision(), boottime_s())
+        return self._entries.revision_to_acknowledge(
+            self._revision(), boottime_s()
+        )
 
     def _grant_control(
         self, message: ControlLeaseRequest
--- a/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/version_controller.py
@@ -149,7 +149,7 @@
                     "step": monitored.step,
                     "verdict": type(verdict).__name__,
                     "reason": verdict.reason,
-                    "signals": list(monitored.monitor.compared()),
+                    "signals": list(monitored.monitor.comparison_lines()),
                 },
             )
         if isinstance(verdict, Stop):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -13,14 +13,14 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_decisions.arrivals import ArrivalBudget
+from sycamorestand_decisions.attempt_timeouts import AnswerTimes
+from sycamorestand_decisions.attempt_timeouts import ServerProgress
 from sycamorestand_decisions.cascade import CascadeLearner
-from sycamorestand_decisions.patience import AnswerTimes
-from sycamorestand_decisions.patience import Progress
+from sycamorestand_decisions.prefill import PrefillRates
 from sycamorestand_decisions.queue_delay import QueueDelay
-from sycamorestand_decisions.reading import ReadingRates
+from sycamorestand_decisions.retained_sessions import RetainedSessions
+from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_decisions.retry import RetryBudget
-from sycamorestand_decisions.staying import StayingSessions
-from sycamorestand_decisions.staying import Step
 from sycamorestand_entry.callers import Authenticator
 from sycamorestand_entry.loans import Loans
 from sycamorestand_entry.metrics import Metrics
@@ -70,13 +70,13 @@
         self.retries = RetryBudget(settings.retry_share)
         self.arrivals = ArrivalBudget(settings.allowance)
         self.loans = Loans(self.arrivals, control, self.now_s)
-        self.progress = Progress()
+        self.progress = ServerProgress()
         self.answer_times = AnswerTimes()
-        self.reading = ReadingRates()
+        self.prefill_rates = PrefillRates()
         self.cascade = CascadeLearner()
-        control.listen(SharedRatings, self._ratings_told)
-        self.staying = StayingSessions(settings.session_idle_s)
-        control.listen(SessionsStay, self._sessions_told)
+        control.add_listener(SharedRatings, self._ratings_told)
+        self.staying = RetainedSessions(settings.session_idle_s)
+        control.add_listener(SessionsStay, self._sessions_told)
         self._delays: dict[tuple[str, bool], QueueDelay] = {}
         self._pauses: dict[str, QueueDelay] = {}
         self.start_hold = StartHold()
@@ -95,34 +95,34 @@
         if limit_s:
             self._ends_at_s = self.now_s() + limit_s - STOP_MARGIN_S
 
-    def ends_at_s(self) -> float:
+    def stop_deadline_s(self) -> float:
         """Return by when answers must be whole, infinity if none must."""
         return self._ends_at_s
 
-    def others_serve(self) -> bool:
+    def has_other_serving_entry(self) -> bool:
         """Tell whether another entry that does not stop is known."""
         return any(
             address.vm != self.settings.vm and not address.stopping
             for address in self.control.addresses()
         )
 
-    def delay(self, service: str, quick: bool) -> QueueDelay:
+    def queue_delay(self, service: str, quick: bool) -> QueueDelay:
         """Return the wait at a service's servers, by length of reading.
 
         ``quick`` readings are read before the others.
         """
         return self._delays.setdefault((service, quick), QueueDelay())
 
-    def pause(self, service: str) -> QueueDelay:
+    def event_gap(self, service: str) -> QueueDelay:
         """Return the wait for the next event of a service's streams."""
         return self._pauses.setdefault(service, QueueDelay())
 
     def _ratings_told(self, message: SharedRatings) -> None:
-        self.cascade.learn(message.ratings)
+        self.cascade.observe_ratings(message.ratings)
 
     def _sessions_told(self, message: SessionsStay) -> None:
         step = Step(message.service, message.version, message.step)
-        self.staying.keep(step, message.places)
+        self.staying.retain(step, message.places)
 
     def start_background(
         self, function: Callable[..., Awaitable[None]], *arguments: Any
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -109,7 +109,7 @@
         self.mesh = PeerMesh(
             settings.peer_address,
             as_key_source(settings.cluster_keys),
-            self._received,
+            self._handle_message,
             settings.peer_listen or None,
             settings.tls,
         )
@@ -159,11 +159,13 @@
         """Count what an attempt on a version showed."""
         self._samples.add(sample, time.time())
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Send the control process a message that needs no answer."""
         self.mesh.send(self.control_address(), message)
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         """Call ``listener`` with each message of a kind that comes."""
         self._listeners[kind] = listener
 
@@ -187,7 +189,7 @@
         message = AnnouncementRelay(announcement)
         self.mesh.send(self.control_address(), message)
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Return the results once the records are durable."""
@@ -275,7 +277,7 @@
                 "control changed", extra={"control": self.control_address()}
             )
 
-    def _received(self, sender: str, message: Any) -> None:
+    def _handle_message(self, sender: str, message: Any) -> None:
         match message:
             case LeaseGrantMessage():
                 self._take_grant(message)
@@ -302,7 +304,7 @@
     def _take_grant(self, message: LeaseGrantMessage) -> None:
         self._attachment.granted(boottime_s())
         grant = LeaseGrant(message.length_s, message.revision)
-        self._lease.renewed(message.sent_at_s, grant)
+        self._lease.renew(message.sent_at_s, grant)
         self._ready.set()
 
     def _take_denial(self, sender: str, message: LeaseDenied) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_entry.errors import DeadlineExceeded
-from sycamorestand_entry.gate import may_dispatch_routed
+from sycamorestand_entry.gate import check_routed_dispatch
 from sycamorestand_entry.gate import RoutedIntent
 from sycamorestand_entry.routed.call import PROCESS_ENDS
 from sycamorestand_entry.routed.decision_log import AttemptEnded
@@ -32,8 +32,8 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.errors import RequestError
     from sycamorestand_entry.routed.call import RoutedCall
+    from sycamorestand_entry.routed.header_names import HeaderNames
     from sycamorestand_entry.routed.messages import Aim
-    from sycamorestand_entry.routed.wire import RouteWire
     from sycamorestand_entry.upstream import ResponseHead
     from sycamorestand_entry.upstream import UpstreamConnection
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         context: EntryContext,
-        wire: RouteWire,
+        wire: HeaderNames,
         call: RoutedCall,
         aim: Aim,
         connection: UpstreamConnection,
@@ -85,7 +85,7 @@
             )
             raise refusal
         self.begin_s = time.monotonic()
-        self._context.servers.started(
+        self._context.servers.record_start(
             self.aim.target, self.aim.server.name, self.begin_s
         )
         self._context.metrics.dispatches.inc({"version": self.aim.target})
@@ -102,7 +102,7 @@
         intent = RoutedIntent(
             self._call.route, self._call.customer, self.aim.server.name
         )
-        return may_dispatch_routed(self._context.control, intent)
+        return check_routed_dispatch(self._context.control, intent)
 
     async def read_head(
         self, limit_s: float, soft: bool = False
@@ -155,7 +155,7 @@
         self._outcome = "timeout"
         self._reason = "too slow"
         self._early = early
-        self._queued = self._context.progress.works_off(
+        self._queued = self._context.progress.is_serving_in_order(
             self.aim.server.name, self.begin_s
         )
         waited_s = time.monotonic() - self.begin_s
@@ -220,8 +220,10 @@
         """Note that the answer has begun."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
-        self._context.progress.begun(self.aim.server.name, self.begin_s, now_s)
-        self._context.servers.first_byte(
+        self._context.progress.record_first_event(
+            self.aim.server.name, self.begin_s, now_s
+        )
+        self._context.servers.record_first_byte(
             self.aim.target,
             self.aim.server.name,
             now_s,
@@ -244,7 +246,7 @@
         pause_s = self._recent.add(count, now_s)
         if pause_s is not None:
             service = self.aim.target.partition(VERSION_SEPARATOR)[0]
-            self._context.pause(service).observed(now_s, pause_s)
+            self._context.event_gap(service).observe(now_s, pause_s)
 
     def close(self) -> None:
         """Give the connection back, or cancel what still runs on it."""
@@ -252,7 +254,7 @@
             return
         self._closed = True
         now_s = time.monotonic()
-        self._context.servers.finished(
+        self._context.servers.record_finish(
             self.aim.target,
             self.aim.server.name,
             now_s,
--- a/packages/sycamorestand-entry/tests/routed/test_climb.py
+++ b/packages/sycamorestand-entry/tests/routed/test_climb.py
@@ -50,8 +50,8 @@
         """
         async with start_routed() as loopback:
             keep_waiting(loopback, quick=False)
-            reading = loopback.entry.context.reading
-            reading.observed("stock", "large", 40_000, 4.0)
+            reading = loopback.entry.context.prefill_rates
+            reading.observe("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
@@ -132,9 +132,9 @@
 
 def keep_waiting(loopback: RoutedLoopback, quick: bool) -> None:
     """Let requests have waited for seconds at every server."""
-    delay = loopback.entry.context.delay("stock", quick)
+    delay = loopback.entry.context.queue_delay("stock", quick)
     for _ in range(8):
-        delay.observed(time.monotonic(), 4.0)
+        delay.observe(time.monotonic(), 4.0)
 
 
 async def ask_with_sizes(
--- a/packages/sycamorestand-entry/tests/test_loans.py
+++ b/packages/sycamorestand-entry/tests/test_loans.py
@@ -31,12 +31,12 @@
         self.loans = Loans(self.budget, self.control, lambda: self.now_s)
 
     def request(self) -> None:
-        self.budget.sent_first(SERVICE, self.now_s)
+        self.budget.record_first_arrival(SERVICE, self.now_s)
         self.loans.trade()
 
     def trade(self) -> ArrivalTrade:
         """Return the trade that was sent last."""
-        trade = self.control.told[-1]
+        trade = self.control.sent_messages[-1]
         assert isinstance(trade, ArrivalTrade)
         return trade
 
@@ -77,7 +77,7 @@
             entry.now_s += 2.0
         given = [
             message.given
-            for message in entry.control.told
+            for message in entry.control.sent_messages
             if isinstance(message, ArrivalTrade)
         ]
         assert len(given) > 3
