--- a/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/session_relay.py
@@ -26,7 +26,7 @@
 
 
 class SessionRelay:
-    """Merges and forwards the sessions that senders report as staying."""
+    """Merges and forwards the sessions that senders report as retained."""
 
     def __init__(
         self,
--- a/packages/sycamorestand-control/tests/test_session_relay.py
+++ b/packages/sycamorestand-control/tests/test_session_relay.py
@@ -1,4 +1,4 @@
-"""Every entry gets the staying sessions of all others exactly once."""
+"""Every entry gets the retained sessions of all others exactly once."""
 
 from __future__ import annotations
 
