--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -193,6 +193,10 @@
                 self._mesh.send(leader, request._replace(call_id=FORWARDED))
 
     async def _repair_voters(self, replica: Replica, since_s: float) -> None:
+        """Make the change that `voter_repair` chooses, if any.
+
+        ``since_s`` is when this process became the leader of the log.
+        """
         members = replica.status().members
         own_id = replica.member_id
         observed = [
@@ -264,6 +268,11 @@
         return boottime_s() - self._last_asked_s[joiner.member_id]
 
     async def _admit_one(self, replica: Replica) -> None:
+        """Make the first change that applies, without replacing lost voters.
+
+        These are, in order: promote a learner, continue a replacement that
+        an operator has started, and add a learner if voters are missing.
+        """
         members = replica.status().members
         voters = [member for member in members if member.voter]
         learners = [member for member in members if not member.voter]
