--- a/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
@@ -18,7 +18,7 @@
 MAX_CHANGE_ID_CHARACTERS: Final = 200
 
 
-class Answered(NamedTuple):
+class StoredAnswer(NamedTuple):
     """What a change id was used for, and the answer it got."""
 
     fingerprint: bytes
@@ -26,20 +26,20 @@
     now_s: float
 
 
-def remember(
-    answers: dict[str, Answered], change_id: str, answered: Answered
+def store_answer(
+    answers: dict[str, StoredAnswer], change_id: str, answer: StoredAnswer
 ) -> None:
     """Keep the answer and drop the oldest ones past the bounds.
 
     Changes ``answers`` in place; they stand in the order of the log.
     """
-    answers[change_id] = answered
+    answers[change_id] = answer
     while len(answers) > MAX_CHANGE_IDS:
         del answers[next(iter(answers))]
-    drop_old(answers, answered.now_s)
+    drop_expired(answers, answer.now_s)
 
 
-def drop_old(answers: dict[str, Answered], now_s: float) -> None:
+def drop_expired(answers: dict[str, StoredAnswer], now_s: float) -> None:
     """Drop answers that are older than the bound."""
     oldest_s = now_s - MAX_CHANGE_ID_AGE_S
     while answers:
@@ -50,10 +50,10 @@
 
 
 __all__ = [
-    "Answered",
-    "drop_old",
+    "StoredAnswer",
+    "drop_expired",
     "MAX_CHANGE_ID_AGE_S",
     "MAX_CHANGE_ID_CHARACTERS",
     "MAX_CHANGE_IDS",
-    "remember",
+    "store_answer",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/changes.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/changes.py
@@ -6,7 +6,7 @@
 from sycamorestand_model.declarations import find_version
 from sycamorestand_model.declarations import Operator
 from sycamorestand_model.declarations import version_id
-from sycamorestand_state.codec import encoded_bytes
+from sycamorestand_state.codec import encoded_size_bytes
 from sycamorestand_state.commands import ApplyDeclarations
 from sycamorestand_state.commands import CreateCluster
 from sycamorestand_state.commands import DrainVm
@@ -26,9 +26,9 @@
 from sycamorestand_state.references import MAX_DECLARATIONS_BYTES
 from sycamorestand_state.references import reference_findings
 from sycamorestand_state.results import ClusterIdentity
+from sycamorestand_state.rollouts import not_stable_findings
 from sycamorestand_state.rollouts import reconcile
 from sycamorestand_state.rollouts import stop_for_version
-from sycamorestand_state.rollouts import unsettled_findings
 
 
 def create_cluster(
@@ -64,7 +64,7 @@
 ) -> Decision:
     """Put new declarations in force, or tell all that is wrong with them."""
     declarations = command.declarations
-    size_bytes = encoded_bytes(declarations)
+    size_bytes = encoded_size_bytes(declarations)
     if size_bytes > MAX_DECLARATIONS_BYTES:
         return refused(
             state,
@@ -74,7 +74,7 @@
     findings = (
         *_document_findings(state.declarations, declarations),
         *reference_findings(declarations),
-        *unsettled_findings(state.rollouts, declarations),
+        *not_stable_findings(state.rollouts, declarations),
     )
     if findings:
         return refused(state, *findings)
@@ -207,7 +207,7 @@
     declarations = command.declarations
     withdrawn = _declared_withdrawals(state, command)
     reconciled = reconcile(state.rollouts, declarations)
-    fitted = state._replace(
+    updated = state._replace(
         declarations=declarations,
         withdrawn=withdrawn,
         rollouts=reconciled.rollouts,
@@ -219,12 +219,12 @@
     for identity in sorted(set(withdrawn) - set(state.withdrawn)):
         lines.append(f"{identity}: withdrawn: declared")
         stopped = stop_for_version(
-            fitted, identity, "withdrawn", command.now_s
+            updated, identity, "withdrawn", command.now_s
         )
-        fitted = fitted._replace(rollouts=stopped.rollouts)
+        updated = updated._replace(rollouts=stopped.rollouts)
         lines.extend(stopped.difference)
     return applied(
-        fitted,
+        updated,
         *lines,
         notes=_still_withdrawn(state, declarations),
         evidence=command.message,
@@ -240,14 +240,14 @@
     good. Declarations that were made without one, or from an older one,
     would undo a change that was acknowledged.
     """
-    held = current.document
+    old = current.document
     new = wanted.document
-    if new.number < held.number:
+    if new.number < old.number:
         return (
-            f"document: number {new.number} is below {held.number}, which is "
+            f"document: number {new.number} is below {old.number}, which is "
             "in force; give the next document a higher number",
         )
-    if new.number == held.number and new.content != held.content:
+    if new.number == old.number and new.content != old.content:
         return (
             f"document: number {new.number} is in force with other content; "
             "give the next document a higher number",
--- a/packages/sycamorestand-state/src/sycamorestand_state/charges.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/charges.py
@@ -129,21 +129,21 @@
 
     def bills(self, customer: str | None, after: int, limit: int) -> Bills:
         """Return totals and at most ``limit`` charges after a number."""
-        chosen: list[ChargeLine] = []
+        page: list[ChargeLine] = []
         for line in self._lines.values():
-            if len(chosen) == limit:
+            if len(page) == limit:
                 break
             if line.number > after and customer in (None, line.customer):
-                chosen.append(line)
+                page.append(line)
         totals = (
             total
             for total in self._totals.values()
             if customer in (None, total.customer)
         )
-        next_after = chosen[-1].number if chosen else after
+        next_after = page[-1].number if page else after
         return Bills(
             tuple(sorted(totals)),
-            tuple(chosen),
+            tuple(page),
             next_after,
             self._dropped_until,
         )
@@ -183,7 +183,7 @@
             record.output_tokens,
             clock_s,
         )
-        day = _day(clock_s)
+        day = _utc_day(clock_s)
         total_key = (record.customer, record.version, day)
         total = self._totals.get(total_key)
         if total is None:
@@ -199,7 +199,7 @@
     def _make_room(self) -> bool:
         if len(self._lines) < self._limit:
             return True
-        if self._tombstones.full:
+        if self._tombstones.is_full:
             return False
         key = next(iter(self._lines))
         self._tombstones.add(*key, self._lines[key].charged_s)
@@ -218,7 +218,7 @@
     )
 
 
-def _day(now_s: float) -> str:
+def _utc_day(now_s: float) -> str:
     return datetime.fromtimestamp(now_s, UTC).date().isoformat()
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/claims.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/claims.py
@@ -103,7 +103,7 @@
         self._records: dict[ClaimKey, ClaimRecord] = {}
         # Keys with a recorded answer, oldest first, so that the bound on
         # bytes need not search all claims.
-        self._answered: dict[ClaimKey, int] = {}
+        self._answer_sizes: dict[ClaimKey, int] = {}
         self._answers_bytes = 0
 
     def __len__(self) -> int:
@@ -121,22 +121,22 @@
         if known is None:
             return self._create(key, record, clock_s)
         if known.fingerprint != record.fingerprint:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         if record.owner in known.spent:
-            return _told(CONFLICT, known)
-        if self._may_take(known, record, clock_s):
-            return self._take(key, known, record, clock_s)
-        known = self._settle_abandoned(key, known, record, clock_s)
-        return _told(EXISTS, known)
+            return _existing_claim_result(CONFLICT, known)
+        if self._can_take_over(known, record, clock_s):
+            return self._take_over(key, known, record, clock_s)
+        known = self._mark_abandoned_unknown(key, known, record, clock_s)
+        return _existing_claim_result(EXISTS, known)
 
     def dispatch(self, record: Dispatch, clock_s: float) -> LedgerResult:
         """Let the owner write to a backend server, once."""
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
-            return self._missing(key)
+            return self._missing_claim_result(key)
         if known.owner != record.owner or known.state != CLAIMED:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         self._put(key, known._replace(state=DISPATCHED, changed_s=clock_s))
         return LedgerResult(OK, DISPATCHED, record.owner)
 
@@ -145,17 +145,17 @@
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
-            return self._missing(key)
+            return self._missing_claim_result(key)
         if known.owner != record.owner:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         if known.state == record.state:
             return LedgerResult(OK, known.state, known.owner)
         if (known.state, record.state) == (DONE, UNKNOWN):
             return LedgerResult(OK, DONE, known.owner)
-        if (known.state, record.state) not in _OUTCOMES:
-            return _told(CONFLICT, known)
-        self._put(key, self._ended(known, record, clock_s))
-        self._bound_answers()
+        if (known.state, record.state) not in _ALLOWED_OUTCOMES:
+            return _existing_claim_result(CONFLICT, known)
+        self._put(key, self._with_outcome(known, record, clock_s))
+        self._evict_answers()
         return LedgerResult(OK, record.state, known.owner)
 
     def expire(self, clock_s: float) -> None:
@@ -174,7 +174,7 @@
     def load(self, state: ClaimsState) -> None:
         """Take the claims of a snapshot in place of one's own."""
         self._records = {}
-        self._answered = {}
+        self._answer_sizes = {}
         self._answers_bytes = 0
         for key, record in zip(*state, strict=True):
             self._put(key, record)
@@ -194,7 +194,7 @@
         self._put(key, created)
         return LedgerResult(CREATED, CLAIMED, record.owner)
 
-    def _may_take(
+    def _can_take_over(
         self, known: ClaimRecord, record: Claim, clock_s: float
     ) -> bool:
         if known.state == NOT_RUN:
@@ -206,7 +206,7 @@
             and clock_s - known.changed_s >= TAKEOVER_AGE_S
         )
 
-    def _take(
+    def _take_over(
         self,
         key: ClaimKey,
         known: ClaimRecord,
@@ -222,7 +222,7 @@
         self._put(key, taken)
         return LedgerResult(CREATED, CLAIMED, record.owner)
 
-    def _settle_abandoned(
+    def _mark_abandoned_unknown(
         self,
         key: ClaimKey,
         known: ClaimRecord,
@@ -242,7 +242,7 @@
         self._put(key, settled)
         return settled
 
-    def _ended(
+    def _with_outcome(
         self, known: ClaimRecord, record: Outcome, clock_s: float
     ) -> ClaimRecord:
         ended = known._replace(state=record.state, changed_s=clock_s)
@@ -255,23 +255,23 @@
             content_type=record.content_type,
             answer=record.answer,
         )
-        small = len(record.answer) <= self._limits.answer_bytes
-        return done if small else _without_answer(done)
+        fits = len(record.answer) <= self._limits.answer_bytes
+        return done if fits else _without_answer(done)
 
     def _make_room(self) -> bool:
         if len(self._records) < self._limits.claims:
             return True
-        if self._tombstones.full:
+        if self._tombstones.is_full:
             return False
         key = next(iter(self._records))
         self._tombstones.add(*key, self._records[key].changed_s)
         self._drop(key)
         return True
 
-    def _bound_answers(self) -> None:
+    def _evict_answers(self) -> None:
         while self._answers_bytes > self._limits.answers_bytes:
-            key = next(iter(self._answered))
-            self._answers_bytes -= self._answered.pop(key)
+            key = next(iter(self._answer_sizes))
+            self._answers_bytes -= self._answer_sizes.pop(key)
             # In its place, as the order is that of the last change.
             self._records[key] = _without_answer(self._records[key])
 
@@ -279,14 +279,14 @@
         self._drop(key)
         self._records[key] = record
         if record.answer:
-            self._answered[key] = len(record.answer)
+            self._answer_sizes[key] = len(record.answer)
             self._answers_bytes += len(record.answer)
 
     def _drop(self, key: ClaimKey) -> None:
         self._records.pop(key, None)
-        self._answers_bytes -= self._answered.pop(key, 0)
+        self._answers_bytes -= self._answer_sizes.pop(key, 0)
 
-    def _missing(self, key: ClaimKey) -> LedgerResult:
+    def _missing_claim_result(self, key: ClaimKey) -> LedgerResult:
         expired = self._tombstones.holds(*key)
         return LedgerResult(EXPIRED if expired else CONFLICT)
 
@@ -294,7 +294,7 @@
 # From a claim's state to the outcomes that its owner may record. ``done``
 # needs a dispatch before it; ``unknown`` is left only for ``done``, as a
 # caller may have been told not to try again.
-_OUTCOMES: Final = frozenset(
+_ALLOWED_OUTCOMES: Final = frozenset(
     {
         (CLAIMED, NOT_RUN),
         (CLAIMED, UNKNOWN),
@@ -310,7 +310,7 @@
     return record._replace(content_type=NOT_KEPT, answer=b"")
 
 
-def _told(state: str, known: ClaimRecord) -> LedgerResult:
+def _existing_claim_result(state: str, known: ClaimRecord) -> LedgerResult:
     return LedgerResult(
         state=state,
         claim_state=known.state,
--- a/packages/sycamorestand-state/src/sycamorestand_state/codec.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/codec.py
@@ -27,8 +27,8 @@
 FINGERPRINT_BYTES: Final = 16
 
 T = TypeVar("T")
-_PLAIN: Final = msgspec.msgpack.Encoder()
-_SORTED: Final = msgspec.msgpack.Encoder(order="deterministic")
+_ENCODER: Final = msgspec.msgpack.Encoder()
+_DETERMINISTIC_ENCODER: Final = msgspec.msgpack.Encoder(order="deterministic")
 _ENVELOPE: Final = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
 
 
@@ -65,7 +65,7 @@
 def encode_fields(command: Any) -> bytes:
     """Return the bytes, or refuse what the format cannot carry."""
     try:
-        return _PLAIN.encode(command)
+        return _ENCODER.encode(command)
     except (OverflowError, UnicodeError) as error:
         raise MalformedCommand(f"cannot be written: {error}") from error
 
@@ -90,7 +90,7 @@
 
 def encode_state(state: Any) -> bytes:
     """Return a snapshot; equal state gives equal bytes on every replica."""
-    return _SORTED.encode(state)
+    return _DETERMINISTIC_ENCODER.encode(state)
 
 
 def decode_state(data: bytes, kind: type[T]) -> T:
@@ -101,15 +101,15 @@
         raise SnapshotUnreadable(f"{kind.__name__}: {error}") from error
 
 
-def encoded_bytes(content: Any) -> int:
+def encoded_size_bytes(content: Any) -> int:
     """Return how many bytes the content takes in the log."""
-    return len(_PLAIN.encode(content))
+    return len(_ENCODER.encode(content))
 
 
 def fingerprint(content: Any) -> bytes:
     """Return a hash that does not depend on the order of mappings."""
     return hashlib.blake2b(
-        _SORTED.encode(content), digest_size=FINGERPRINT_BYTES
+        _DETERMINISTIC_ENCODER.encode(content), digest_size=FINGERPRINT_BYTES
     ).digest()
 
 
@@ -119,7 +119,7 @@
     "decode_state",
     "encode_fields",
     "encode_state",
-    "encoded_bytes",
+    "encoded_size_bytes",
     "fingerprint",
     "make_codec",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/commands.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/commands.py
@@ -201,7 +201,7 @@
 # Any other change says by itself what it does to one subject, so it may
 # carry ANY_REVISION; with a base of the voter that happened to be asked, a
 # resend through another voter would be another change.
-BASED_KINDS: Final = (CreateCluster, ApplyDeclarations)
+BASE_REQUIRED_KINDS: Final = (CreateCluster, ApplyDeclarations)
 
 CODES: Final = {
     1: CreateCluster,
@@ -235,7 +235,7 @@
 __all__ = [
     "ANY_REVISION",
     "ApplyDeclarations",
-    "BASED_KINDS",
+    "BASE_REQUIRED_KINDS",
     "Change",
     "CODES",
     "Command",
--- a/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
@@ -13,10 +13,10 @@
 from typing import NamedTuple
 
 from sycamorestand_model.in_force import InForce
-from sycamorestand_state.change_ids import Answered
-from sycamorestand_state.change_ids import drop_old
+from sycamorestand_state.change_ids import drop_expired
 from sycamorestand_state.change_ids import MAX_CHANGE_ID_CHARACTERS
-from sycamorestand_state.change_ids import remember
+from sycamorestand_state.change_ids import store_answer
+from sycamorestand_state.change_ids import StoredAnswer
 from sycamorestand_state.changes import apply_declarations
 from sycamorestand_state.changes import create_cluster
 from sycamorestand_state.changes import drain_vm
@@ -31,7 +31,7 @@
 from sycamorestand_state.codec import fingerprint
 from sycamorestand_state.commands import ANY_REVISION
 from sycamorestand_state.commands import ApplyDeclarations
-from sycamorestand_state.commands import BASED_KINDS
+from sycamorestand_state.commands import BASE_REQUIRED_KINDS
 from sycamorestand_state.commands import Change
 from sycamorestand_state.commands import CreateCluster
 from sycamorestand_state.commands import decode_command
@@ -68,7 +68,7 @@
 MAX_AUDIT_ENTRIES: Final = 20_000
 MAX_EVIDENCE_CHARACTERS: Final = 2_000
 # How many of the changes in between a conflict names.
-CONFLICT_LINES: Final = 5
+MAX_CONFLICT_LINES: Final = 5
 
 _HANDLERS: Final[dict[type[Any], Any]] = {
     CreateCluster: create_cluster,
@@ -88,7 +88,7 @@
 
 class _Snapshot(NamedTuple):
     state: ConfigurationState
-    answers: list[tuple[str, Answered]]
+    answers: list[tuple[str, StoredAnswer]]
     audit: list[AuditEntry]
     orders: list[OrderRecord]
     order_fence: tuple[int, int]
@@ -100,9 +100,9 @@
 
     def __init__(self) -> None:
         self._state = ConfigurationState()
-        self._answers: dict[str, Answered] = {}
+        self._answers: dict[str, StoredAnswer] = {}
         self._audit: list[AuditEntry] = []
-        self._book = OrderBook()
+        self._order_book = OrderBook()
         self._clock_s = 0.0
         self._in_force = to_in_force(self._state)
 
@@ -135,7 +135,7 @@
 
     def orders(self) -> tuple[OrderRecord, ...]:
         """Return the orders to engines, oldest change first."""
-        return tuple(self._book.orders.values())
+        return tuple(self._order_book.orders.values())
 
     def audit(self, after_index: int, limit: int) -> list[AuditEntry]:
         """Return at most ``limit`` entries after an index of the log."""
@@ -160,8 +160,8 @@
                 self._state,
                 list(self._answers.items()),
                 self._audit,
-                list(self._book.orders.values()),
-                (self._book.term, self._book.sequence),
+                list(self._order_book.orders.values()),
+                (self._order_book.term, self._order_book.sequence),
                 self._clock_s,
             )
         )
@@ -173,29 +173,37 @@
         self._answers = dict(loaded.answers)
         self._audit = loaded.audit
         orders = {order.order_id: order for order in loaded.orders}
-        self._book = OrderBook(orders, *loaded.order_fence)
+        self._order_book = OrderBook(orders, *loaded.order_fence)
         self._clock_s = loaded.clock_s
         self._in_force = to_in_force(self._state)
 
     def _apply_change(self, index: int, command: Change) -> ChangeResult:
-        drop_old(self._answers, self._clock_s)
-        content = fingerprint((type(command).__name__, _content(command)))
+        drop_expired(self._answers, self._clock_s)
+        command_fingerprint = fingerprint(
+            (type(command).__name__, _without_time(command))
+        )
         known = self._answers.get(command.change_id)
         if known is not None:
-            return self._answer_again(index, command, known, content)
+            return self._answer_resend(
+                index, command, known, command_fingerprint
+            )
         decision = self._decide(command)
         result = self._commit(index, command, decision)
-        remember(
+        store_answer(
             self._answers,
             command.change_id,
-            Answered(content, result, self._clock_s),
+            StoredAnswer(command_fingerprint, result, self._clock_s),
         )
         return result
 
-    def _answer_again(
-        self, index: int, command: Change, known: Answered, content: bytes
+    def _answer_resend(
+        self,
+        index: int,
+        command: Change,
+        known: StoredAnswer,
+        command_fingerprint: bytes,
     ) -> ChangeResult:
-        if known.fingerprint == content:
+        if known.fingerprint == command_fingerprint:
             return known.result._replace(duplicate=True)
         decision = refused(
             self._state,
@@ -227,7 +235,9 @@
         if isinstance(command, CreateCluster):
             return ()
         base = command.base_revision
-        if base == ANY_REVISION and not isinstance(command, BASED_KINDS):
+        if base == ANY_REVISION and not isinstance(
+            command, BASE_REQUIRED_KINDS
+        ):
             return ()
         if base == self.revision:
             return ()
@@ -239,13 +249,13 @@
     def _changes_since(self, base_revision: int) -> list[str]:
         since = [
             f"revision {entry.revision} by {entry.operator}: {entry.kind}, "
-            + "; ".join(entry.difference[:CONFLICT_LINES])
+            + "; ".join(entry.difference[:MAX_CONFLICT_LINES])
             for entry in self._audit
             if entry.outcome == "applied"
             and entry.revision > base_revision
             and entry.kind != RecordOrder.__name__
         ]
-        return since[-CONFLICT_LINES:]
+        return since[-MAX_CONFLICT_LINES:]
 
     def _commit(
         self, index: int, command: Change, decision: Decision
@@ -255,7 +265,7 @@
             self._in_force = to_in_force(self._state)
         message = _message(command)
         evidence = decision.evidence
-        self._record(
+        self._append_audit_entry(
             AuditEntry(
                 index,
                 self.revision,
@@ -280,15 +290,15 @@
         )
 
     def _apply_order(self, index: int, command: RecordOrder) -> ChangeResult:
-        decision = record_order(self._book, command)
-        self._book = decision.book
+        decision = record_order(self._order_book, command)
+        self._order_book = decision.book
         outcome: Outcome = "applied" if decision.changed else "unchanged"
         if decision.finding:
             outcome = "refused"
         # A resend that changed nothing is left out, as every retry of the
         # leader would add a line.
         if outcome != "unchanged":
-            self._record(
+            self._append_audit_entry(
                 AuditEntry(
                     index,
                     self.revision,
@@ -305,13 +315,13 @@
         findings = (decision.finding,) if decision.finding else ()
         return ChangeResult(outcome, self.revision, decision.finding, findings)
 
-    def _record(self, entry: AuditEntry) -> None:
+    def _append_audit_entry(self, entry: AuditEntry) -> None:
         evidence = entry.evidence[:MAX_EVIDENCE_CHARACTERS]
         self._audit.append(entry._replace(evidence=evidence))
         del self._audit[:-MAX_AUDIT_ENTRIES]
 
 
-def _content(command: Change) -> Change:
+def _without_time(command: Change) -> Change:
     # The leader stamps the time anew at each resend.
     return command._replace(now_s=0.0)
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/difference.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/difference.py
@@ -15,7 +15,7 @@
 # read the audit trail, so only their number is told.
 SECRET_FIELDS: Final = frozenset({"key_hashes"})
 # An operator's document may hold customers' keys as they are.
-UNTOLD_FIELDS: Final = frozenset({"content"})
+OMITTED_FIELDS: Final = frozenset({"content"})
 
 
 def describe_difference(
@@ -41,7 +41,7 @@
         for field in old._fields:
             yield from _field_differences(_join(path, field), field, old, new)
     else:
-        yield f"{path}: {_short(old)} -> {_short(new)}"
+        yield f"{path}: {_abbreviate(old)} -> {_abbreviate(new)}"
 
 
 def _mapping_differences(
@@ -62,7 +62,7 @@
 ) -> Iterator[str]:
     before = getattr(old, field)
     after = getattr(new, field)
-    if field in UNTOLD_FIELDS:
+    if field in OMITTED_FIELDS:
         return
     if field not in SECRET_FIELDS:
         yield from _differences(path, before, after)
@@ -74,7 +74,7 @@
     return f"{path}.{name}" if path else name
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     if len(text) <= MAX_VALUE_CHARACTERS:
         return text
--- a/packages/sycamorestand-state/src/sycamorestand_state/directory.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/directory.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, origin: str, epoch: int) -> None:
-        super().__init__(origin, epoch, _membership, _leaves)
+        super().__init__(origin, epoch, _without_load, _is_leaving)
         self._loads = LoadBook()
 
     def announce(self, announcement: Announcement, now_s: float) -> bool:
@@ -60,11 +60,11 @@
         return self._loads.load(name, now_s)
 
 
-def _membership(announcement: Announcement) -> Announcement:
+def _without_load(announcement: Announcement) -> Announcement:
     return announcement._replace(load=LoadReport())
 
 
-def _leaves(announcement: Announcement) -> bool:
+def _is_leaving(announcement: Announcement) -> bool:
     return announcement.leaving
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/leases.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/leases.py
@@ -84,7 +84,7 @@
         # The leases of the predecessor, or of this process before its
         # restart, are known to nobody. Without the wait a revision would
         # be reported in force while an entry still works on an older one.
-        self._earliest_in_force_s = started_s + _guarded(length_s)
+        self._earliest_in_force_s = started_s + _with_drift_margin(length_s)
 
     @property
     def earliest_in_force_s(self) -> float:
@@ -121,7 +121,9 @@
         length_s = self._grant_length_s(parent_remaining_s)
         if length_s < MIN_GRANT_S:
             return None
-        self._keep(holder, acked_revision, now_s + _guarded(length_s))
+        self._store(
+            holder, acked_revision, now_s + _with_drift_margin(length_s)
+        )
         return LeaseGrant(length_s, self._required_revision)
 
     def acknowledge(self, holder: str, revision: int) -> None:
@@ -199,7 +201,7 @@
         # What is granted, with its margin, ends before one's own lease.
         return min(self._length_s, parent_remaining_s / (1.0 + DRIFT_MARGIN))
 
-    def _keep(self, holder: str, acked_revision: int, end_s: float) -> None:
+    def _store(self, holder: str, acked_revision: int, end_s: float) -> None:
         known = self._holders.get(holder)
         if known is None:
             self._holders[holder] = _Holder(acked_revision, end_s)
@@ -255,7 +257,7 @@
     return LeaseTable(ENTRY_LEASE_S, started_s, within_parent=True)
 
 
-def _guarded(length_s: float) -> float:
+def _with_drift_margin(length_s: float) -> float:
     return length_s * (1.0 + DRIFT_MARGIN)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/ledger.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/ledger.py
@@ -55,7 +55,7 @@
 }
 SHARD_HASH_BYTES: Final = 8
 
-_KINDS: Final = {kind: code for code, kind in CODES.items()}
+_CODE_BY_KIND: Final = {kind: code for code, kind in CODES.items()}
 _DECODERS: Final = {
     code: msgspec.msgpack.Decoder(kind) for code, kind in CODES.items()
 }
@@ -105,14 +105,14 @@
     """Applies committed batches in the order of the shard's log."""
 
     def __init__(self, shard: int, limits: LedgerLimits | None = None) -> None:
-        chosen = LedgerLimits() if limits is None else limits
+        bounds = LedgerLimits() if limits is None else limits
         self._shard = shard
         self._clock_s = 0.0
-        self._used_claims = Tombstones(chosen.tombstones)
-        self._used_charges = Tombstones(chosen.tombstones)
-        self._claims = ClaimBook(self._used_claims, chosen.claims)
-        self._charges = ChargeBook(self._used_charges, chosen.charges)
-        self._pins = PinBook(chosen.pins)
+        self._claim_tombstones = Tombstones(bounds.tombstones)
+        self._charge_tombstones = Tombstones(bounds.tombstones)
+        self._claims = ClaimBook(self._claim_tombstones, bounds.claims)
+        self._charges = ChargeBook(self._charge_tombstones, bounds.charges)
+        self._pins = PinBook(bounds.pins)
 
     @property
     def shard(self) -> int:
@@ -122,7 +122,7 @@
     def apply(self, index: int, command: bytes) -> list[LedgerResult]:
         """Apply a batch and return the answer to each of its records."""
         batch = decode_batch(command)
-        self._advance(batch)
+        self._advance_clock(batch)
         return [self._apply_record(record) for record in batch.records]
 
     def snapshot(self) -> bytes:
@@ -132,9 +132,9 @@
                 self._shard,
                 self._clock_s,
                 self._claims.state(),
-                self._used_claims.state(),
+                self._claim_tombstones.state(),
                 self._charges.state(),
-                self._used_charges.state(),
+                self._charge_tombstones.state(),
                 self._pins.state(),
             )
         )
@@ -148,9 +148,9 @@
             )
         self._clock_s = loaded.clock_s
         self._claims.load(loaded.claims)
-        self._used_claims.load(loaded.claim_tombstones)
+        self._claim_tombstones.load(loaded.claim_tombstones)
         self._charges.load(loaded.charges)
-        self._used_charges.load(loaded.charge_tombstones)
+        self._charge_tombstones.load(loaded.charge_tombstones)
         self._pins.load(loaded.pins)
 
     def bills(self, customer: str | None, after: int, limit: int) -> Bills:
@@ -167,11 +167,11 @@
             self._claims.answers_bytes,
             len(self._charges),
             len(self._pins),
-            len(self._used_claims),
-            len(self._used_charges),
+            len(self._claim_tombstones),
+            len(self._charge_tombstones),
         )
 
-    def _advance(self, batch: LedgerBatch) -> None:
+    def _advance_clock(self, batch: LedgerBatch) -> None:
         stamps_s = [
             record.now_s
             for record in batch.records
@@ -184,9 +184,9 @@
             return
         self._clock_s = clock_s
         self._claims.expire(clock_s)
-        self._used_claims.expire(clock_s)
+        self._claim_tombstones.expire(clock_s)
         self._charges.expire(clock_s)
-        self._used_charges.expire(clock_s)
+        self._charge_tombstones.expire(clock_s)
         self._pins.expire(clock_s)
 
     def _apply_record(self, record: LedgerRecord) -> LedgerResult:
@@ -205,7 +205,7 @@
 
 def encode_batch(records: Sequence[LedgerRecord], now_s: float) -> bytes:
     """Return the batch as it is proposed, with the leader's wall clock."""
-    coded = [(_KINDS[type(record)], record) for record in records]
+    coded = [(_CODE_BY_KIND[type(record)], record) for record in records]
     return encode_fields((now_s, coded))
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/loads.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/loads.py
@@ -46,7 +46,7 @@
     """The last load known of each server."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Kept] = {}
+        self._reports: dict[str, _Kept] = {}
 
     def report(self, announcement: Announcement, now_s: float) -> None:
         """Keep the load that came with an announcement."""
@@ -56,43 +56,43 @@
             announcement.sequence,
             announcement.load,
         )
-        self._keep(load, now_s)
+        self._store_if_newer(load, now_s)
 
     def apply(self, update: LoadUpdate, now_s: float) -> None:
         """Keep the loads that another process told."""
         for load in update.loads:
-            self._keep(load, now_s)
+            self._store_if_newer(load, now_s)
 
     def update(self, names: Iterable[str], now_s: float) -> LoadUpdate:
         """Return the coarse loads of at most `MAX_LOADS` of the names."""
         loads = []
         for name in names:
-            kept = self._kept.get(name)
+            stored = self._reports.get(name)
             load = self.load(name, now_s)
-            if kept is not None and load is not None:
-                loads.append(kept.load._replace(load=_coarse(load)))
+            if stored is not None and load is not None:
+                loads.append(stored.load._replace(load=_coarse_report(load)))
             if len(loads) == MAX_LOADS:
                 break
         return LoadUpdate(tuple(loads))
 
     def load(self, name: str, now_s: float) -> LoadReport | None:
         """Return a server's load with its age now, None if unknown."""
-        kept = self._kept.get(name)
-        if kept is None:
+        stored = self._reports.get(name)
+        if stored is None:
             return None
-        load = kept.load.load
-        age_s = load.age_s + max(0.0, now_s - kept.heard_s)
+        load = stored.load.load
+        age_s = load.age_s + max(0.0, now_s - stored.heard_s)
         return load._replace(age_s=age_s) if age_s <= MAX_AGE_S else None
 
     def forget(self, names: Iterable[str]) -> None:
         """Drop the loads of servers that are gone."""
         for name in names:
-            self._kept.pop(name, None)
+            self._reports.pop(name, None)
 
-    def _keep(self, load: ServerLoad, now_s: float) -> None:
-        known = self._kept.get(load.name)
+    def _store_if_newer(self, load: ServerLoad, now_s: float) -> None:
+        known = self._reports.get(load.name)
         if known is None or _newer(load, known.load):
-            self._kept[load.name] = _Kept(load, now_s)
+            self._reports[load.name] = _Kept(load, now_s)
 
 
 def coarse_count(count: int) -> int:
@@ -106,7 +106,7 @@
     return count // step * step
 
 
-def _coarse(load: LoadReport) -> LoadReport:
+def _coarse_report(load: LoadReport) -> LoadReport:
     return LoadReport(
         coarse_count(load.running),
         coarse_count(load.queued),
--- a/packages/sycamorestand-state/src/sycamorestand_state/nodes.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/nodes.py
@@ -19,7 +19,7 @@
 LOAD_STEP: Final = 0.25
 # Above this an entry of another data centre, a millisecond away, answers
 # sooner than one that queues.
-OVERLOADED: Final = 0.75
+OVERLOAD_THRESHOLD: Final = 0.75
 
 
 class NodeRecord(NamedTuple):
@@ -45,7 +45,7 @@
     """The entries, with leases and deltas as backend servers have them."""
 
     def __init__(self, origin: str, epoch: int) -> None:
-        super().__init__(origin, epoch, _membership, _leaves)
+        super().__init__(origin, epoch, _with_coarse_load, _is_leaving)
 
     def nodes(self) -> dict[str, NodeRecord]:
         """Return all known entries by name, stopping ones among them."""
@@ -65,25 +65,25 @@
         Where every VM is draining they are handed out all the same, as
         callers would otherwise find nobody.
         """
-        willing = [n for n in self.nodes().values() if not n.stopping]
-        kept = [n for n in willing if n.vm not in draining_vms]
+        running = [n for n in self.nodes().values() if not n.stopping]
+        undrained = [n for n in running if n.vm not in draining_vms]
 
         def rank(node: NodeRecord) -> tuple[bool, bool, float, int]:
             return (
-                node.load >= OVERLOADED,
+                node.load >= OVERLOAD_THRESHOLD,
                 node.data_centre != data_centre,
                 node.load,
                 -weight(caller, node.name),
             )
 
-        return tuple(sorted(kept or willing, key=rank)[:limit])
+        return tuple(sorted(undrained or running, key=rank)[:limit])
 
 
-def _membership(node: NodeRecord) -> NodeRecord:
+def _with_coarse_load(node: NodeRecord) -> NodeRecord:
     return node._replace(load=node.load // LOAD_STEP * LOAD_STEP)
 
 
-def _leaves(node: NodeRecord) -> bool:
+def _is_leaving(node: NodeRecord) -> bool:
     return node.stopping
 
 
@@ -92,5 +92,5 @@
     "NodeDelta",
     "NodeRecord",
     "NodeRegistry",
-    "OVERLOADED",
+    "OVERLOAD_THRESHOLD",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/orders.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/orders.py
@@ -59,10 +59,12 @@
     ) -> None:
         self._term = term
         self._sequence = 0
-        self._earliest_order_s = became_leader_s + _guarded(leader_lease_s)
+        self._earliest_order_s = became_leader_s + _with_drift_margin(
+            leader_lease_s
+        )
         # When an order of this leader may at the latest have its effect.
-        self._settled_s: dict[str, float] = {}
-        self._intended_s: dict[str, float] = {}
+        self._settled_at_s: dict[str, float] = {}
+        self._intended_at_s: dict[str, float] = {}
         self._sent: set[str] = set()
 
     @property
@@ -73,7 +75,7 @@
     @property
     def earliest_resume_s(self) -> float:
         """When no order of a predecessor can be on its way any more."""
-        return self._earliest_order_s + _settle_s()
+        return self._earliest_order_s + _settling_time_s()
 
     def next_order(
         self,
@@ -92,13 +94,13 @@
         """
         if now_s < self._earliest_order_s:
             return None
-        if any(_is_open(order, backend_server) for order in orders):
+        if any(_is_unfinished_on(order, backend_server) for order in orders):
             return None
-        if now_s < self._settled_s.get(backend_server, now_s):
+        if now_s < self._settled_at_s.get(backend_server, now_s):
             return None
         fence = self._next_fence()
         order_id = f"{fence.term}.{fence.sequence}"
-        return self._intend(
+        return self._build_intent(
             now_s, order_id, fence, backend_server, action, target, wall_now_s
         )
 
@@ -112,7 +114,7 @@
         """
         if order not in self.unfinished((order,), now_s):
             return None
-        return self._intend(
+        return self._build_intent(
             now_s,
             order.order_id,
             self._next_fence(),
@@ -132,13 +134,13 @@
         lost its quorum has no backing any more.
         """
         fence = _fence_key(record)
-        intended_s = self._intended_s.get(fence)
-        if intended_s is None or fence in self._sent:
+        intended_at_s = self._intended_at_s.get(fence)
+        if intended_at_s is None or fence in self._sent:
             return False
-        if quorum_remaining_s <= 0.0 or now_s - intended_s >= SEND_WITHIN_S:
+        if quorum_remaining_s <= 0.0 or now_s - intended_at_s >= SEND_WITHIN_S:
             return False
         self._sent.add(fence)
-        self._settled_s[record.backend_server] = now_s + _settle_s()
+        self._settled_at_s[record.backend_server] = now_s + _settling_time_s()
         return True
 
     def outcome(
@@ -150,10 +152,10 @@
         they are only for an order of which nothing is on its way.
         """
         fence = _fence_key(record)
-        self._intended_s.pop(fence, None)
+        self._intended_at_s.pop(fence, None)
         self._sent.discard(fence)
         if phase in FINISHED_PHASES:
-            self._settled_s.pop(record.backend_server, None)
+            self._settled_at_s.pop(record.backend_server, None)
         return record._replace(phase=phase, detail=detail, now_s=wall_now_s)
 
     def unfinished(
@@ -164,21 +166,23 @@
             order
             for order in orders
             if order.phase in UNFINISHED_PHASES
-            and now_s >= self._resumable_s(order)
+            and now_s >= self._resumable_at_s(order)
         )
 
-    def _resumable_s(self, order: OrderRecord) -> float:
+    def _resumable_at_s(self, order: OrderRecord) -> float:
         if order.term != self._term:
             return self.earliest_resume_s
         fence = f"{order.term}.{order.sequence}"
-        settled_s = self._settled_s.get(order.backend_server, float("-inf"))
-        intended_s = self._intended_s.get(fence)
-        if intended_s is None or fence in self._sent:
-            return settled_s
+        settled_at_s = self._settled_at_s.get(
+            order.backend_server, float("-inf")
+        )
+        intended_at_s = self._intended_at_s.get(fence)
+        if intended_at_s is None or fence in self._sent:
+            return settled_at_s
         # Committed and not sent: `may_send` lets it go until then.
-        return max(settled_s, intended_s + SEND_WITHIN_S)
+        return max(settled_at_s, intended_at_s + SEND_WITHIN_S)
 
-    def _intend(
+    def _build_intent(
         self,
         now_s: float,
         order_id: str,
@@ -199,7 +203,7 @@
             "",
             wall_now_s,
         )
-        self._intended_s[_fence_key(record)] = now_s
+        self._intended_at_s[_fence_key(record)] = now_s
         return record
 
     def _next_fence(self) -> FencingNumber:
@@ -207,7 +211,7 @@
         return FencingNumber(self._term, self._sequence)
 
 
-def _is_open(order: OrderRecord, backend_server: str) -> bool:
+def _is_unfinished_on(order: OrderRecord, backend_server: str) -> bool:
     return (
         order.backend_server == backend_server
         and order.phase in UNFINISHED_PHASES
@@ -218,11 +222,11 @@
     return f"{record.term}.{record.sequence}"
 
 
-def _settle_s() -> float:
-    return _guarded(ORDER_TIMEOUT_S + ENGINE_DELAY_S)
+def _settling_time_s() -> float:
+    return _with_drift_margin(ORDER_TIMEOUT_S + ENGINE_DELAY_S)
 
 
-def _guarded(length_s: float) -> float:
+def _with_drift_margin(length_s: float) -> float:
     return length_s * (1.0 + DRIFT_MARGIN)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/pins.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/pins.py
@@ -16,7 +16,7 @@
 from sycamorestand_state.claims import FULL
 
 # A session that nobody asked about for this long is a new one.
-IDLE_S: Final = 7 * 86_400.0
+MAX_IDLE_S: Final = 7 * 86_400.0
 MAX_PINS: Final = 200_000
 
 
@@ -67,7 +67,7 @@
 
     def expire(self, clock_s: float) -> None:
         """Drop sessions that have been idle for too long."""
-        oldest_s = clock_s - IDLE_S
+        oldest_s = clock_s - MAX_IDLE_S
         while self._records:
             key = next(iter(self._records))
             if self._records[key].used_s >= oldest_s:
@@ -83,4 +83,11 @@
         self._records = dict(zip(*state, strict=True))
 
 
-__all__ = ["IDLE_S", "MAX_PINS", "PinBook", "PinKey", "PinRecord", "PinsState"]
+__all__ = [
+    "MAX_IDLE_S",
+    "MAX_PINS",
+    "PinBook",
+    "PinKey",
+    "PinRecord",
+    "PinsState",
+]
--- a/packages/sycamorestand-state/src/sycamorestand_state/references.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/references.py
@@ -32,34 +32,34 @@
     """Return every reason why the declarations cannot be in force."""
     return (
         *_name_findings(declarations),
-        *_each(declarations, declarations.models, _model_findings),
-        *_each(declarations, declarations.profiles, _profile_findings),
-        *_each(declarations, declarations.customers, _customer_findings),
-        *_each(declarations, declarations.rollouts, _rollout_findings),
+        *_check_each(declarations, declarations.models, _model_findings),
+        *_check_each(declarations, declarations.profiles, _profile_findings),
+        *_check_each(declarations, declarations.customers, _customer_findings),
+        *_check_each(declarations, declarations.rollouts, _rollout_findings),
         *_operator_findings(declarations),
     )
 
 
-def _each(
-    declarations: Declarations, part: dict[str, Any], check: Any
+def _check_each(
+    declarations: Declarations, section: dict[str, Any], check: Any
 ) -> Iterator[str]:
-    for name in sorted(part):
-        yield from check(declarations, part[name])
+    for name in sorted(section):
+        yield from check(declarations, section[name])
 
 
 def _name_findings(declarations: Declarations) -> Iterator[str]:
-    for part_name in SECTIONS:
-        part = getattr(declarations, part_name)
-        for key, item in part.items():
+    for section_name in SECTIONS:
+        section = getattr(declarations, section_name)
+        for key, item in section.items():
             name = item.model if isinstance(item, Rollout) else item.name
             if key != name:
                 yield (
-                    f"{part_name}.{key}: is named {name!r}; give both the "
+                    f"{section_name}.{key}: is named {name!r}; give both the "
                     "same name"
                 )
             if not 0 < len(key) <= MAX_NAME_CHARACTERS:
                 yield (
-                    f"{part_name}.{key[:40]}: a name has 1 to "
+                    f"{section_name}.{key[:40]}: a name has 1 to "
                     f"{MAX_NAME_CHARACTERS} characters"
                 )
 
@@ -67,7 +67,7 @@
 def _model_findings(_: Declarations, model: Model) -> Iterator[str]:
     path = f"models.{model.name}"
     if model.stable not in model.versions:
-        yield _unknown(
+        yield _unknown_name(
             f"{path}.stable", "version", model.stable, model.versions
         )
     for name, version in sorted(model.versions.items()):
@@ -95,13 +95,13 @@
         step_path = f"{path}.steps[{number}]"
         model = declarations.models.get(step.model)
         if model is None:
-            yield _unknown(
+            yield _unknown_name(
                 f"{step_path}.model", "model", step.model, declarations.models
             )
             continue
         for name in step.versions:
             if name not in model.versions:
-                yield _unknown(
+                yield _unknown_name(
                     f"{step_path}.versions", "version", name, model.versions
                 )
 
@@ -112,19 +112,19 @@
     path = f"customers.{customer.name}"
     for name in customer.profiles:
         if name not in declarations.profiles:
-            yield _unknown(
+            yield _unknown_name(
                 f"{path}.profiles", "profile", name, declarations.profiles
             )
     for name in customer.services:
         if name not in declarations.services:
-            yield _unknown(
+            yield _unknown_name(
                 f"{path}.services", "service", name, declarations.services
             )
     for name in customer.versions:
         if name in declarations.models:
             continue
         if find_version(declarations, name) is None:
-            yield _unknown(
+            yield _unknown_name(
                 f"{path}.versions", "version", name, declarations.models
             )
     if not customer.weight > 0.0:
@@ -137,9 +137,9 @@
     path = f"rollouts.{rollout.model}"
     model = declarations.models.get(rollout.model)
     if model is None:
-        yield _unknown(path, "model", rollout.model, declarations.models)
+        yield _unknown_name(path, "model", rollout.model, declarations.models)
     elif rollout.version not in model.versions:
-        yield _unknown(
+        yield _unknown_name(
             f"{path}.version", "version", rollout.version, model.versions
         )
     elif rollout.version == model.stable:
@@ -147,11 +147,11 @@
             f"{path}.version: {rollout.version!r} is stable already; remove "
             "the roll-out"
         )
-    if not _shares_rise(rollout.shares):
+    if not _are_increasing(rollout.shares):
         yield f"{path}.shares: rise from above 0 to at most 1"
 
 
-def _shares_rise(shares: tuple[float, ...]) -> bool:
+def _are_increasing(shares: tuple[float, ...]) -> bool:
     if not shares:
         return False
     bounds = (0.0, *shares)
@@ -171,9 +171,11 @@
     )
 
 
-def _unknown(path: str, what: str, name: str, known: Iterable[str]) -> str:
+def _unknown_name(
+    path: str, kind: str, name: str, known: Iterable[str]
+) -> str:
     names = ", ".join(sorted(known)) or "none is declared"
-    return f"{path}: unknown {what} {name!r}; known: {names}"
+    return f"{path}: unknown {kind} {name!r}; known: {names}"
 
 
 __all__ = [
--- a/packages/sycamorestand-state/src/sycamorestand_state/registry.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/registry.py
@@ -26,15 +26,15 @@
 from sycamorestand_state.versioned_map import UNKNOWN_VERSION
 from sycamorestand_state.versioned_map import VersionedMap
 
-OWN: Final = "own"
-MERGED: Final = "merged"
+OWN_STREAM: Final = "own"
+MERGED_STREAM: Final = "merged"
 # An origin sends an empty delta each second at the least; three lost in a
 # row mean that its announcers have to be heard of elsewhere.
 ORIGIN_LEASE_S: Final = 3.0
 MAX_LEASE_S: Final = 10.0
 # How long the last number heard of a name is kept after its lease: longer
 # than any announcement can be on its way, and than any lease.
-MEMORY_S: Final = 60.0
+NUMBER_RETENTION_S: Final = 60.0
 
 Number = tuple[int, int]
 
@@ -80,14 +80,16 @@
         origin: str,
         epoch: int,
         membership: Callable[[A], A],
-        leaves: Callable[[A], bool],
+        is_leaving: Callable[[A], bool],
     ) -> None:
         self._membership = membership
-        self._leaves = leaves
+        self._is_leaving = is_leaving
         self._heard: dict[str, _Heard[A]] = {}
         self._floors: dict[str, _Floor] = {}
-        self._own: VersionedMap[A] = VersionedMap(origin, OWN, epoch)
-        self._merged: VersionedMap[A] = VersionedMap(origin, MERGED, epoch)
+        self._own: VersionedMap[A] = VersionedMap(origin, OWN_STREAM, epoch)
+        self._merged: VersionedMap[A] = VersionedMap(
+            origin, MERGED_STREAM, epoch
+        )
         self._copies: dict[str, MapCopy[A]] = {}
 
     @property
@@ -126,7 +128,7 @@
             if heard.expires_s <= now_s:
                 self._own.remove(name)
                 self._merge(name, now_s)
-            if heard.expires_s + MEMORY_S <= now_s:
+            if heard.expires_s + NUMBER_RETENTION_S <= now_s:
                 del self._heard[name]
         for origin, copy in list(self._copies.items()):
             if copy.heard_s + ORIGIN_LEASE_S <= now_s:
@@ -188,22 +190,22 @@
         if name in self._own.records and merged is not None:
             if not _newer(heard.announcement, merged):
                 return
-            if self._same(heard.announcement, merged):
+            if self._has_same_membership(heard.announcement, merged):
                 return
-        self._own.put(name, self._stripped(heard.announcement))
+        self._own.put(name, self._membership_of(heard.announcement))
         self._merge(name, now_s)
 
     def _merge(self, name: str, now_s: float) -> None:
-        best = self._best(name)
-        if best is None:
+        newest = self._newest_record(name)
+        if newest is None:
             self._merged.remove(name)
             return
-        self._merged.put(name, best)
-        if self._leaves(best):
-            expires_s = now_s + MEMORY_S
-            self._floors[name] = _Floor(_number(best), expires_s)
+        self._merged.put(name, newest)
+        if self._is_leaving(newest):
+            expires_s = now_s + NUMBER_RETENTION_S
+            self._floors[name] = _Floor(_number(newest), expires_s)
 
-    def _best(self, name: str) -> A | None:
+    def _newest_record(self, name: str) -> A | None:
         known = [copy.records.get(name) for copy in self._copies.values()]
         known.append(self._own.records.get(name))
         floor = self._floors.get(name)
@@ -215,14 +217,14 @@
         ]
         return max(candidates, key=_number, default=None)
 
-    def _same(self, one: A, other: A) -> bool:
-        return self._stripped(one)._replace(  # type: ignore[attr-defined]
+    def _has_same_membership(self, one: A, other: A) -> bool:
+        return self._membership_of(one)._replace(  # type: ignore[attr-defined]
             sequence=0
-        ) == self._stripped(other)._replace(  # type: ignore[attr-defined]
+        ) == self._membership_of(other)._replace(  # type: ignore[attr-defined]
             sequence=0
         )
 
-    def _stripped(self, announcement: A) -> A:
+    def _membership_of(self, announcement: A) -> A:
         return self._membership(announcement)
 
 
@@ -237,9 +239,9 @@
 __all__ = [
     "Announced",
     "MAX_LEASE_S",
-    "MEMORY_S",
-    "MERGED",
+    "NUMBER_RETENTION_S",
+    "MERGED_STREAM",
     "ORIGIN_LEASE_S",
-    "OWN",
+    "OWN_STREAM",
     "Registry",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
@@ -28,7 +28,7 @@
 RUNNING: Final = "running"
 STOPPED: Final = "stopped"
 COMPLETED: Final = "completed"
-WHOLE: Final = 1.0
+FULL_SHARE: Final = 1.0
 
 
 class Reconciled(NamedTuple):
@@ -56,14 +56,14 @@
         stable=state.declarations.models[command.model].stable,
         step=0,
         share=declared.shares[0],
-        state=_state_at(declared.shares[0]),
+        state=_state_for_share(declared.shares[0]),
         started_revision=state.revision + 1,
         stepped_s=command.now_s,
         evidence=command.evidence,
     )
     return applied(
         _with_rollout(state, rollout),
-        _line(rollout, "started"),
+        _audit_line(rollout, "started"),
         evidence=command.evidence,
     )
 
@@ -80,13 +80,13 @@
     stepped = rollout._replace(
         step=command.to_step,
         share=share,
-        state=_state_at(share),
+        state=_state_for_share(share),
         stepped_s=command.now_s,
         evidence=command.evidence,
     )
     return applied(
         _with_rollout(state, stepped),
-        _line(stepped, f"step {command.from_step} -> {command.to_step}"),
+        _audit_line(stepped, f"step {command.from_step} -> {command.to_step}"),
         evidence=command.evidence,
     )
 
@@ -100,13 +100,15 @@
         ANY_REVISION,
         rollout.started_revision,
     ):
-        return refused(state, _other_run(rollout, command.started_revision))
+        return refused(
+            state, _other_run_finding(rollout, command.started_revision)
+        )
     if rollout.state == STOPPED:
         return unchanged(state, f"rollouts.{command.model}: stopped already")
     ended = stopped(rollout, command.reason, command.evidence, command.now_s)
     return applied(
         _with_rollout(state, ended),
-        _line(ended, f"stopped: {command.reason}"),
+        _audit_line(ended, f"stopped: {command.reason}"),
         evidence=command.evidence,
     )
 
@@ -122,7 +124,7 @@
             continue
         if rollout.state != STOPPED:
             rollouts[model] = stopped(rollout, reason, "", now_s)
-            lines.append(_line(rollouts[model], f"stopped: {reason}"))
+            lines.append(_audit_line(rollouts[model], f"stopped: {reason}"))
     return Reconciled(rollouts, tuple(lines))
 
 
@@ -130,18 +132,18 @@
     rollouts: dict[str, RolloutState], declarations: Declarations
 ) -> Reconciled:
     """Fit the committed roll-outs to new declarations."""
-    kept = {}
+    remaining = {}
     lines = []
     for model, rollout in sorted(rollouts.items()):
-        fitted, line = _fit(rollout, declarations)
-        if fitted is not None:
-            kept[model] = fitted
+        updated, line = _reconcile_one(rollout, declarations)
+        if updated is not None:
+            remaining[model] = updated
         if line:
             lines.append(line)
-    return Reconciled(kept, tuple(lines))
+    return Reconciled(remaining, tuple(lines))
 
 
-def unsettled_findings(
+def not_stable_findings(
     rollouts: dict[str, RolloutState], declarations: Declarations
 ) -> tuple[str, ...]:
     """Refuse a next roll-out while the last one is not made stable.
@@ -154,7 +156,7 @@
         declared = declarations.rollouts.get(model)
         if rollout.state != COMPLETED or declared is None:
             continue
-        if _ended_by(rollout, declarations):
+        if _end_reason(rollout, declarations):
             continue
         if declared.version != rollout.version:
             findings.append(
@@ -199,7 +201,7 @@
     state: ConfigurationState, rollout: RolloutState, command: RolloutStep
 ) -> tuple[str, ...]:
     if command.started_revision != rollout.started_revision:
-        return (_other_run(rollout, command.started_revision),)
+        return (_other_run_finding(rollout, command.started_revision),)
     if rollout.state != RUNNING:
         return (f"rollouts.{rollout.model}: is {rollout.state}",)
     if command.from_step != rollout.step:
@@ -217,30 +219,32 @@
     return ()
 
 
-def _fit(
+def _reconcile_one(
     rollout: RolloutState, declarations: Declarations
 ) -> tuple[RolloutState | None, str]:
-    ended_by = _ended_by(rollout, declarations)
-    if ended_by:
-        return None, _line(rollout, f"ended: {ended_by}")
+    end_reason = _end_reason(rollout, declarations)
+    if end_reason:
+        return None, _audit_line(rollout, f"ended: {end_reason}")
     if rollout.state == COMPLETED:
         return rollout, ""
     declared = declarations.rollouts.get(rollout.model)
     if declared is None:
-        return None, _line(rollout, "ended: no longer declared")
+        return None, _audit_line(rollout, "ended: no longer declared")
     if declared.version != rollout.version:
-        return None, _line(rollout, f"ended for {declared.version!r}")
+        return None, _audit_line(rollout, f"ended for {declared.version!r}")
     if rollout.state == STOPPED:
         return rollout, ""
     step = min(rollout.step, len(declared.shares) - 1)
     share = declared.shares[step]
     if (step, share) == (rollout.step, rollout.share):
         return rollout, ""
-    fitted = rollout._replace(step=step, share=share, state=_state_at(share))
-    return fitted, _line(fitted, "shares declared anew")
+    updated = rollout._replace(
+        step=step, share=share, state=_state_for_share(share)
+    )
+    return updated, _audit_line(updated, "shares declared anew")
 
 
-def _ended_by(rollout: RolloutState, declarations: Declarations) -> str:
+def _end_reason(rollout: RolloutState, declarations: Declarations) -> str:
     model = declarations.models.get(rollout.model)
     if model is None or rollout.version not in model.versions:
         return "the version is no longer declared"
@@ -256,11 +260,11 @@
     return state._replace(rollouts=rollouts)
 
 
-def _state_at(share: float) -> str:
-    return COMPLETED if share >= WHOLE else RUNNING
+def _state_for_share(share: float) -> str:
+    return COMPLETED if share >= FULL_SHARE else RUNNING
 
 
-def _other_run(rollout: RolloutState, started_revision: int) -> str:
+def _other_run_finding(rollout: RolloutState, started_revision: int) -> str:
     return (
         f"rollouts.{rollout.model}: the run that started at revision "
         f"{started_revision} is over; the one in force started at "
@@ -268,10 +272,10 @@
     )
 
 
-def _line(rollout: RolloutState, what: str) -> str:
+def _audit_line(rollout: RolloutState, event: str) -> str:
     identity = version_id(rollout.model, rollout.version)
     return (
-        f"rollouts.{rollout.model}: {identity} {what}, share "
+        f"rollouts.{rollout.model}: {identity} {event}, share "
         f"{rollout.share:g}, {rollout.state}"
     )
 
@@ -287,6 +291,6 @@
     "stop_rollout",
     "STOPPED",
     "stopped",
-    "unsettled_findings",
-    "WHOLE",
+    "not_stable_findings",
+    "FULL_SHARE",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
@@ -24,7 +24,7 @@
 HASH_BYTES: Final = 8
 # An open hash takes ten times the bytes of a closed one, and a snapshot
 # sorts all open ones; to close them costs a walk over their group.
-CLOSE_AT: Final = 16_384
+MAX_OPEN_HASHES: Final = 16_384
 _UNSIGNED_64: Final = "Q"
 
 
@@ -55,7 +55,7 @@
         return self._count
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether another key could be taken in."""
         return self._count >= self._limit
 
@@ -66,23 +66,26 @@
         if generation is None:
             generation = _Generation(set(), array(_UNSIGNED_64))
             self._generations[number] = generation
-        hashed = _hash(customer, key)
+        key_hash = _hash(customer, key)
         # The count must come out the same after a restart from a snapshot,
         # which holds equal hashes once.
-        if hashed in generation.opened or _found(generation.closed, hashed):
+        if key_hash in generation.opened or _contains(
+            generation.closed, key_hash
+        ):
             return
-        generation.opened.add(hashed)
+        generation.opened.add(key_hash)
         self._count += 1
-        if len(generation.opened) >= CLOSE_AT:
+        if len(generation.opened) >= MAX_OPEN_HASHES:
             self._generations[number] = _closed(generation)
 
     def holds(self, customer: str, key: str) -> bool:
         """Tell whether the key was used within the window."""
         if not self._count:
             return False
-        hashed = _hash(customer, key)
+        key_hash = _hash(customer, key)
         return any(
-            hashed in generation.opened or _found(generation.closed, hashed)
+            key_hash in generation.opened
+            or _contains(generation.closed, key_hash)
             for generation in self._generations.values()
         )
 
@@ -109,7 +112,9 @@
         self._generations = {}
         self._count = 0
         for number, opened, closed in state:
-            generation = _Generation(set(_hashes(opened)), _hashes(closed))
+            generation = _Generation(
+                set(_unpack_hashes(opened)), _unpack_hashes(closed)
+            )
             self._generations[number] = generation
             self._count += len(generation.opened) + len(generation.closed)
 
@@ -119,15 +124,15 @@
     return _Generation(set(), array(_UNSIGNED_64, merged))
 
 
-def _hashes(data: bytes) -> array[int]:
+def _unpack_hashes(data: bytes) -> array[int]:
     hashes = array(_UNSIGNED_64)
     hashes.frombytes(data)
     return hashes
 
 
-def _found(hashes: array[int], wanted: int) -> bool:
-    place = bisect_left(hashes, wanted)
-    return place < len(hashes) and hashes[place] == wanted
+def _contains(hashes: array[int], wanted: int) -> bool:
+    index = bisect_left(hashes, wanted)
+    return index < len(hashes) and hashes[index] == wanted
 
 
 def _hash(customer: str, key: str) -> int:
--- a/packages/sycamorestand-state/src/sycamorestand_state/versioned_map.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/versioned_map.py
@@ -87,14 +87,14 @@
             self._digest ^= record_hash(name, known)
         self._records[name] = record
         self._digest ^= record_hash(name, record)
-        self._changed(name)
+        self._count_change(name)
 
     def remove(self, name: str) -> None:
         """Remove a record if it is there."""
         known = self._records.pop(name, None)
         if known is not None:
             self._digest ^= record_hash(name, known)
-            self._changed(name)
+            self._count_change(name)
 
     def delta_since(self, version: int) -> MapDelta[T] | None:
         """Return the changes after a version, None where it is too old."""
@@ -108,18 +108,18 @@
             if name in self._records
         }
         removed = tuple(sorted(names - set(changed)))
-        return self._delta(version, changed, removed)
+        return self._build_delta(version, changed, removed)
 
     def full(self) -> MapDelta[T]:
         """Return everything."""
-        whole = self._delta(UNKNOWN_VERSION, dict(self._records), ())
+        whole = self._build_delta(UNKNOWN_VERSION, dict(self._records), ())
         return whole._replace(full=True)
 
-    def _changed(self, name: str) -> None:
+    def _count_change(self, name: str) -> None:
         self._version += 1
         self._history.append(name)
 
-    def _delta(
+    def _build_delta(
         self, version: int, changed: dict[str, T], removed: tuple[str, ...]
     ) -> MapDelta[T]:
         return MapDelta(
@@ -140,7 +140,7 @@
     def __init__(self) -> None:
         self._epoch = UNKNOWN_VERSION
         self._version = UNKNOWN_VERSION
-        self._newest = UNKNOWN_VERSION
+        self._newest_version = UNKNOWN_VERSION
         self._heard_s = float("-inf")
         self._digest = 0
         self.records: dict[str, T] = {}
@@ -169,7 +169,7 @@
         elif self._has_gap(delta):
             return "resync"
         else:
-            records, digest = self._changed(delta)
+            records, digest = self._with_changes(delta)
         if digest != delta.digest:
             self._version = UNKNOWN_VERSION
             return "resync"
@@ -177,7 +177,7 @@
         self._digest = digest
         self._epoch = delta.epoch
         self._version = delta.to_version
-        self._newest = delta.to_version
+        self._newest_version = delta.to_version
         self._heard_s = now_s
         return "applied"
 
@@ -191,7 +191,7 @@
         self._digest = 0
         self._version = UNKNOWN_VERSION
 
-    def _changed(self, delta: MapDelta[T]) -> tuple[dict[str, T], int]:
+    def _with_changes(self, delta: MapDelta[T]) -> tuple[dict[str, T], int]:
         records = {**self.records, **delta.changed}
         digest = self._digest
         for name in delta.removed:
@@ -206,7 +206,7 @@
     def _is_stale(self, delta: MapDelta[T]) -> bool:
         if delta.epoch != self._epoch:
             return delta.epoch < self._epoch
-        return delta.to_version < self._newest
+        return delta.to_version < self._newest_version
 
     def _has_gap(self, delta: MapDelta[T]) -> bool:
         if delta.epoch != self._epoch:
--- a/packages/sycamorestand-state/tests/test_directory.py
+++ b/packages/sycamorestand-state/tests/test_directory.py
@@ -18,7 +18,7 @@
 from sycamorestand_state.directory import subset
 from sycamorestand_state.loads import coarse_count
 from sycamorestand_state.loads import MAX_LOADS
-from sycamorestand_state.registry import MEMORY_S
+from sycamorestand_state.registry import NUMBER_RETENTION_S
 from sycamorestand_state.registry import ORIGIN_LEASE_S
 from sycamorestand_state.versioned_map import HISTORY_LENGTH
 
@@ -289,7 +289,7 @@
     @rule(recent=st.integers(1, 6), control=st.sampled_from(CONTROLS))
     def announcement_comes_late(self, recent: int, control: str) -> None:
         sent_s, announcement = self.late[-recent:][0]
-        if self.now_s - sent_s < MEMORY_S:
+        if self.now_s - sent_s < NUMBER_RETENTION_S:
             self.all[control].announce(announcement, self.now_s)
 
     @rule(step_s=st.sampled_from([0.5, 2.0, 4.0]))
--- a/packages/sycamorestand-state/tests/test_ledger.py
+++ b/packages/sycamorestand-state/tests/test_ledger.py
@@ -32,7 +32,7 @@
 from sycamorestand_state.ledger import LedgerLimits
 from sycamorestand_state.ledger import LedgerMachine
 from sycamorestand_state.ledger import shard_of
-from sycamorestand_state.pins import IDLE_S
+from sycamorestand_state.pins import MAX_IDLE_S
 from sycamorestand_state.tombstones import GENERATION_S
 from sycamorestand_state.tombstones import WINDOW_S
 
@@ -322,7 +322,7 @@
         small.pin("s1", "nest@1")
         small.pin("s2", "nest@1")
         assert small.pin("s3", "nest@1").state == "full"
-        small.now_s += IDLE_S
+        small.now_s += MAX_IDLE_S
         assert small.pin("s1", "nest@2").version == "nest@1"
         small.now_s += 1.0
         assert small.pin("s2", "nest@2").state == "created"
--- a/packages/sycamorestand-state/tests/test_tombstones.py
+++ b/packages/sycamorestand-state/tests/test_tombstones.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from sycamorestand_state.tombstones import CLOSE_AT
 from sycamorestand_state.tombstones import GENERATION_S
+from sycamorestand_state.tombstones import MAX_OPEN_HASHES
 from sycamorestand_state.tombstones import Tombstones
 from sycamorestand_state.tombstones import WINDOW_S
 
@@ -19,7 +19,9 @@
         used.expire(GENERATION_S + WINDOW_S)
         assert (len(used), used.holds("guild", "late")) == (0, False)
 
-    @pytest.mark.parametrize("count", [CLOSE_AT - 1, CLOSE_AT + 1])
+    @pytest.mark.parametrize(
+        "count", [MAX_OPEN_HASHES - 1, MAX_OPEN_HASHES + 1]
+    )
     def test_keys_are_found_open_and_closed_and_after_a_restart(
         self, count: int
     ) -> None:
