--- a/packages/sycamorestand-state/src/sycamorestand_state/bills.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/bills.py
@@ -1,4 +1,4 @@
-"""Bills as CSV text for the operators' tools."""
+"""Format bills as CSV text for the operators' tools."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def totals_csv(bills: Bills) -> str:
-    """Return the daily totals, one row for a customer, version and day."""
+    """Return the daily totals, a row for each customer, version and day."""
     return _table(DayTotal._fields, bills.totals)
 
 
 def charges_csv(bills: Bills) -> str:
-    """Return the single charges of a page, one row each."""
+    """Return the single charges of a page, a row for each charge."""
     return _table(ChargeLine._fields, bills.charges)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
@@ -1,9 +1,10 @@
-"""Answers by change id, so that a resend gets the first answer again.
+"""Answers by change id, so that a resent change gets the first answer.
 
-The bound is by count and by age of the log's own clock. An id that has
-been dropped is unknown again: its resend then meets the base revision
-that it carries, which its own first run made stale, and conflicts. Only
-commands that take work away may come without a base revision.
+The number of stored answers and their age, on the clock of the log, are
+bounded. A resend whose answer was evicted looks like a new change. It then
+gets a conflict, because the base revision that it carries became outdated
+when the change was first applied. Only commands that act on a single
+subject may omit the base revision.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class StoredAnswer(NamedTuple):
-    """What a change id was used for, and the answer it got."""
+    """A fingerprint of the change with this id, and the answer it got."""
 
     fingerprint: bytes
     result: ChangeResult
@@ -29,9 +30,9 @@
 def store_answer(
     answers: dict[str, StoredAnswer], change_id: str, answer: StoredAnswer
 ) -> None:
-    """Keep the answer and drop the oldest ones past the bounds.
+    """Store an answer and evict the oldest ones beyond the bounds.
 
-    Changes ``answers`` in place; they stand in the order of the log.
+    ``answers`` is changed in place and ordered as the log is.
     """
     answers[change_id] = answer
     while len(answers) > MAX_CHANGE_IDS:
@@ -40,7 +41,7 @@
 
 
 def drop_expired(answers: dict[str, StoredAnswer], now_s: float) -> None:
-    """Drop answers that are older than the bound."""
+    """Drop answers that are older than `MAX_CHANGE_ID_AGE_S`."""
     oldest_s = now_s - MAX_CHANGE_ID_AGE_S
     while answers:
         first = next(iter(answers))
--- a/packages/sycamorestand-state/src/sycamorestand_state/changes.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/changes.py
@@ -1,4 +1,7 @@
-"""What each change of the configuration does; pure, one function a kind."""
+"""Handlers of the changes to the configuration, one for each command.
+
+They are pure functions from the current state and a command to a decision.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 def create_cluster(
     state: ConfigurationState, command: CreateCluster
 ) -> Decision:
-    """Settle the identity of a new cluster and its first operator."""
+    """Set the identity of a new cluster and its first operator."""
     if state.cluster is not None:
         return refused(
             state, f"cluster {state.cluster.cluster_id!r} exists already"
@@ -62,7 +65,7 @@
 def apply_declarations(
     state: ConfigurationState, command: ApplyDeclarations
 ) -> Decision:
-    """Put new declarations in force, or tell all that is wrong with them."""
+    """Put new declarations in force, or refuse them with all findings."""
     declarations = command.declarations
     size_bytes = encoded_size_bytes(declarations)
     if size_bytes > MAX_DECLARATIONS_BYTES:
@@ -84,7 +87,7 @@
 
 
 def withdraw(state: ConfigurationState, command: Withdraw) -> Decision:
-    """Give a version no new work and stop its roll-out."""
+    """Stop new work for a version, and stop its roll-out."""
     identity = command.version
     if identity in state.withdrawn:
         return unchanged(state, f"{identity}: is withdrawn already")
@@ -105,7 +108,7 @@
 
 
 def reinstate(state: ConfigurationState, command: Reinstate) -> Decision:
-    """End a withdrawal; the only way to do so."""
+    """End a withdrawal; no other change ends one."""
     identity = command.version
     if identity not in state.withdrawn:
         return unchanged(state, f"{identity}: is not withdrawn")
@@ -125,7 +128,7 @@
 
 
 def quarantine(state: ConfigurationState, command: Quarantine) -> Decision:
-    """Give a version no new work until the quarantine is lifted."""
+    """Stop new work for a version until the quarantine is lifted."""
     identity = command.version
     if identity in state.quarantined:
         return unchanged(state, f"{identity}: is quarantined already")
@@ -148,7 +151,7 @@
 def lift_quarantine(
     state: ConfigurationState, command: LiftQuarantine
 ) -> Decision:
-    """End a quarantine; a roll-out that it stopped stays stopped."""
+    """End a quarantine; a roll-out that it stopped remains stopped."""
     identity = command.version
     if identity not in state.quarantined:
         return unchanged(state, f"{identity}: is not quarantined")
@@ -162,7 +165,7 @@
 
 
 def drain_vm(state: ConfigurationState, command: DrainVm) -> Decision:
-    """Take a VM out of the addresses that callers are given."""
+    """Remove a VM's entries from the addresses that callers get."""
     if command.vm in state.draining_vms:
         return unchanged(state, f"{command.vm}: is draining already")
     draining = {**state.draining_vms, command.vm: command.reason}
@@ -173,7 +176,7 @@
 
 
 def undrain_vm(state: ConfigurationState, command: UndrainVm) -> Decision:
-    """Put a VM back into the addresses that callers are given."""
+    """Add a VM's entries to the addresses that callers get again."""
     if command.vm not in state.draining_vms:
         return unchanged(state, f"{command.vm}: is not draining")
     remaining = dict(state.draining_vms)
@@ -187,7 +190,10 @@
 def rotate_session_key(
     state: ConfigurationState, command: RotateSessionKey
 ) -> Decision:
-    """Sign with a new key and keep the last one for tokens handed out."""
+    """Replace the session key and keep the previous one.
+
+    The previous key still verifies the tokens that it signed.
+    """
     if not command.session_key:
         return refused(state, "session_key: is empty")
     if command.session_key == state.session_key:
@@ -234,11 +240,11 @@
 def _document_findings(
     current: Declarations, wanted: Declarations
 ) -> tuple[str, ...]:
-    """Refuse what would take the number of the document in force back.
+    """Return findings if the document would replace a newer one.
 
-    Where operators number their documents, the highest one is in force for
-    good. Declarations that were made without one, or from an older one,
-    would undo a change that was acknowledged.
+    If operators number their documents, the highest number stays in force.
+    Declarations without a document, or from an older one, would undo a
+    change that was acknowledged.
     """
     old = current.document
     new = wanted.document
--- a/packages/sycamorestand-state/src/sycamorestand_state/charges.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/charges.py
@@ -1,9 +1,10 @@
-"""Charges: one for each customer and request key, and what they add up to.
+"""Charges: one for each customer and request key, and their daily totals.
 
-Single charges are kept while there is room and the window lasts; after
-that the key is a tombstone, and a second charge for it is answered as
-``expired``, which means charged before. Daily totals are kept for good:
-one line for each customer, version and day.
+A shard keeps a single charge until the window ends or the room is needed
+for a newer one. A charge that was evicted for room leaves a tombstone of
+its key; another charge for that key then gets ``expired``, which means that
+the key was charged before. Daily totals never expire: there is one for each
+customer, version and day.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 from sycamorestand_state.tombstones import WINDOW_S
 
 MAX_CHARGES: Final = 100_000
-# A request that costs, or counts, more is a fault of the entry; totals of
-# such figures would outgrow the 64 bits that a snapshot can hold.
+# Only a faulty entry reports more than this for one request. Totals of
+# such figures would exceed the 64-bit integers of a snapshot.
 MAX_COST_MICROS: Final = 1_000_000_000_000
 MAX_TOKENS: Final = 1_000_000_000
 DAY_S: Final = 86_400.0
 
 
 class ChargeLine(NamedTuple):
-    """One charge; ``number`` counts the charges of a shard from 1."""
+    """One charge; ``number`` counts a shard's charges, starting at 1."""
 
     number: int
     customer: str
@@ -45,7 +46,7 @@
 
 
 class DayTotal(NamedTuple):
-    """What a customer was charged for a version on a day (UTC)."""
+    """The sum of a customer's charges for a version on a day (UTC)."""
 
     customer: str
     version: str
@@ -57,10 +58,10 @@
 
 
 class Bills(NamedTuple):
-    """Totals, and a page of single charges.
+    """Daily totals, and a page of single charges.
 
-    ``next_after`` asks for the next page. Charges up to
-    ``dropped_until`` are in the totals alone.
+    ``next_after`` is the ``after`` of the query for the next page.
+    Charges with numbers up to ``dropped_until`` are only in the totals.
     """
 
     totals: tuple[DayTotal, ...]
@@ -82,7 +83,7 @@
 
 
 class ChargeBook:
-    """All charges of a shard, in the order in which they were made."""
+    """All charges of a shard, oldest first."""
 
     def __init__(
         self, tombstones: Tombstones, limit: int = MAX_CHARGES
@@ -98,7 +99,13 @@
         return len(self._lines)
 
     def charge(self, record: Charge, clock_s: float) -> LedgerResult:
-        """Charge a request key once; tell the first cost after that."""
+        """Charge a request key once.
+
+        The result of a repeated charge is ``exists`` with the version and
+        cost of the first one. The result is ``expired`` if only a
+        tombstone of the key is left, ``conflict`` if the figures are
+        implausible, and ``full`` if there is no room.
+        """
         key = (record.customer, record.request_key)
         known = self._lines.get(key)
         if known is not None:
@@ -119,7 +126,7 @@
         )
 
     def expire(self, clock_s: float) -> None:
-        """Drop single charges that are past the window."""
+        """Drop single charges that are older than the window."""
         oldest_s = clock_s - WINDOW_S
         while self._lines:
             key = next(iter(self._lines))
@@ -128,7 +135,10 @@
             self._drop(key)
 
     def bills(self, customer: str | None, after: int, limit: int) -> Bills:
-        """Return totals and at most ``limit`` charges after a number."""
+        """Return totals and up to ``limit`` charges numbered above ``after``.
+
+        ``customer`` None selects the bills of all customers.
+        """
         page: list[ChargeLine] = []
         for line in self._lines.values():
             if len(page) == limit:
@@ -149,7 +159,7 @@
         )
 
     def state(self) -> ChargesState:
-        """Return the charges as a snapshot holds them."""
+        """Return the charges and totals for a snapshot."""
         return ChargesState(
             list(self._lines.values()),
             sorted(self._totals.values()),
@@ -158,7 +168,7 @@
         )
 
     def load(self, state: ChargesState) -> None:
-        """Take the charges of a snapshot in place of one's own."""
+        """Replace all charges and totals by those of a snapshot."""
         self._lines = {
             (line.customer, line.request_key): line for line in state.lines
         }
--- a/packages/sycamorestand-state/src/sycamorestand_state/claims.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/claims.py
@@ -1,14 +1,15 @@
-"""Claims of non-idempotent requests: each runs at most once.
-
-What it answers: a caller's retry, a resend on the way, two entries at
-once, an entry that dies at any point. The one step that lets bytes go to a
-backend server is `dispatch`, and it succeeds once for each attempt, and
-only for the attempt that owns the claim. Whoever gets no answer to it must
-not write. A claim goes back to be claimed again only from ``not_run``.
-
-An attempt's name is used for one claim: an old ``not_run`` or an old claim
-that arrives late names a spent attempt and cannot free, or take, what a
-later attempt holds.
+"""Claims that let each non-idempotent request run at most once.
+
+A request may reach several entries, by a caller's retry or a resend in the
+network, and an entry may die at any point. An entry may send bytes to a
+backend server only after a successful `dispatch`. A dispatch succeeds once
+for each attempt, and only for the attempt that owns the claim. An entry
+that gets no answer to its dispatch must not write. A claim that was
+dispatched can be claimed again only after the outcome ``not_run``.
+
+The name of an attempt is used for one claim only. A late ``not_run``, or a
+late claim, of an earlier attempt therefore names a spent attempt, and
+cannot release or take over the claim that a later attempt holds.
 """
 
 from __future__ import annotations
@@ -37,28 +38,27 @@
 UNKNOWN: Final = "unknown"
 NOT_RUN: Final = "not_run"
 
-# Nothing has been sent under a claim that was never dispatched, so this
-# need only spare a living owner that waits in a queue: it would get a
-# conflict at its dispatch and its caller a refusal.
+# After this time another attempt may take over a claim that was never
+# dispatched, as nothing was sent under it. The delay spares a live owner
+# that waits in a queue: after a takeover its dispatch gets a conflict, and
+# its caller a refusal.
 TAKEOVER_AGE_S: Final = 5.0
-# Longer than the default deadline and the time that an entry goes on
-# listening; a late answer of the owner still replaces ``unknown``.
+# After this time a dispatched claim without an outcome becomes ``unknown``.
+# It is longer than the default deadline and the time for which an entry
+# waits for an answer; a late answer of the owner still replaces ``unknown``.
 DISPATCHED_AGE_S: Final = 120.0
-# A claim that was stamped this long before the ledger's clock waited in
-# some suspended process; its key may have run and been forgotten since.
+# A claim with a time stamp this far behind the ledger's clock waited in a
+# suspended process. Its key may have run meanwhile and expired since.
 MAX_DELAY_S: Final = 3_600.0
 MAX_CLAIMS: Final = 100_000
 MAX_ANSWER_BYTES: Final = 262_144
 MAX_ANSWERS_BYTES: Final = 33_554_432
-# Attempts that a claim remembers; a retry budget ends far below it.
+# How many spent attempts a claim can hold; a retry budget ends far below.
 MAX_ATTEMPTS: Final = 16
-# Takes the place of the content type where an answer was not, or is no
-# longer, kept. With the type left as it was, an entry would hand out an
-# empty body as the whole answer.
 
 
 class ClaimLimits(NamedTuple):
-    """Bounds of what is kept; the defaults are for one shard."""
+    """Bounds of one shard: number of claims, bytes of one and all answers."""
 
     claims: int = MAX_CLAIMS
     answer_bytes: int = MAX_ANSWER_BYTES
@@ -66,7 +66,7 @@
 
 
 class ClaimRecord(NamedTuple):
-    """A claim as it is kept; ``spent`` are attempts that did not run."""
+    """A stored claim; ``spent`` names earlier attempts that did not run."""
 
     fingerprint: str
     owner: str
@@ -84,8 +84,9 @@
 class ClaimsState(NamedTuple):
     """The part of a snapshot that holds the claims.
 
-    Two lists of what exists already: a list of new pairs made the garbage
-    collector walk the whole heap, 0.2 s for 50,000 claims.
+    The two lists refer to existing keys and records. A single list would
+    need a new pair for each claim, and so many new objects make the garbage
+    collector walk the whole heap: 0.2 s for 50,000 claims.
     """
 
     keys: list[ClaimKey]
@@ -93,7 +94,7 @@
 
 
 class ClaimBook:
-    """All claims of a shard, the one changed last at the end."""
+    """All claims of a shard, ordered by their last change, newest last."""
 
     def __init__(
         self, tombstones: Tombstones, limits: ClaimLimits | None = None
@@ -101,8 +102,8 @@
         self._limits = ClaimLimits() if limits is None else limits
         self._tombstones = tombstones
         self._records: dict[ClaimKey, ClaimRecord] = {}
-        # Keys with a recorded answer, oldest first, so that the bound on
-        # bytes need not search all claims.
+        # Sizes in bytes of the recorded answers, oldest first, so that
+        # evicting answers need not search all claims.
         self._answer_sizes: dict[ClaimKey, int] = {}
         self._answers_bytes = 0
 
@@ -111,11 +112,19 @@
 
     @property
     def answers_bytes(self) -> int:
-        """How many bytes of recorded answers are kept."""
+        """The size of all recorded answers, in bytes."""
         return self._answers_bytes
 
     def claim(self, record: Claim, clock_s: float) -> LedgerResult:
-        """Get or create the claim for a request key."""
+        """Return the claim of a request key, or create or take it over.
+
+        The result is ``created`` for a new claim and for one that the
+        attempt took over, and ``exists``, with the state and any recorded
+        answer, for a claim that it may not take over. It is ``conflict``
+        if the key was used for other content or the attempt is spent,
+        ``expired`` if only a tombstone of the key is left or the claim's
+        time stamp is too old, and ``full`` if there is no room.
+        """
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
@@ -130,7 +139,7 @@
         return _existing_claim_result(EXISTS, known)
 
     def dispatch(self, record: Dispatch, clock_s: float) -> LedgerResult:
-        """Let the owner write to a backend server, once."""
+        """Permit the owner, once, to write to a backend server."""
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
@@ -141,7 +150,7 @@
         return LedgerResult(OK, DISPATCHED, record.owner)
 
     def outcome(self, record: Outcome, clock_s: float) -> LedgerResult:
-        """Record how the owner's attempt ended."""
+        """Record the outcome of the owner's attempt."""
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
@@ -159,7 +168,7 @@
         return LedgerResult(OK, record.state, known.owner)
 
     def expire(self, clock_s: float) -> None:
-        """Drop claims that were last changed before the window."""
+        """Drop claims whose last change is older than the window."""
         oldest_s = clock_s - WINDOW_S
         while self._records:
             key = next(iter(self._records))
@@ -168,11 +177,11 @@
             self._drop(key)
 
     def state(self) -> ClaimsState:
-        """Return all claims in order, as a snapshot holds them."""
+        """Return all claims in their order, for a snapshot."""
         return ClaimsState(list(self._records), list(self._records.values()))
 
     def load(self, state: ClaimsState) -> None:
-        """Take the claims of a snapshot in place of one's own."""
+        """Replace all claims by those of a snapshot."""
         self._records = {}
         self._answer_sizes = {}
         self._answers_bytes = 0
@@ -229,8 +238,8 @@
         record: Claim,
         clock_s: float,
     ) -> ClaimRecord:
-        # The owner may have died after the first byte was written: the
-        # request may have run, and no retry may find that out by running.
+        # The owner may have died after it wrote the first byte, so the
+        # request may have run, and a retry must not run it again.
         abandoned = (
             known.state == DISPATCHED
             and known.owner != record.owner
@@ -272,7 +281,8 @@
         while self._answers_bytes > self._limits.answers_bytes:
             key = next(iter(self._answer_sizes))
             self._answers_bytes -= self._answer_sizes.pop(key)
-            # In its place, as the order is that of the last change.
+            # Dropping the answer keeps the claim's position, as records
+            # are ordered by their last change.
             self._records[key] = _without_answer(self._records[key])
 
     def _put(self, key: ClaimKey, record: ClaimRecord) -> None:
@@ -291,9 +301,9 @@
         return LedgerResult(EXPIRED if expired else CONFLICT)
 
 
-# From a claim's state to the outcomes that its owner may record. ``done``
-# needs a dispatch before it; ``unknown`` is left only for ``done``, as a
-# caller may have been told not to try again.
+# Pairs of a claim's state and an outcome that its owner may record then.
+# ``done`` needs a dispatch before it. ``unknown`` can change only to
+# ``done``, as a caller may have got the answer not to retry.
 _ALLOWED_OUTCOMES: Final = frozenset(
     {
         (CLAIMED, NOT_RUN),
@@ -307,6 +317,11 @@
 
 
 def _without_answer(record: ClaimRecord) -> ClaimRecord:
+    """Return the claim without its answer, marked as not kept.
+
+    The marker replaces the content type. With the original type, an entry
+    would return an empty body as the complete answer.
+    """
     return record._replace(content_type=NOT_KEPT, answer=b"")
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/codec.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/codec.py
@@ -1,8 +1,8 @@
-"""Commands and snapshots as bytes.
+"""Encode commands and snapshots as bytes.
 
-A command is the pair of a small code and its fields, as msgspec cannot
-tell NamedTuples apart in a union. Codes are part of the format of the
-log on disk: a code is never given to another command.
+An encoded command is a pair of a small code and the command's fields, as
+msgspec cannot distinguish NamedTuples in a union. Codes are part of the
+log's format on disk, so a code must never be reused for another command.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class Codec(NamedTuple):
-    """The two directions for one registry of commands."""
+    """The encoder and the decoder for one set of commands."""
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any]
 
 
 def make_codec(kinds: Mapping[int, type[Any]]) -> Codec:
-    """Return the codec for commands by code.
+    """Return the codec for the commands in ``kinds``, a mapping by code.
 
     Example: ``make_codec({1: Withdraw}).decode(data)``.
     """
@@ -63,7 +63,11 @@
 
 
 def encode_fields(command: Any) -> bytes:
-    """Return the bytes, or refuse what the format cannot carry."""
+    """Return the fields of a command as bytes.
+
+    Raises `MalformedCommand` for values that the format cannot represent,
+    such as integers of more than 64 bits.
+    """
     try:
         return _ENCODER.encode(command)
     except (OverflowError, UnicodeError) as error:
@@ -75,7 +79,11 @@
     code: int,
     fields: msgspec.Raw,
 ) -> Any:
-    """Return the command for a code, or raise a clear error."""
+    """Return the command with this code and these fields.
+
+    Raises `UnknownCommand` if this release does not know the code, and
+    `MalformedCommand` if the fields cannot be read.
+    """
     decoder = decoders.get(code)
     if decoder is None:
         raise UnknownCommand(
@@ -89,12 +97,18 @@
 
 
 def encode_state(state: Any) -> bytes:
-    """Return a snapshot; equal state gives equal bytes on every replica."""
+    """Return a snapshot of the state.
+
+    Equal states give equal bytes on every replica.
+    """
     return _DETERMINISTIC_ENCODER.encode(state)
 
 
 def decode_state(data: bytes, kind: type[T]) -> T:
-    """Return the state that a snapshot holds."""
+    """Return the state that a snapshot holds.
+
+    Raises `SnapshotUnreadable` if the bytes are no snapshot of this kind.
+    """
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError as error:
@@ -102,12 +116,15 @@
 
 
 def encoded_size_bytes(content: Any) -> int:
-    """Return how many bytes the content takes in the log."""
+    """Return the size of the content in bytes when encoded for the log.
+
+    Commands are compressed afterwards, so the log may take fewer bytes.
+    """
     return len(_ENCODER.encode(content))
 
 
 def fingerprint(content: Any) -> bytes:
-    """Return a hash that does not depend on the order of mappings."""
+    """Return a hash that does not depend on the order of mapping keys."""
     return hashlib.blake2b(
         _DETERMINISTIC_ENCODER.encode(content), digest_size=FINGERPRINT_BYTES
     ).digest()
--- a/packages/sycamorestand-state/src/sycamorestand_state/commands.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/commands.py
@@ -1,9 +1,9 @@
-"""Commands that change the configuration, as they stand in the log.
+"""Commands of the replicated log that change the configuration.
 
-Every command carries the change id that its sender keeps for resends,
-who asks, the revision it was based on, and the time that the leader
-stamped. ``ANY_REVISION`` as base skips the comparison; see `BASED_KINDS`
-for the changes that may not.
+Every change carries a change id, which its sender reuses for resends; the
+operator who asks for it; the revision it is based on; and the leader's
+wall clock. The base ``ANY_REVISION`` skips the comparison with the current
+revision. `BASE_REQUIRED_KINDS` lists the changes that may not use it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class CreateCluster(NamedTuple):
-    """First start: the one command that a new log begins with."""
+    """Create the cluster; a new log must begin with this command."""
 
     change_id: str
     operator: str
@@ -32,7 +32,7 @@
 
 
 class ApplyDeclarations(NamedTuple):
-    """Replace all declarations by these, as one revision."""
+    """Replace all declarations, in one new revision."""
 
     change_id: str
     operator: str
@@ -43,7 +43,7 @@
 
 
 class Withdraw(NamedTuple):
-    """Give a version no new work, until an explicit `Reinstate`."""
+    """Stop new work for a version until a `Reinstate` command."""
 
     change_id: str
     operator: str
@@ -54,7 +54,7 @@
 
 
 class Reinstate(NamedTuple):
-    """Let a withdrawn version have new work again."""
+    """Allow new work for a withdrawn version again."""
 
     change_id: str
     operator: str
@@ -65,7 +65,7 @@
 
 
 class StartRollout(NamedTuple):
-    """Begin the declared roll-out of a model at its first share."""
+    """Start the declared roll-out of a model at its first share."""
 
     change_id: str
     operator: str
@@ -78,7 +78,8 @@
 class RolloutStep(NamedTuple):
     """Move a running roll-out from its committed step to another.
 
-    ``started_revision`` names the roll-out: the revision of its start.
+    ``started_revision`` is the revision that started the roll-out, and
+    identifies this run of it.
     """
 
     change_id: str
@@ -93,7 +94,7 @@
 
 
 class StopRollout(NamedTuple):
-    """Take all new work from the version that is rolled out."""
+    """Stop a roll-out, so that its version gets no new work."""
 
     change_id: str
     operator: str
@@ -106,7 +107,7 @@
 
 
 class Quarantine(NamedTuple):
-    """Give a version no new work for now; `LiftQuarantine` ends it."""
+    """Stop new work for a version until a `LiftQuarantine` command."""
 
     change_id: str
     operator: str
@@ -117,7 +118,7 @@
 
 
 class LiftQuarantine(NamedTuple):
-    """Let a quarantined version have new work again."""
+    """Allow new work for a quarantined version again."""
 
     change_id: str
     operator: str
@@ -128,7 +129,7 @@
 
 
 class DrainVm(NamedTuple):
-    """Take the entries of a VM out of the addresses for callers."""
+    """Remove a VM's entries from the addresses that callers get."""
 
     change_id: str
     operator: str
@@ -139,7 +140,7 @@
 
 
 class UndrainVm(NamedTuple):
-    """Give the entries of a VM out as addresses again."""
+    """Add a VM's entries to the addresses that callers get again."""
 
     change_id: str
     operator: str
@@ -150,7 +151,7 @@
 
 
 class RotateSessionKey(NamedTuple):
-    """Sign session tokens with a new key from now on."""
+    """Replace the key that signs session tokens."""
 
     change_id: str
     operator: str
@@ -160,13 +161,14 @@
 
 
 class RecordOrder(NamedTuple):
-    """Record an order to an engine before it is sent, and how it ended.
-
-    ``phase`` is ``intended`` before sending, then ``done``, ``failed`` or
-    ``unknown``. ``failed`` means that nothing of it can still reach the
-    engine: it said so, nothing was sent, or its time of flight is over;
-    anything else is ``unknown``. ``action`` is ``load``, ``unload`` or
-    ``change_role``; ``target`` a version identity or a role.
+    """Record the intent to send an order to an engine, or its outcome.
+
+    ``phase`` is ``intended`` before the order is sent, then ``done``,
+    ``failed`` or ``unknown``. ``failed`` means that the order can no longer
+    reach the engine: the engine reported the failure, nothing was sent, or
+    the order's timeout is over. Any other failure is ``unknown``.
+    ``action`` is ``load``, ``unload`` or ``change_role``; ``target`` is a
+    version identity or a role.
     """
 
     order_id: str
@@ -196,11 +198,11 @@
 )
 Command = Change | RecordOrder
 
-# These need the revision that they were worked out against: each replaces
-# everything, and would undo silently what another operator did meanwhile.
-# Any other change says by itself what it does to one subject, so it may
-# carry ANY_REVISION; with a base of the voter that happened to be asked, a
-# resend through another voter would be another change.
+# These changes must name the revision that they are based on. Each replaces
+# the whole configuration, and would otherwise silently undo what another
+# operator did meanwhile. Any other change affects one subject only, so it
+# may carry ANY_REVISION. If a voter filled in its own revision as the base,
+# a resend through another voter would count as a different change.
 BASE_REQUIRED_KINDS: Final = (CreateCluster, ApplyDeclarations)
 
 CODES: Final = {
@@ -222,12 +224,16 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the command as it is proposed to the log."""
+    """Return a command as the bytes to propose to the log."""
     return _CODEC.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Return the command, or raise where it cannot be read."""
+    """Return the command that was encoded.
+
+    Raises `MalformedCommand` if the bytes cannot be read, and
+    `UnknownCommand` if this release does not know the command's code.
+    """
     command: Command = _CODEC.decode(data)
     return command
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
@@ -1,9 +1,10 @@
 """The configuration as a state machine on the replicated log.
 
-What it answers: operators race with equal numbers, and resend a change
-after its answer was lost. Every change therefore names itself (change id)
-and what it was based on (revision). Without the first a resend runs twice;
-without the second the later of two operators silently undoes the other.
+Every change carries a change id and the revision that it is based on. A
+client resends a change after its answer was lost; without the change id,
+the change would be applied twice. Two operators may change the same
+revision at the same time; without the base revision, the later change
+would silently undo the earlier one.
 """
 
 from __future__ import annotations
@@ -63,11 +64,12 @@
 from sycamorestand_state.rollouts import step_rollout
 from sycamorestand_state.rollouts import stop_rollout
 
-# About 10 MB at 500 bytes an entry: years of operators' changes, months
-# with a busy roll-out a day. Older ones are dropped from the front.
+# About 10 MB at 500 bytes an entry. This covers years of operators' changes,
+# or months with a busy roll-out each day. The oldest entries are dropped.
 MAX_AUDIT_ENTRIES: Final = 20_000
 MAX_EVIDENCE_CHARACTERS: Final = 2_000
-# How many of the changes in between a conflict names.
+# A conflict lists at most this many of the changes since its base revision,
+# and as many lines of each change's difference.
 MAX_CONFLICT_LINES: Final = 5
 
 _HANDLERS: Final[dict[type[Any], Any]] = {
@@ -96,7 +98,7 @@
 
 
 class ConfigurationMachine:
-    """Applies committed commands in the order of the log."""
+    """Applies committed commands to the configuration, in log order."""
 
     def __init__(self) -> None:
         self._state = ConfigurationState()
@@ -108,21 +110,27 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force; it never falls."""
+        """The revision in force; it never decreases."""
         return self._state.revision
 
     @property
     def cluster(self) -> ClusterIdentity | None:
-        """What the first start settled, None before it."""
+        """The identity of the cluster, None before its creation."""
         return self._state.cluster
 
     @property
     def previous_session_key(self) -> bytes:
-        """The key before the last rotation, for tokens handed out."""
+        """The session key before the last rotation.
+
+        Tokens that it signed are still valid.
+        """
         return self._state.previous_session_key
 
     def in_force(self) -> InForce:
-        """Return what entries act on; the same object until it changes."""
+        """Return the configuration that entries act on.
+
+        It is the same object until the configuration changes.
+        """
         return self._in_force
 
     def rollout(self, model: str) -> RolloutState | None:
@@ -130,31 +138,36 @@
         return self._state.rollouts.get(model)
 
     def rollouts(self) -> tuple[RolloutState, ...]:
-        """Return all committed roll-outs, also stopped ones."""
+        """Return all committed roll-outs, including stopped ones."""
         return tuple(self._state.rollouts.values())
 
     def orders(self) -> tuple[OrderRecord, ...]:
-        """Return the orders to engines, oldest change first."""
+        """Return the orders to engines, ordered by their last change."""
         return tuple(self._order_book.orders.values())
 
     def audit(self, after_index: int, limit: int) -> list[AuditEntry]:
-        """Return at most ``limit`` entries after an index of the log."""
+        """Return up to ``limit`` audit entries after an index of the log."""
         later = [
             entry for entry in self._audit if entry.log_index > after_index
         ]
         return later[:limit]
 
     def apply(self, index: int, command: bytes) -> ChangeResult:
-        """Apply the command at this index of the log."""
+        """Apply the command at this index of the log.
+
+        Raises `MalformedCommand` or `UnknownCommand` if the command cannot
+        be read. A refusal or conflict is returned as a result.
+        """
         decoded = decode_command(command)
-        # Leaders' wall clocks differ; ages must not run backwards.
+        # The wall clocks of leaders differ, and ages must not decrease
+        # after a leader change.
         self._clock_s = max(self._clock_s, decoded.now_s)
         if isinstance(decoded, RecordOrder):
             return self._apply_order(index, decoded)
         return self._apply_change(index, decoded)
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal state gives equal bytes."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         return encode_state(
             _Snapshot(
                 self._state,
@@ -167,7 +180,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot in place of one's own."""
+        """Replace the whole state by that of a snapshot.
+
+        Raises `SnapshotUnreadable` for bytes that are no snapshot.
+        """
         loaded = decode_state(data, _Snapshot)
         self._state = loaded.state
         self._answers = dict(loaded.answers)
@@ -295,8 +311,8 @@
         outcome: Outcome = "applied" if decision.changed else "unchanged"
         if decision.finding:
             outcome = "refused"
-        # A resend that changed nothing is left out, as every retry of the
-        # leader would add a line.
+        # Orders that changed nothing are left out of the audit trail, as
+        # each retry of the leader would add an entry.
         if outcome != "unchanged":
             self._append_audit_entry(
                 AuditEntry(
@@ -322,7 +338,7 @@
 
 
 def _without_time(command: Change) -> Change:
-    # The leader stamps the time anew at each resend.
+    # The leader sets a new time stamp on each resend.
     return command._replace(now_s=0.0)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/configuration_state.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/configuration_state.py
@@ -1,7 +1,8 @@
 """The replicated configuration as one immutable value.
 
-Handlers of commands take it and return another one, so that a refused
-command can leave nothing behind, and a snapshot is the value itself.
+The handler of a command takes the current value and returns a new one.
+A refused command therefore has no side effects, and a snapshot holds the
+value as it is.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Withdrawal(NamedTuple):
-    """Why and since when a version gets no new work."""
+    """Reason, operator and revision of a version's withdrawal."""
 
     revision: int
     operator: str
@@ -25,7 +26,7 @@
 
 
 class ConfigurationState(NamedTuple):
-    """Everything that a revision settles; never changed in place."""
+    """The whole configuration at a revision; never changed in place."""
 
     revision: int = 0
     cluster: ClusterIdentity | None = None
@@ -39,7 +40,11 @@
 
 
 class Decision(NamedTuple):
-    """What a handler made of a command, before it is recorded."""
+    """A handler's decision on a command, before the machine records it.
+
+    ``state`` is the configuration to put in force, and equals the current
+    one unless ``outcome`` is ``applied``.
+    """
 
     outcome: Outcome
     state: ConfigurationState
@@ -55,24 +60,27 @@
     notes: tuple[str, ...] = (),
     evidence: str = "",
 ) -> Decision:
-    """Accept: the new state and the lines that tell people about it."""
+    """Return the decision to put ``state`` in force.
+
+    ``difference`` describes the change to people, in lines.
+    """
     return Decision(
         "applied", state, difference, notes=notes, evidence=evidence
     )
 
 
 def refused(state: ConfigurationState, *findings: str) -> Decision:
-    """Refuse for these reasons, all of them together."""
+    """Return the decision to refuse a command for all these reasons."""
     return Decision("refused", state, findings=findings)
 
 
 def unchanged(state: ConfigurationState, note: str) -> Decision:
-    """Answer that what was asked for is so already."""
+    """Return the decision that the state already is as requested."""
     return Decision("unchanged", state, notes=(note,))
 
 
 def to_in_force(state: ConfigurationState) -> InForce:
-    """Return what entries act on for this state."""
+    """Return the part of the configuration that entries act on."""
     shares = {
         model: RolloutShare(
             rollout.version, rollout.share, rollout.step, rollout.state
--- a/packages/sycamorestand-state/src/sycamorestand_state/difference.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/difference.py
@@ -1,4 +1,4 @@
-"""The difference of two declarations in lines for the audit trail."""
+"""Describe the difference of two declarations for the audit trail."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 
 from sycamorestand_model.declarations import Declarations
 
-# Bounds an entry of the audit trail; the first lines tell what was meant.
+# Bounds the size of an audit entry; the first lines show the intent.
 MAX_LINES: Final = 200
 MAX_VALUE_CHARACTERS: Final = 80
-# Salted hashes could still be tried against guessed keys by whoever may
-# read the audit trail, so only their number is told.
+# Readers of the audit trail could test guessed keys against salted hashes,
+# so the difference shows only the number of hashes.
 SECRET_FIELDS: Final = frozenset({"key_hashes"})
-# An operator's document may hold customers' keys as they are.
+# Fields that the difference leaves out: an operator's document may hold
+# customers' keys in plain text.
 OMITTED_FIELDS: Final = frozenset({"content"})
 
 
 def describe_difference(
     old: Declarations, new: Declarations
 ) -> tuple[str, ...]:
-    """Return one line for each part that came, went or changed.
+    """Return a line for each part that was added, removed or changed.
+
+    At most `MAX_LINES` differences are listed; a last line counts the rest.
 
     Example: ``models.nest.stable: '1' -> '2'``.
     """
--- a/packages/sycamorestand-state/src/sycamorestand_state/directory.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/directory.py
@@ -1,8 +1,8 @@
-"""Which backend servers there are, as far as this process has heard.
+"""The backend servers that this process knows, and their loads.
 
-There is no list of backend servers: they announce themselves, each with an
-incarnation that grows with its starts and a sequence that grows with its
-announcements. A restart under the same address is a new incarnation.
+There is no configured list of backend servers: they announce themselves.
+The incarnation of a server increases with each of its starts, also under
+the same address, and the sequence with each announcement.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 class BackendDirectory(Registry[Announcement]):
-    """Membership of backend servers, and beside it their loads.
+    """Registry of the backend servers, and of their loads.
 
-    ``origin`` names this process; ``epoch`` grows with its starts.
+    ``origin`` names this process; ``epoch`` increases with its starts.
     """
 
     def __init__(self, origin: str, epoch: int) -> None:
@@ -31,32 +31,35 @@
         self._loads = LoadBook()
 
     def announce(self, announcement: Announcement, now_s: float) -> bool:
-        """Take an announcement at first hand; False where it is old."""
+        """Store an announcement and its load; return False if it is old."""
         accepted = super().announce(announcement, now_s)
         if accepted:
             self._loads.report(announcement, now_s)
         return accepted
 
     def expire(self, now_s: float) -> tuple[str, ...]:
-        """Drop what has run out and return the servers that are gone."""
+        """Remove expired records; return the names of removed servers."""
         gone = super().expire(now_s)
         self._loads.forget(gone)
         return gone
 
     def servers(self) -> dict[str, Announcement]:
-        """Return all known servers by name, leaving ones among them."""
+        """Return all known servers by name, including leaving ones."""
         return self.records()
 
     def loads(self, names: Iterable[str], now_s: float) -> LoadUpdate:
-        """Return the coarse loads of the servers that somebody uses."""
+        """Return the rounded loads of the servers that a receiver uses."""
         return self._loads.update(names, now_s)
 
     def apply_loads(self, update: LoadUpdate, now_s: float) -> None:
-        """Take the loads that another process told."""
+        """Store the loads that another process sent."""
         self._loads.apply(update, now_s)
 
     def load(self, name: str, now_s: float) -> LoadReport | None:
-        """Return the load last heard of a server, with its age now."""
+        """Return a server's newest load with its current age.
+
+        Return None if the load is unknown or too old.
+        """
         return self._loads.load(name, now_s)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/errors.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/errors.py
@@ -1,8 +1,9 @@
-"""Errors of the replicated state; all are faults, none is a refusal.
+"""Errors of the replicated state machines.
 
-A refusal of an operator's change or of a caller's claim is an ordinary
-answer and travels as a result. What is raised here means that bytes in
-the log or in a snapshot cannot be read, on every replica alike.
+Refusing an operator's change or a caller's claim is not an error; the
+machines return a refusal as a result. An error from this module means that
+a command cannot be encoded, or that bytes in the log or in a snapshot
+cannot be read, in which case every replica fails in the same way.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class StateError(SycamorestandError):
-    """Base of the errors of the replicated state."""
+    """Base class of the errors of the replicated state machines."""
 
 
 class UnknownCommand(StateError):
@@ -19,11 +20,11 @@
 
 
 class MalformedCommand(StateError):
-    """A command cannot be written, or its fields cannot be read."""
+    """A command cannot be encoded, or its bytes cannot be decoded."""
 
 
 class SnapshotUnreadable(StateError):
-    """A snapshot cannot be read as the state that it should hold."""
+    """A snapshot cannot be decoded as the state that it should hold."""
 
 
 __all__ = [
--- a/packages/sycamorestand-state/src/sycamorestand_state/leases.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/leases.py
@@ -1,22 +1,23 @@
-"""Leases that bound how long anybody acts on an old configuration.
-
-What it answers: a withdrawn version must get no new work within seconds,
-also from an entry that nobody can reach. An entry accepts new work only
-while it holds a lease; a lease is renewed only for a holder that has the
-newest revision; so a revision is in force once each lease under an older
-one has been acknowledged over or has run out.
-
-The tree has two levels: the leader grants to control processes while a
-quorum backs it, control processes grant to entries out of what remains of
-their own. A holder counts from when it *sent* its request, on its own
-clock, so a delay on the way only shortens its lease. The granter counts
-from when it granted and `DRIFT_MARGIN` longer. Clocks are monotonic ones
-that go on while a machine is suspended (CLOCK_BOOTTIME).
-
-Lengths: entries renew each 0.4 s, so a leader change of 1.5 s, which costs
-four renewals in the worst case, leaves 2.0 - 0.4 - 1.5 > 0. A cut-off
-control process runs out after 2.4 s times the margin, below the 3 s in
-which a revision has to be in force everywhere.
+"""Leases that bound how long a process acts on an old configuration.
+
+A withdrawn version must stop getting new work within seconds, even from an
+entry that no other process can reach. An entry therefore accepts new work
+only while it holds a lease, and a granter renews a lease only if its holder
+has the newest revision. A revision is in force once each holder of a lease
+under an older revision has acknowledged it, or its lease has expired.
+
+Leases form a tree of two levels. The leader grants leases to control
+processes while a quorum supports it. A control process grants leases to
+entries, within the rest of its own lease. A holder counts a lease from the
+time at which it *sent* the request, on its own clock, so a delay in the
+network only shortens the lease. The granter counts from the time of the
+grant, and extends the lease by `DRIFT_MARGIN`. Both use a monotonic clock
+that advances while the machine is suspended (CLOCK_BOOTTIME).
+
+Entries renew every 0.4 s. A leader change of 1.5 s costs four renewals in
+the worst case and leaves 2.0 - 0.4 - 1.5 > 0 seconds of an entry's lease.
+The lease of a control process that is cut off expires after 2.4 s times
+the margin, below the 3 s in which a revision has to be in force everywhere.
 """
 
 from __future__ import annotations
@@ -27,17 +28,18 @@
 CONTROL_LEASE_S: Final = 2.4
 ENTRY_LEASE_S: Final = 2.0
 RENEW_INTERVAL_S: Final = 0.4
-# Two clocks may differ by this share in rate, 0.5% fast against 0.5%
-# slow; quartz differs by 0.02% and a slewing time daemon adds 0.05%.
+# The rates of two clocks may differ by this share: one 0.5% fast, the other
+# 0.5% slow. Quartz clocks differ by 0.02%, and a time daemon that slews the
+# clock adds 0.05%.
 DRIFT_MARGIN: Final = 0.01
-# A shorter lease ends before the answer that brings it arrives.
+# A shorter lease would expire before the holder receives the grant.
 MIN_GRANT_S: Final = 0.05
 
 
 class LeaseGrant(NamedTuple):
-    """What a granter promises, counted from the holder's sending time.
+    """A lease that starts when its holder sent the request.
 
-    ``revision`` is the one that the next renewal must hold.
+    ``revision`` is the revision that the holder needs for a renewal.
     """
 
     length_s: float
@@ -45,9 +47,10 @@
 
 
 class InForceStatus(NamedTuple):
-    """Whether no lease lives under an older revision, and who is missing.
+    """Whether a revision is in force, and which holders it waits for.
 
-    ``earliest_s`` is when a new granter may say so at all, on its clock.
+    ``earliest_s`` is the first time, on the granter's clock, at which a
+    new granter may report any revision as in force.
     """
 
     in_force: bool
@@ -62,11 +65,11 @@
 
 
 class LeaseTable:
-    """The leases that one process has granted, and its floor.
+    """The leases that one process has granted.
 
-    The floor, ``required_revision``, only rises. It is what makes an
-    acknowledgement final: no lease is granted under an older revision
-    after it, whether to a new holder, a restarted or a lagging one.
+    ``required_revision`` never decreases. Once a revision was reported as
+    in force, no holder, whether new, restarted or lagging, can get a lease
+    under an older one. This makes an acknowledgement final.
     """
 
     def __init__(
@@ -81,23 +84,24 @@
         self._within_parent = within_parent
         self._required_revision = required_revision
         self._holders: dict[str, _Holder] = {}
-        # The leases of the predecessor, or of this process before its
-        # restart, are known to nobody. Without the wait a revision would
-        # be reported in force while an entry still works on an older one.
+        # This table does not know the leases that a previous leader, or
+        # this process before a restart, has granted. Without the wait for
+        # their expiry, a revision would be reported as in force while an
+        # entry still accepts work under an older one.
         self._earliest_in_force_s = started_s + _with_drift_margin(length_s)
 
     @property
     def earliest_in_force_s(self) -> float:
-        """When leases that this table does not know have run out."""
+        """The time at which leases unknown to this table have expired."""
         return self._earliest_in_force_s
 
     @property
     def required_revision(self) -> int:
-        """The revision that a holder needs for a grant."""
+        """The lowest revision that a holder needs for a grant."""
         return self._required_revision
 
     def require(self, revision: int) -> None:
-        """Grant from now on only to holders of this revision or above."""
+        """Refuse leases to holders below this revision from now on."""
         self._required_revision = max(self._required_revision, revision)
 
     def grant(
@@ -108,11 +112,14 @@
         parent_remaining_s: float,
         held_revision: int | None = None,
     ) -> LeaseGrant | None:
-        """Grant or renew, None where the holder may not have a lease.
-
-        ``held_revision`` is what the holder itself has applied, where
-        that differs from what all below it have acknowledged: a control
-        process with one silent entry keeps its lease.
+        """Grant or renew a lease; return None if the holder gets none.
+
+        ``acked_revision`` is the revision that the holder and all holders
+        below it have acknowledged. ``held_revision`` is the one that the
+        holder itself has applied, if it differs. Grants depend on the
+        latter, so that a control process with a silent entry keeps its
+        lease. ``parent_remaining_s`` is the rest of the granter's own
+        lease, or of its support by a quorum.
         """
         self.acknowledge(holder, acked_revision)
         held = acked_revision if held_revision is None else held_revision
@@ -127,18 +134,19 @@
         return LeaseGrant(length_s, self._required_revision)
 
     def acknowledge(self, holder: str, revision: int) -> None:
-        """Note that a holder accepts no new work under an older revision.
+        """Record that a holder accepts no new work under older revisions.
 
-        It is final, so a late or doubled acknowledgement does no harm.
+        Acknowledgements are final, so late and duplicate ones are ignored.
         """
         known = self._holders.get(holder)
         if known is not None and revision > known.acked_revision:
             self._holders[holder] = known._replace(acked_revision=revision)
 
     def in_force(self, revision: int, now_s: float) -> InForceStatus:
-        """Tell whether no live lease stands below ``revision``.
+        """Return whether no live lease is below ``revision``.
 
-        Where the answer is yes it stays so: the floor is raised with it.
+        Once the revision is in force it remains so, as the required
+        revision is raised to it.
         """
         missing = tuple(
             sorted(
@@ -157,10 +165,11 @@
         )
 
     def revision_to_acknowledge(self, own_revision: int, now_s: float) -> int:
-        """Return what this process may acknowledge to its own granter.
+        """Return the revision to acknowledge to this process's granter.
 
-        Its own revision once that is in force below it, otherwise the
-        lowest that a live holder has; 0 before the wait is over.
+        It is ``own_revision`` once that is in force among the holders, and
+        otherwise the lowest revision of a live holder. It is 0 before
+        `earliest_in_force_s`.
         """
         if self.in_force(own_revision, now_s).in_force:
             return own_revision
@@ -175,7 +184,7 @@
         return lowest
 
     def live_holders(self, now_s: float) -> tuple[str, ...]:
-        """Return the names of all holders whose lease may still live."""
+        """Return the names of all holders whose lease has not expired."""
         return tuple(
             name
             for name, holder in self._holders.items()
@@ -183,7 +192,7 @@
         )
 
     def forget_expired(self, now_s: float) -> tuple[str, ...]:
-        """Drop holders whose lease has run out and return their names."""
+        """Remove holders whose lease has expired, and return their names."""
         expired = tuple(
             name
             for name, holder in self._holders.items()
@@ -198,7 +207,7 @@
             return 0.0
         if not self._within_parent:
             return self._length_s
-        # What is granted, with its margin, ends before one's own lease.
+        # The grant, with its margin, must end before the granter's lease.
         return min(self._length_s, parent_remaining_s / (1.0 + DRIFT_MARGIN))
 
     def _store(self, holder: str, acked_revision: int, end_s: float) -> None:
@@ -206,43 +215,43 @@
         if known is None:
             self._holders[holder] = _Holder(acked_revision, end_s)
             return
-        # An earlier, longer grant still holds where the new one is short.
+        # An earlier grant is still valid if the new one ends before it.
         expires_s = max(known.expires_s, end_s)
         self._holders[holder] = known._replace(expires_s=expires_s)
 
 
 class HeldLease:
-    """The lease that this process holds, on its own clock."""
+    """The lease that this process holds, on this process's clock."""
 
     def __init__(self) -> None:
         self._expires_s = float("-inf")
 
     def renew(self, sent_at_s: float, grant: LeaseGrant) -> None:
-        """Take a grant for the request that was sent at ``sent_at_s``.
+        """Extend the lease by the grant for a request sent at ``sent_at_s``.
 
-        Grants may come late and out of order; none shortens another, as
-        the granter keeps the longest of them too.
+        Grants may arrive late and out of order. A grant never shortens the
+        lease, as the granter, too, keeps the latest expiry.
         """
         self._expires_s = max(self._expires_s, sent_at_s + grant.length_s)
 
     def remaining_s(self, now_s: float) -> float:
-        """Return how long new work may be accepted; zero where it is over.
+        """Return the rest of the lease in seconds, 0 if it has expired.
 
-        To be read again right before a request's first byte is written: a
-        process may have been suspended since it last looked.
+        Check it again right before a request's first byte is written, as
+        the process may have been suspended since the last check.
         """
         return max(0.0, self._expires_s - now_s)
 
 
 def leader_table(became_leader_s: float, applied_revision: int) -> LeaseTable:
-    """Return the table of a new leader, for control processes.
-
-    It is made once the leader has applied the first entry of its own
-    term: only then is ``applied_revision`` at or above each revision that
-    a predecessor may have reported in force. The wait runs from the
-    election. The length is not cut to what remains of the quorum's
-    backing, so that control processes outlive a leader change; the wait
-    of the next leader makes up for that.
+    """Return a new leader's table of the leases of control processes.
+
+    Call it after the leader has applied the first entry of its own term:
+    only then is ``applied_revision`` at or above each revision that a
+    predecessor may have reported as in force. The wait for leases of a
+    predecessor starts at the election. Grants may outlast the support of
+    the quorum, so that control processes keep their leases during a leader
+    change; the next leader's wait covers these grants.
     """
     return LeaseTable(
         CONTROL_LEASE_S,
@@ -253,7 +262,7 @@
 
 
 def control_table(started_s: float) -> LeaseTable:
-    """Return the table of a control process that starts, for entries."""
+    """Return a starting control process's table of the leases of entries."""
     return LeaseTable(ENTRY_LEASE_S, started_s, within_parent=True)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/ledger.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/ledger.py
@@ -1,12 +1,14 @@
 """One shard of the ledger as a state machine on its replicated log.
 
-A command is a batch of records, as one write to disk serves many requests.
-Its records are answered in their order and may build on one another: an
-outcome ``not_run``, the next claim and its dispatch may go in one batch.
-
-The clock of the ledger is the earliest of the leader's stamp on the batch
-and the entries' stamps in it, and never goes back. One wrong clock, at the
-leader or at an entry, thus cannot make keys expire before their time.
+A command is a batch of records, so that one write to disk serves many
+requests. The machine applies the records in their order, and a record may
+depend on an earlier one in the batch: an outcome ``not_run``, the next
+claim and its dispatch may go in one batch.
+
+The ledger's clock advances to the earliest of the leader's time stamp on
+the batch and the entries' time stamps in it, and never goes back. A single
+wrong clock, at the leader or at an entry, therefore cannot make keys expire
+early.
 """
 
 from __future__ import annotations
@@ -65,14 +67,14 @@
 
 
 class LedgerBatch(NamedTuple):
-    """Records that are made durable together, and the leader's time."""
+    """Records that are made durable together, and the leader's wall clock."""
 
     now_s: float
     records: list[LedgerRecord]
 
 
 class LedgerLimits(NamedTuple):
-    """Bounds of what one shard keeps."""
+    """Bounds on the number of records that one shard keeps."""
 
     claims: ClaimLimits = ClaimLimits()
     charges: int = MAX_CHARGES
@@ -81,7 +83,10 @@
 
 
 class LedgerFill(NamedTuple):
-    """How much a shard holds; new keys are turned away at the bounds."""
+    """Number of records of each kind in a shard, and the bytes of answers.
+
+    A shard at its bounds refuses new keys.
+    """
 
     claims: int
     answers_bytes: int
@@ -120,13 +125,13 @@
         return self._shard
 
     def apply(self, index: int, command: bytes) -> list[LedgerResult]:
-        """Apply a batch and return the answer to each of its records."""
+        """Apply a batch and return the result of each of its records."""
         batch = decode_batch(command)
         self._advance_clock(batch)
         return [self._apply_record(record) for record in batch.records]
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal state gives equal bytes."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         return encode_state(
             _Snapshot(
                 self._shard,
@@ -140,7 +145,11 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot in place of one's own."""
+        """Replace the whole state by that of a snapshot.
+
+        Raises `SnapshotUnreadable` for bytes that are no snapshot of the
+        ledger, and for a snapshot of another shard.
+        """
         loaded = decode_state(data, _Snapshot)
         if loaded.shard != self._shard:
             raise SnapshotUnreadable(
@@ -154,14 +163,15 @@
         self._pins.load(loaded.pins)
 
     def bills(self, customer: str | None, after: int, limit: int) -> Bills:
-        """Return a customer's bills, those of all for None.
+        """Return the bills of a customer, or of all customers for None.
 
-        ``after`` is 0 or the last page's ``next_after``.
+        ``after`` is 0 for the first page of charges, and the previous
+        page's ``next_after`` for another one. ``limit`` bounds the page.
         """
         return self._charges.bills(customer, after, limit)
 
     def fill(self) -> LedgerFill:
-        """Return how much is held, to be watched against the bounds."""
+        """Return the number of records held, to compare with the bounds."""
         return LedgerFill(
             len(self._claims),
             self._claims.answers_bytes,
@@ -204,13 +214,20 @@
 
 
 def encode_batch(records: Sequence[LedgerRecord], now_s: float) -> bytes:
-    """Return the batch as it is proposed, with the leader's wall clock."""
+    """Return a batch as the bytes to propose to the log.
+
+    ``now_s`` is the leader's wall clock.
+    """
     coded = [(_CODE_BY_KIND[type(record)], record) for record in records]
     return encode_fields((now_s, coded))
 
 
 def decode_batch(data: bytes) -> LedgerBatch:
-    """Return the batch, or raise where it cannot be read."""
+    """Return the batch that was encoded.
+
+    Raises `MalformedCommand` if the bytes cannot be read, and
+    `UnknownCommand` for a record of an unknown kind.
+    """
     try:
         now_s, coded = _BATCH.decode(data)
     except msgspec.MsgspecError as error:
@@ -222,10 +239,10 @@
 
 
 def shard_of(customer: str, request_key: str, shard_count: int) -> int:
-    """Return the shard of a request key; a pin goes by its session name.
+    """Return the shard of a request key, or of a pin's session name.
 
-    The hash is stable between processes and releases, as the same key
-    must always meet the same claim.
+    All processes and releases must compute the same hash, so that all
+    requests with a key reach the shard that holds its claim.
     """
     text = f"{len(customer)}:{customer}{request_key}".encode()
     digest = hashlib.blake2b(text, digest_size=SHARD_HASH_BYTES).digest()
--- a/packages/sycamorestand-state/src/sycamorestand_state/loads.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/loads.py
@@ -1,8 +1,9 @@
-"""Load reports, kept apart from membership: coarse, late and bounded.
+"""Load reports of backend servers, kept separate from their membership.
 
-Load changes with every request. Sent with the membership it would make a
-delta of every announcement; so it goes by itself, only for the servers
-that the receiver uses, in steps of about a quarter.
+Load changes with every request. If it were part of the membership, every
+announcement would cause a delta. Load updates are therefore sent on their
+own, only for the servers that the receiver uses, and with counts rounded
+down in steps of about a quarter.
 """
 
 from __future__ import annotations
@@ -14,16 +15,19 @@
 from sycamorestand_model.backend_servers import Announcement
 from sycamorestand_model.backend_servers import LoadReport
 
-# A subset of servers an entry; 64 reports are about 2 KB.
+# An entry uses a subset of the servers; 64 reports take about 2 KB.
 MAX_LOADS: Final = 64
-# Below this every count is told as it is.
+# Counts below this are not rounded.
 EXACT_BELOW: Final = 4
-# An older report says nothing about now.
+# An older report does not reflect the current load and is ignored.
 MAX_AGE_S: Final = 30.0
 
 
 class ServerLoad(NamedTuple):
-    """One server's load; the numbers tell the newer of two reports."""
+    """The load of one server.
+
+    ``incarnation`` and ``sequence`` order the reports of a server.
+    """
 
     name: str
     incarnation: int
@@ -32,7 +36,7 @@
 
 
 class LoadUpdate(NamedTuple):
-    """Loads of the servers that one receiver uses."""
+    """The loads of the servers that one receiver uses."""
 
     loads: tuple[ServerLoad, ...]
 
@@ -43,13 +47,13 @@
 
 
 class LoadBook:
-    """The last load known of each server."""
+    """The newest known load of each server."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Kept] = {}
 
     def report(self, announcement: Announcement, now_s: float) -> None:
-        """Keep the load that came with an announcement."""
+        """Store the load of an announcement, unless a newer one is known."""
         load = ServerLoad(
             announcement.name,
             announcement.incarnation,
@@ -59,12 +63,12 @@
         self._store_if_newer(load, now_s)
 
     def apply(self, update: LoadUpdate, now_s: float) -> None:
-        """Keep the loads that another process told."""
+        """Store the loads that another process sent, unless outdated."""
         for load in update.loads:
             self._store_if_newer(load, now_s)
 
     def update(self, names: Iterable[str], now_s: float) -> LoadUpdate:
-        """Return the coarse loads of at most `MAX_LOADS` of the names."""
+        """Return the rounded loads of the named servers, up to `MAX_LOADS`."""
         loads = []
         for name in names:
             stored = self._reports.get(name)
@@ -76,7 +80,10 @@
         return LoadUpdate(tuple(loads))
 
     def load(self, name: str, now_s: float) -> LoadReport | None:
-        """Return a server's load with its age now, None if unknown."""
+        """Return a server's load with its current age.
+
+        Return None if the load is unknown or older than `MAX_AGE_S`.
+        """
         stored = self._reports.get(name)
         if stored is None:
             return None
@@ -85,7 +92,7 @@
         return load._replace(age_s=age_s) if age_s <= MAX_AGE_S else None
 
     def forget(self, names: Iterable[str]) -> None:
-        """Drop the loads of servers that are gone."""
+        """Remove the loads of servers that are gone."""
         for name in names:
             self._reports.pop(name, None)
 
@@ -96,7 +103,7 @@
 
 
 def coarse_count(count: int) -> int:
-    """Return the count in steps of about a quarter, never above it.
+    """Return the count rounded down in steps of about a quarter.
 
     Example: 9 gives 8, 13 gives 12 and 27 gives 24.
     """
--- a/packages/sycamorestand-state/src/sycamorestand_state/nodes.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/nodes.py
@@ -1,8 +1,9 @@
-"""Which entries there are, and which of them callers are told to use.
+"""The known entry processes, and the addresses that callers get.
 
-No balancer stands in front: a caller asks any entry, gets ranked addresses
-and keeps them for a while. So a stopping entry, and one on a draining VM,
-leaves the answers first.
+There is no load balancer in front of the entries. A caller asks any entry
+for addresses, gets them ranked, and uses them for a while. A stopping
+entry, and an entry on a draining VM, is therefore left out of the answers
+before it stops serving.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from sycamorestand_state.rendezvous import weight
 from sycamorestand_state.versioned_map import MapDelta
 
-# Load goes out in these steps, so that it rarely makes a delta.
+# Load is published in these steps, so that it rarely causes a delta.
 LOAD_STEP: Final = 0.25
-# Above this an entry of another data centre, a millisecond away, answers
-# sooner than one that queues.
+# From this load on, requests queue at an entry. An entry of another data
+# centre, a millisecond away, then answers sooner.
 OVERLOAD_THRESHOLD: Final = 0.75
 
 
 class NodeRecord(NamedTuple):
-    """One entry process; ``load`` is 0 for idle to 1 for saturated."""
+    """One entry process; ``load`` is from 0 (idle) to 1 (saturated)."""
 
     name: str
     vm: str
@@ -42,13 +43,13 @@
 
 
 class NodeRegistry(Registry[NodeRecord]):
-    """The entries, with leases and deltas as backend servers have them."""
+    """Registry of the entry processes."""
 
     def __init__(self, origin: str, epoch: int) -> None:
         super().__init__(origin, epoch, _with_coarse_load, _is_leaving)
 
     def nodes(self) -> dict[str, NodeRecord]:
-        """Return all known entries by name, stopping ones among them."""
+        """Return all known entries by name, including stopping ones."""
         return self.records()
 
     def addresses(
@@ -58,12 +59,13 @@
         limit: int,
         draining_vms: Collection[str] = (),
     ) -> tuple[NodeRecord, ...]:
-        """Return the entries for a caller, the one to try first ahead.
+        """Return up to ``limit`` entries for a caller, the best one first.
 
-        Entries of the data centre come first unless overloaded; equal
-        ones in an order of the caller's own, so that callers spread.
-        Where every VM is draining they are handed out all the same, as
-        callers would otherwise find nobody.
+        Entries of the caller's data centre come first, unless they are
+        overloaded. Entries of equal rank are ordered by a hash with the
+        caller's name, which spreads callers over them. If all VMs are
+        draining, their entries are returned nevertheless, as callers would
+        otherwise get no address.
         """
         running = [n for n in self.nodes().values() if not n.stopping]
         undrained = [n for n in running if n.vm not in draining_vms]
--- a/packages/sycamorestand-state/src/sycamorestand_state/order_book.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/order_book.py
@@ -1,9 +1,10 @@
-"""Orders to engines as the log knows them; pure transitions.
+"""The recorded orders to engines, and their transitions as pure functions.
 
-An order is recorded as ``intended`` before it is sent, and its outcome
-after it. The book refuses a fencing number that is not above all before
-it, so that a deposed leader cannot record, and hence not send, an order
-after its successor has begun.
+The leader records an order as ``intended`` before it sends the order, and
+records the outcome afterwards. The order book refuses an intent whose
+fencing number is not above all earlier ones. A deposed leader therefore
+cannot record, and so cannot send, an order after its successor has
+recorded one.
 """
 
 from __future__ import annotations
@@ -17,13 +18,15 @@
 INTENDED: Final = "intended"
 UNFINISHED_PHASES: Final = frozenset({INTENDED, "unknown"})
 FINISHED_PHASES: Final = frozenset({"done", "failed"})
-# Finished orders are kept for operators to look at; the audit trail has
-# them as well.
+# Finished orders are kept for operators; the audit trail lists them too.
 MAX_FINISHED_ORDERS: Final = 500
 
 
 class OrderBook(NamedTuple):
-    """Orders by id, and the highest fencing number recorded."""
+    """Orders by id, and the highest recorded fencing number.
+
+    The fencing number is the pair of ``term`` and ``sequence``.
+    """
 
     orders: dict[str, OrderRecord] = {}
     term: int = 0
@@ -31,7 +34,7 @@
 
 
 class OrderDecision(NamedTuple):
-    """What became of a `RecordOrder`; ``finding`` where it was refused."""
+    """The result of a `RecordOrder`; ``finding`` is the refusal's reason."""
 
     book: OrderBook
     changed: bool
@@ -39,7 +42,10 @@
 
 
 def record_order(book: OrderBook, command: RecordOrder) -> OrderDecision:
-    """Record the intent or the outcome of an order."""
+    """Record the intent or the outcome of an order, or refuse it.
+
+    A resend of the last record of an order changes nothing.
+    """
     record = OrderRecord(*command)
     known = book.orders.get(command.order_id)
     if known is not None and known._replace(now_s=record.now_s) == record:
--- a/packages/sycamorestand-state/src/sycamorestand_state/orders.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/orders.py
@@ -1,15 +1,19 @@
-"""When the leader may send which order to an engine.
-
-What it answers: two leaders that both believe to be one would load and
-unload against each other, and some engines ignore the fencing number that
-tells the orders apart. So an order is safe by time alone: it is recorded
-in the log before it is sent; it is sent only while the quorum still backs
-the leader; it is on its way for a bounded time; and a new leader sends its
-first one only after its predecessor's lease, and touches an unfinished one
-only after that order's time of flight as well.
-
-Times here are of one process's monotonic clock, so the wall clocks of two
-leaders need not agree.
+"""Decide which order the leader may send to an engine, and when.
+
+A deposed leader may still believe that it leads. Two leaders would then
+send conflicting orders, such as to load and unload a model, and some
+engines ignore the fencing number that shows the newer order. Timing alone
+therefore has to keep the orders of two leaders apart:
+
+- the leader records an order in the log before it sends the order;
+- it sends an order only while a quorum still confirms it as leader;
+- a sent order takes effect within a bounded time, or not at all;
+- a new leader sends its first order only after its predecessor's lease has
+  expired, and resends an unfinished order only after that order's timeout
+  as well.
+
+All times are on the monotonic clock of one process, so the wall clocks of
+two leaders may differ.
 """
 
 from __future__ import annotations
@@ -25,33 +29,36 @@
 from sycamorestand_state.order_book import UNFINISHED_PHASES
 from sycamorestand_state.results import OrderRecord
 
-# The sender's whole call, connection and answer, ends within this, and
-# closes its connection. What the engine has read by then it acts on.
+# Timeout of the sender's whole call, from connecting to the answer. The
+# sender then closes the connection; the engine acts on what it has read.
 ORDER_TIMEOUT_S: Final = 5.0
-# An engine may act a moment after it has read the last byte.
+# An engine may act up to this long after it has read the last byte.
 ENGINE_DELAY_S: Final = 1.0
-# Sending begins within this after the record was committed, else the
-# order is given up and recorded as failed.
+# Sending must begin within this time after the record of the intent was
+# made. Otherwise the leader abandons the order and records it as failed.
 SEND_WITHIN_S: Final = 2.0
 TERM_SHIFT: Final = 32
 
 
 class FencingNumber(NamedTuple):
-    """Grows with every order of every leader."""
+    """The number of an order, above those of all earlier orders.
+
+    It is ordered by the leader's term, then by the order's sequence.
+    """
 
     term: int
     sequence: int
 
     def as_integer(self) -> int:
-        """Return one number for engines that take a single one."""
+        """Return the number as one integer, for engines that take one."""
         return self.term << TERM_SHIFT | self.sequence
 
 
 class OrderIssuer:
-    """One leader's orders, for as long as it leads in one term.
+    """Issues the orders of one leader during one term.
 
     ``leader_lease_s`` is the longest time for which a predecessor may
-    believe to lead after its last contact with a quorum.
+    believe that it leads after its last contact with a quorum.
     """
 
     def __init__(
@@ -62,19 +69,20 @@
         self._earliest_order_s = became_leader_s + _with_drift_margin(
             leader_lease_s
         )
-        # When an order of this leader may at the latest have its effect.
+        # By backend server, the time after which the last sent order of
+        # this leader can no longer take effect.
         self._settled_at_s: dict[str, float] = {}
         self._intended_at_s: dict[str, float] = {}
         self._sent: set[str] = set()
 
     @property
     def earliest_order_s(self) -> float:
-        """When the predecessor's lease has run out for certain."""
+        """The time at which the predecessor's lease has surely expired."""
         return self._earliest_order_s
 
     @property
     def earliest_resume_s(self) -> float:
-        """When no order of a predecessor can be on its way any more."""
+        """The time after which no order of a predecessor can take effect."""
         return self._earliest_order_s + _settling_time_s()
 
     def next_order(
@@ -88,9 +96,9 @@
     ) -> RecordOrder | None:
         """Return the record to commit before an order may be sent.
 
-        None while the wait is not over, or while the server has another
-        order that is not finished: it would not be known which of the two
-        took effect last.
+        Return None before `earliest_order_s`, and while the backend server
+        has an unfinished order, as either of the two orders could then take
+        effect last.
         """
         if now_s < self._earliest_order_s:
             return None
@@ -107,10 +115,10 @@
     def resume(
         self, now_s: float, order: OrderRecord, wall_now_s: float
     ) -> RecordOrder | None:
-        """Return the record that sends an unfinished order again.
+        """Return the record to commit before an unfinished order is resent.
 
-        The order keeps its id and gets a new fencing number, once the old
-        one can have no effect any more.
+        The order keeps its id and gets a new fencing number. Return None
+        while the order, as sent before, may still take effect.
         """
         if order not in self.unfinished((order,), now_s):
             return None
@@ -127,11 +135,12 @@
     def may_send(
         self, now_s: float, quorum_remaining_s: float, record: RecordOrder
     ) -> bool:
-        """Tell, right before the first byte, whether an order may go.
+        """Return whether an order may be sent, and mark it as sent if so.
 
-        Its record must be committed. It goes once: a process that was
-        suspended after the commit is past `SEND_WITHIN_S`, and one that
-        lost its quorum has no backing any more.
+        Call it right before the first byte, after the record is committed.
+        It returns True once for each order. It returns False if the
+        process was suspended and `SEND_WITHIN_S` has passed, or if the
+        quorum no longer confirms the leader.
         """
         fence = _fence_key(record)
         intended_at_s = self._intended_at_s.get(fence)
@@ -146,10 +155,11 @@
     def outcome(
         self, record: RecordOrder, phase: str, detail: str, wall_now_s: float
     ) -> RecordOrder:
-        """Return the record of how an order ended, to be committed.
+        """Return the record of an order's outcome, to be committed.
 
-        ``done`` and ``failed`` free the server for its next order, so
-        they are only for an order of which nothing is on its way.
+        The outcomes ``done`` and ``failed`` permit the next order to the
+        backend server at once, so they are only for an order that can have
+        no further effect.
         """
         fence = _fence_key(record)
         self._intended_at_s.pop(fence, None)
@@ -161,7 +171,7 @@
     def unfinished(
         self, orders: Iterable[OrderRecord], now_s: float
     ) -> tuple[OrderRecord, ...]:
-        """Return the orders that may be sent again now."""
+        """Return the unfinished orders that may be resent now."""
         return tuple(
             order
             for order in orders
@@ -179,7 +189,8 @@
         intended_at_s = self._intended_at_s.get(fence)
         if intended_at_s is None or fence in self._sent:
             return settled_at_s
-        # Committed and not sent: `may_send` lets it go until then.
+        # The order is recorded and not sent; `may_send` permits to send it
+        # until `SEND_WITHIN_S` has passed.
         return max(settled_at_s, intended_at_s + SEND_WITHIN_S)
 
     def _build_intent(
--- a/packages/sycamorestand-state/src/sycamorestand_state/references.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/references.py
@@ -1,8 +1,9 @@
-"""The last check before declarations are committed: do names fit together?
+"""Check that the names in declarations refer to declared things.
 
-The offline check names files and lines; this one runs on every replica,
-so that a client with an old check cannot commit what entries would stumble
-over. All findings come together, each with its key path and a remedy.
+Operators' tools check files offline and report files and lines. This check
+runs on every replica as a change is applied, so that a client with an
+older check cannot put declarations in force that entries cannot use. It
+returns all findings at once, each with its key path and a remedy.
 """
 
 from __future__ import annotations
@@ -21,15 +22,16 @@
 from sycamorestand_model.declarations import SECTIONS
 from sycamorestand_model.declarations import version_id
 
-# A document of 4 MiB, the largest that operators' clients may send, and what
-# is made of it: 13,000 routes take 5.4 MB. That command is 0.65 MB packed
-# and takes 0.15 s to apply, a fifth of the shortest election timeout.
+# Room for a document of 4 MiB, the largest that operators' clients may send,
+# and for the declarations made of it: 13,000 routes take 5.4 MB. Such a
+# command has 0.65 MB when packed and takes 0.15 s to apply, a fifth of the
+# shortest election timeout.
 MAX_DECLARATIONS_BYTES: Final = 8_388_608
 MAX_NAME_CHARACTERS: Final = 200
 
 
 def reference_findings(declarations: Declarations) -> tuple[str, ...]:
-    """Return every reason why the declarations cannot be in force."""
+    """Return all reasons why the declarations cannot be put in force."""
     return (
         *_name_findings(declarations),
         *_check_each(declarations, declarations.models, _model_findings),
@@ -160,8 +162,8 @@
 
 
 def _operator_findings(declarations: Declarations) -> Iterator[str]:
-    # Without an admin nobody could change the configuration again: every
-    # later change, also the one that mends it, would be turned away.
+    # Without an admin nobody could change the configuration again, as every
+    # later change, including one that adds an admin, would be refused.
     for operator in declarations.operators.values():
         if operator.role == "admin" and operator.key_hashes:
             return
--- a/packages/sycamorestand-state/src/sycamorestand_state/registry.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/registry.py
@@ -1,14 +1,16 @@
-"""Soft state that announces itself: heard, relayed, merged, forgotten.
-
-Each control process hears some announcers at first hand, through its
-entries, and alone judges their leases, on its own clock. Renewals go no
-further: other processes keep a record while its origin is heard of. What
-goes out is a change of membership, as a delta of two streams: the own
-records for other control processes, and all merged for entries.
-
-Where several origins know a name, the highest incarnation and sequence
-wins. A record that says it leaves outlives its removal as a floor, so that
-an older one of another origin does not bring the announcer back.
+"""Soft-state registry of processes that announce themselves.
+
+Each control process receives the announcements of some announcers directly,
+through its entries, and decides alone, on its own clock, when their leases
+expire. Renewals are not forwarded: other processes keep a record as long as
+they hear from its origin. Only membership changes are sent, as deltas of two
+streams: the own records go to other control processes, and the merged
+records of all origins go to entries.
+
+If several origins have a record of the same name, the one with the highest
+incarnation and sequence wins. When a leaving record is removed, its number
+is kept as a floor, so that an older record of another origin does not bring
+the announcer back.
 """
 
 from __future__ import annotations
@@ -28,19 +30,19 @@
 
 OWN_STREAM: Final = "own"
 MERGED_STREAM: Final = "merged"
-# An origin sends an empty delta each second at the least; three lost in a
-# row mean that its announcers have to be heard of elsewhere.
+# An origin sends at least an empty delta each second. After three lost
+# deltas in a row, its announcers must be learned from another origin.
 ORIGIN_LEASE_S: Final = 3.0
 MAX_LEASE_S: Final = 10.0
-# How long the last number heard of a name is kept after its lease: longer
-# than any announcement can be on its way, and than any lease.
+# How long the last number of a name is kept after its lease: longer than
+# any announcement can be delayed in the network, and than any lease.
 NUMBER_RETENTION_S: Final = 60.0
 
 Number = tuple[int, int]
 
 
 class Announced(Protocol):
-    """What every announcement has."""
+    """The attributes that every announcement has."""
 
     @property
     def name(self) -> str: ...
@@ -71,8 +73,8 @@
 class Registry(Generic[A]):
     """All announcers known to one process.
 
-    ``membership`` strips an announcement of what changes with each
-    renewal; ``leaves`` tells whether it says goodbye.
+    ``membership`` returns an announcement without the fields that change
+    with each renewal. ``is_leaving`` returns whether the announcer leaves.
     """
 
     def __init__(
@@ -99,7 +101,7 @@
 
     @property
     def own_version(self) -> int:
-        """The version of the records heard at first hand."""
+        """The version of the records that were announced directly."""
         return self._own.version
 
     def digest(self) -> int:
@@ -107,11 +109,11 @@
         return self._merged.digest
 
     def records(self) -> dict[str, A]:
-        """Return the merged records by name, leaving ones among them."""
+        """Return the merged records by name, including leaving ones."""
         return self._merged.records
 
     def announce(self, announcement: A, now_s: float) -> bool:
-        """Take an announcement at first hand; False where it is old."""
+        """Store a direct announcement; return False if it is old."""
         name = announcement.name
         heard = self._heard.get(name)
         if heard is not None and not _newer(announcement, heard.announcement):
@@ -122,7 +124,7 @@
         return True
 
     def expire(self, now_s: float) -> tuple[str, ...]:
-        """Drop what has run out and return the names that are gone."""
+        """Remove expired records and origins; return the removed names."""
         before = set(self._merged.records)
         for name, heard in list(self._heard.items()):
             if heard.expires_s <= now_s:
@@ -139,23 +141,29 @@
         return tuple(sorted(before - set(self._merged.records)))
 
     def delta_since(self, version: int) -> MapDelta[A] | None:
-        """Return merged changes for an entry, None where too old."""
+        """Return the merged changes after a version, for an entry.
+
+        Return None if the version is too old or unknown.
+        """
         return self._merged.delta_since(version)
 
     def full(self) -> MapDelta[A]:
-        """Return all merged records for an entry."""
+        """Return all merged records as a full delta, for an entry."""
         return self._merged.full()
 
     def own_delta_since(self, version: int) -> MapDelta[A] | None:
-        """Return own changes for a control process, None where too old."""
+        """Return the own changes after a version, for a control process.
+
+        Return None if the version is too old or unknown.
+        """
         return self._own.delta_since(version)
 
     def own_full(self) -> MapDelta[A]:
-        """Return all own records for a control process."""
+        """Return all own records as a full delta, for a control process."""
         return self._own.full()
 
     def apply_delta(self, delta: MapDelta[A], now_s: float) -> DeltaOutcome:
-        """Take an origin's delta; ``resync`` asks for its full one."""
+        """Apply an origin's delta; ``resync`` means to request a full one."""
         copy = self._copies.setdefault(delta.origin, MapCopy())
         before = set(copy.records) if delta.full else set()
         outcome = copy.apply(delta, now_s)
@@ -167,12 +175,15 @@
         return outcome
 
     def copied_version(self, origin: str) -> int:
-        """Return the version known of an origin, -1 to ask for all."""
+        """Return the copied version of an origin, -1 to request all."""
         copy = self._copies.get(origin)
         return UNKNOWN_VERSION if copy is None else copy.version
 
     def forget_origin(self, origin: str, now_s: float) -> None:
-        """Drop what an origin has told, as when an entry changes it."""
+        """Drop the records of an origin, as when an entry changes to another.
+
+        Records that another origin has as well remain.
+        """
         copy = self._copies.get(origin)
         if copy is not None:
             names = sorted(copy.records)
@@ -185,8 +196,8 @@
         if heard is None or heard.expires_s <= now_s:
             return
         merged = self._merged.records.get(name)
-        # A renewal is no news, unless another origin's newer record, or a
-        # floor, hides what is heard here.
+        # A renewal changes nothing, unless a newer record of another origin
+        # or a floor overrides the record that is announced here.
         if name in self._own.records and merged is not None:
             if not _newer(heard.announcement, merged):
                 return
--- a/packages/sycamorestand-state/src/sycamorestand_state/rendezvous.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: who uses which, with no table to agree on.
+"""Rendezvous hashing: choose subsets of names without a shared table.
 
-Each pair of names has a weight that all processes compute alike. When a
-name goes, only those who had chosen it choose another; when one comes, it
-displaces at most one of each subset.
+Every process computes the same weight for a pair of chooser and name. When
+a name is removed, only the choosers that used it choose another one; a new
+name displaces at most one name of each subset.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def weight(chooser: str, name: str) -> int:
-    """Return the stable weight of ``name`` for ``chooser``."""
+    """Return the weight of ``name`` for ``chooser``, equal everywhere."""
     text = f"{len(chooser)}:{chooser}{name}".encode()
     digest = hashlib.blake2b(text, digest_size=WEIGHT_BYTES).digest()
     return int.from_bytes(digest, "big")
@@ -24,7 +24,7 @@
 def subset(
     entry_name: str, names: Iterable[str], size: int
 ) -> tuple[str, ...]:
-    """Return the names that an entry uses, the heaviest first.
+    """Return the names that an entry uses, the highest weight first.
 
     Example: ``subset("vm-3", directory.servers(), 24)``.
     """
--- a/packages/sycamorestand-state/src/sycamorestand_state/results.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/results.py
@@ -1,4 +1,4 @@
-"""What the configuration machine answers, and what it keeps for reading."""
+"""Results of the configuration machine, and its records for readers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 class ChangeResult(NamedTuple):
-    """The answer to one change, the same for every resend of it.
+    """The answer to a change, equal for all resends but for ``duplicate``.
 
-    ``revision`` is the one that the change made, or the one in force
-    where it made none. ``duplicate`` tells a resend's answer from the
-    first. ``findings`` are all reasons of a refusal; ``notes`` say what
-    an applied change did not do, such as bring back a withdrawn version.
+    ``revision`` is the revision that the change created, or the one in
+    force if it created none. ``duplicate`` marks the answer to a resend.
+    ``findings`` lists all reasons of a refusal. ``notes`` lists effects
+    that an applied change did not have, such as bringing back a withdrawn
+    version.
     """
 
     outcome: Outcome
@@ -26,13 +27,13 @@
 
 
 class AuditEntry(NamedTuple):
-    """One line of the audit trail, from the command at ``log_index``.
+    """An entry of the audit trail, for the command at ``log_index``.
 
-    ``revision`` is the one in force after the command. ``difference`` is
-    for people and never holds key hashes. ``subject`` is the version,
-    model or VM that the change names, ``base_revision`` -1 where it was
-    based on none, and ``message`` what the operator said to it;
-    ``evidence`` is what the system itself had to say.
+    ``revision`` is the revision in force after the command.
+    ``difference`` is for people and never holds key hashes. ``subject`` is
+    the version, model or VM that the change names. ``base_revision`` is -1
+    if the change had no base. ``message`` is the operator's message, and
+    ``evidence`` the system's own reason for the change.
     """
 
     log_index: int
@@ -50,12 +51,12 @@
 
 
 class RolloutState(NamedTuple):
-    """A roll-out as far as it is committed.
+    """The committed state of a roll-out.
 
     ``state`` is ``running``, ``stopped`` or ``completed``.
-    ``started_revision`` names this run of it, so that a late step of an
-    earlier run is told apart; ``stable`` is the model's stable version
-    when it began.
+    ``started_revision`` identifies this run of the roll-out, so that a
+    late step of an earlier run can be refused. ``stable`` is the model's
+    stable version at the start of the roll-out.
     """
 
     model: str
@@ -71,7 +72,7 @@
 
 
 class OrderRecord(NamedTuple):
-    """An order to an engine, see `sycamorestand_state.orders`."""
+    """An order to an engine; see `sycamorestand_state.orders`."""
 
     order_id: str
     term: int
@@ -85,7 +86,7 @@
 
 
 class ClusterIdentity(NamedTuple):
-    """What the first start settled for good."""
+    """The properties of a cluster that never change after its creation."""
 
     cluster_id: str
     shard_count: int
--- a/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
@@ -1,9 +1,9 @@
-"""How a roll-out moves: started, stepped, stopped, completed, ended.
+"""Transitions of roll-outs: start, step, stop, completion and end.
 
-Each step is a command in the log, so a new leader goes on at the committed
-step. A step names the run of the roll-out and the step that it leaves: a
-deposed leader's late step, or one from an earlier run of the same version,
-fits neither and is refused.
+Each step is a command in the log, so a new leader continues at the
+committed step. A step names the run of the roll-out and the step that it
+starts from. A late step of a deposed leader, or of an earlier run of the
+same version, does not match these and is refused.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Reconciled(NamedTuple):
-    """Roll-outs after declarations changed, and what became of them."""
+    """Roll-outs after a change, and lines that describe what changed."""
 
     rollouts: dict[str, RolloutState]
     difference: tuple[str, ...]
@@ -69,7 +69,7 @@
 
 
 def step_rollout(state: ConfigurationState, command: RolloutStep) -> Decision:
-    """Move a running roll-out by one step ahead, or back to any."""
+    """Move a running roll-out one step forward, or back to any step."""
     rollout = state.rollouts.get(command.model)
     if rollout is None:
         return refused(state, f"rollouts.{command.model}: is not started")
@@ -92,7 +92,10 @@
 
 
 def stop_rollout(state: ConfigurationState, command: StopRollout) -> Decision:
-    """Send new work back to the stable version, also once completed."""
+    """Stop a roll-out, so that new work goes to the stable version.
+
+    A completed roll-out can be stopped too, until it is made stable.
+    """
     rollout = state.rollouts.get(command.model)
     if rollout is None:
         return refused(state, f"rollouts.{command.model}: is not started")
@@ -116,7 +119,7 @@
 def stop_for_version(
     state: ConfigurationState, identity: str, reason: str, now_s: float
 ) -> Reconciled:
-    """Stop the roll-out of a version that may get no new work."""
+    """Stop the roll-out of a withdrawn or quarantined version."""
     rollouts = dict(state.rollouts)
     lines = []
     for model, rollout in state.rollouts.items():
@@ -131,7 +134,12 @@
 def reconcile(
     rollouts: dict[str, RolloutState], declarations: Declarations
 ) -> Reconciled:
-    """Fit the committed roll-outs to new declarations."""
+    """Adjust the committed roll-outs to new declarations.
+
+    A roll-out ends if its version is no longer declared, the model has
+    another stable version, or, unless it is completed, its declaration was
+    removed or names another version. A running one takes the new shares.
+    """
     remaining = {}
     lines = []
     for model, rollout in sorted(rollouts.items()):
@@ -146,10 +154,10 @@
 def not_stable_findings(
     rollouts: dict[str, RolloutState], declarations: Declarations
 ) -> tuple[str, ...]:
-    """Refuse a next roll-out while the last one is not made stable.
+    """Return findings for roll-outs that follow one not made stable yet.
 
-    Otherwise new work would silently fall back to the old stable version
-    as soon as the next roll-out is declared.
+    Declaring the next roll-out would end the completed one, and new work
+    would silently go back to the old stable version.
     """
     findings = []
     for model, rollout in sorted(rollouts.items()):
@@ -169,7 +177,7 @@
 def stopped(
     rollout: RolloutState, reason: str, evidence: str, now_s: float
 ) -> RolloutState:
-    """Return the roll-out with share 0 and the reason kept."""
+    """Return the roll-out as stopped for a reason, with share 0."""
     return rollout._replace(
         share=0.0,
         state=STOPPED,
--- a/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
@@ -1,10 +1,11 @@
-"""Keys that were used and must not be taken for new ones, in few bytes.
-
-A full record is kept for as long as there is room for it. After that, and
-until the window is over, eight bytes of a hash say that the key was used.
-Without them a retry that comes late within the window would run, or be
-charged, a second time. Two of four million keys share a hash with a
-chance of about one in two million; what then happens is a refusal.
+"""Tombstones: hashes of used request keys whose full records were evicted.
+
+A shard keeps the full record of a key while it has room. After the record
+is evicted, an eight-byte hash marks the key as used until the window ends.
+Without the tombstone, a late retry within the window would run, or be
+charged, a second time. Among four million keys, the probability that two
+share a hash is about one in two million; a request whose key collides is
+refused.
 """
 
 from __future__ import annotations
@@ -15,28 +16,34 @@
 from typing import Final
 from typing import NamedTuple
 
-# A key is remembered for at least this long after its last change.
+# A key stays known for at least this long after its last change.
 WINDOW_S: Final = 86_400.0
-# Keys go in groups of this age span, so they stay up to this much longer.
+# Each generation holds the keys of a span this long and expires as a
+# whole, so a key may stay known for up to this much longer.
 GENERATION_S: Final = 14_400.0
-# 32 MB in closed groups; about 46 keys a second over the whole window.
+# These take 32 MB in sorted arrays, and allow for about 46 keys a second
+# over the whole window.
 MAX_TOMBSTONES: Final = 4_000_000
 HASH_BYTES: Final = 8
-# An open hash takes ten times the bytes of a closed one, and a snapshot
-# sorts all open ones; to close them costs a walk over their group.
+# A hash in the open set takes ten times the bytes of one in the closed
+# array, and a snapshot sorts the open set. Moving the open hashes into the
+# array costs a pass over their generation.
 MAX_OPEN_HASHES: Final = 16_384
 _UNSIGNED_64: Final = "Q"
 
 
 class _Generation(NamedTuple):
-    """Keys by the time of their last change; ``closed`` is sorted."""
+    """The key hashes of one time span.
+
+    ``opened`` takes new hashes; ``closed`` is sorted and compact.
+    """
 
     opened: set[int]
     closed: array[int]
 
 
 class GenerationState(NamedTuple):
-    """The part of a snapshot that holds one group of hashes."""
+    """The part of a snapshot that holds one generation of hashes."""
 
     number: int
     opened: bytes
@@ -44,7 +51,7 @@
 
 
 class Tombstones:
-    """Hashes of used keys, in groups that are dropped when they are old."""
+    """Hashes of used keys, in generations that expire as a whole."""
 
     def __init__(self, limit: int = MAX_TOMBSTONES) -> None:
         self._limit = limit
@@ -56,19 +63,19 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether another key could be taken in."""
+        """Whether the limit is reached, so that no key can be added."""
         return self._count >= self._limit
 
     def add(self, customer: str, key: str, changed_s: float) -> None:
-        """Remember a key that was last changed at ``changed_s``."""
+        """Add the hash of a key that was last changed at ``changed_s``."""
         number = int(changed_s // GENERATION_S)
         generation = self._generations.get(number)
         if generation is None:
             generation = _Generation(set(), array(_UNSIGNED_64))
             self._generations[number] = generation
         key_hash = _hash(customer, key)
-        # The count must come out the same after a restart from a snapshot,
-        # which holds equal hashes once.
+        # A snapshot holds equal hashes once, and the count after a restart
+        # from it must be the same as before.
         if key_hash in generation.opened or _contains(
             generation.closed, key_hash
         ):
@@ -79,7 +86,7 @@
             self._generations[number] = _closed(generation)
 
     def holds(self, customer: str, key: str) -> bool:
-        """Tell whether the key was used within the window."""
+        """Return whether the key was used within the window."""
         if not self._count:
             return False
         key_hash = _hash(customer, key)
@@ -90,14 +97,14 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Drop the groups whose youngest key is past the window."""
+        """Drop the generations whose newest key is past the window."""
         oldest = int((now_s - WINDOW_S) // GENERATION_S)
         for number in [n for n in self._generations if n < oldest]:
             generation = self._generations.pop(number)
             self._count -= len(generation.opened) + len(generation.closed)
 
     def state(self) -> list[GenerationState]:
-        """Return the groups in the form that a snapshot holds."""
+        """Return the generations for a snapshot."""
         return [
             GenerationState(
                 number,
@@ -108,7 +115,7 @@
         ]
 
     def load(self, state: list[GenerationState]) -> None:
-        """Take the groups of a snapshot in place of one's own."""
+        """Replace all generations by those of a snapshot."""
         self._generations = {}
         self._count = 0
         for number, opened, closed in state:
--- a/packages/sycamorestand-state/src/sycamorestand_state/versioned_map.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/versioned_map.py
@@ -1,10 +1,10 @@
-"""Records by name with a version, so that copies can follow by deltas.
+"""A map of records with a version, whose copies are updated by deltas.
 
-What it answers: telling each of 330 nodes of 910 servers each second does
-not fit the network. The owner counts its changes; a copy asks for what
-came after the version that it has. A digest of the whole goes with every
-delta, also an empty one: a copy that lost, or mixed up, anything sees it
-by the next one and asks for everything.
+Sending all of 910 servers to each of 330 nodes every second would exceed
+the capacity of the network. The owner of the map counts its changes, and a
+copy requests the changes after the version that it has. Every delta, even
+an empty one, carries a digest of the whole map. A copy that missed or
+confused changes detects this with the next delta, and requests a full one.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 T = TypeVar("T")
 DeltaOutcome = Literal["applied", "stale", "resync"]
 
-# Changes that a copy may miss before it needs everything: more than one
-# restart of all servers of the target size.
+# How many changes a copy may miss before it needs a full delta. It exceeds
+# the changes of one restart of all servers, at the target size.
 HISTORY_LENGTH: Final = 2_048
 HASH_BYTES: Final = 8
 UNKNOWN_VERSION: Final = -1
@@ -33,11 +33,12 @@
 
 
 class MapDelta(NamedTuple, Generic[T]):
-    """What changed after ``from_version``, up to ``to_version``.
+    """The changes after ``from_version``, up to ``to_version``.
 
-    ``epoch`` grows with each start of the origin, as its versions begin
-    anew. ``stream`` tells an origin's own records from the merged ones
-    that it relays. A ``full`` delta replaces what a copy has.
+    ``epoch`` increases with each start of the origin, as its versions
+    start again. ``stream`` distinguishes an origin's own records from the
+    merged ones that it relays. A ``full`` delta replaces all records of a
+    copy.
     """
 
     origin: str
@@ -52,7 +53,7 @@
 
 
 class VersionedMap(Generic[T]):
-    """The owner's side: records, their version and the last changes."""
+    """The owner's map: its records, version and recent changes."""
 
     def __init__(self, origin: str, stream: str, epoch: int) -> None:
         self._origin = origin
@@ -65,21 +66,21 @@
 
     @property
     def records(self) -> dict[str, T]:
-        """The records by name; not to be changed by the reader."""
+        """The records by name; callers must not change them."""
         return self._records
 
     @property
     def version(self) -> int:
-        """How many changes there have been."""
+        """The number of changes since the start of the owner."""
         return self._version
 
     @property
     def digest(self) -> int:
-        """A hash of all records that does not depend on their order."""
+        """A hash of all records, independent of their order."""
         return self._digest
 
     def put(self, name: str, record: T) -> None:
-        """Set a record; nothing happens where it is so already."""
+        """Set a record; an equal record is no change."""
         known = self._records.get(name)
         if known == record:
             return
@@ -90,14 +91,17 @@
         self._count_change(name)
 
     def remove(self, name: str) -> None:
-        """Remove a record if it is there."""
+        """Remove a record if it exists."""
         known = self._records.pop(name, None)
         if known is not None:
             self._digest ^= record_hash(name, known)
             self._count_change(name)
 
     def delta_since(self, version: int) -> MapDelta[T] | None:
-        """Return the changes after a version, None where it is too old."""
+        """Return the changes after a version.
+
+        Return None if the version is too old, or above the current one.
+        """
         missed = self._version - version
         if not 0 <= missed <= len(self._history):
             return None
@@ -111,7 +115,7 @@
         return self._build_delta(version, changed, removed)
 
     def full(self) -> MapDelta[T]:
-        """Return everything."""
+        """Return a full delta with all records."""
         whole = self._build_delta(UNKNOWN_VERSION, dict(self._records), ())
         return whole._replace(full=True)
 
@@ -135,7 +139,7 @@
 
 
 class MapCopy(Generic[T]):
-    """The follower's side of one origin's stream."""
+    """A follower's copy of one stream of an origin."""
 
     def __init__(self) -> None:
         self._epoch = UNKNOWN_VERSION
@@ -147,19 +151,19 @@
 
     @property
     def version(self) -> int:
-        """The origin's version that this copy has; -1 asks for all."""
+        """The copied version of the origin's map, -1 to request all."""
         return self._version
 
     @property
     def heard_s(self) -> float:
-        """When the origin was last heard of, on the follower's clock."""
+        """The time of the last applied delta, on the follower's clock."""
         return self._heard_s
 
     def apply(self, delta: MapDelta[T], now_s: float) -> DeltaOutcome:
-        """Take a delta in, whatever was lost or doubled before it.
+        """Apply a delta; earlier deltas may be lost, late or duplicated.
 
-        After ``resync`` the records stay as they are, and only a full
-        delta is taken.
+        ``stale`` means that the delta is older than the copy. ``resync``
+        means that the copy needs a full delta; its records are unchanged.
         """
         if self._is_stale(delta):
             return "stale"
@@ -182,10 +186,10 @@
         return "applied"
 
     def drop(self) -> None:
-        """Forget the records, but not how new they were.
+        """Remove all records, but keep the epoch and newest version.
 
-        A full delta that was held up on the way would otherwise be taken
-        for news and bring back servers that are gone.
+        Otherwise a delayed full delta would be applied, and bring back
+        servers that are gone.
         """
         self.records = {}
         self._digest = 0
@@ -215,7 +219,10 @@
 
 
 def record_hash(name: str, record: Any) -> int:
-    """Return the hash of one record; records are combined by xor."""
+    """Return the hash of one record.
+
+    A digest is the xor of the hashes of all records.
+    """
     digest = hashlib.blake2b(
         _ENCODER.encode((name, record)), digest_size=HASH_BYTES
     ).digest()
@@ -223,7 +230,7 @@
 
 
 def digest_of(records: dict[str, T]) -> int:
-    """Return the digest that an owner of these records has."""
+    """Return the digest of a map with these records."""
     digest = 0
     for name, record in records.items():
         digest ^= record_hash(name, record)
