--- a/packages/sycamorestand-state/bench/measure_ledger.py
+++ b/packages/sycamorestand-state/bench/measure_ledger.py
@@ -1,9 +1,10 @@
-"""Measures CPU and bytes a record of one ledger shard, without a log.
+"""Measure CPU time and bytes per record of one ledger shard, without a log.
 
     .venv/bin/python packages/sycamorestand-state/bench/measure_ledger.py
 
-Three records a request, as a non-idempotent call makes them (claim,
-dispatch, then outcome and charge together), in batches of 32 records.
+The workloads are non-idempotent calls, each with a claim, a dispatch, an
+outcome and a charge; charges alone; and pins. All are in batches of 32
+records.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def main() -> None:
-    """Measure and write a line for each figure."""
+    """Run each workload and print its figures."""
     for name, records in _workloads():
         _measure(name, records)
 
--- a/packages/sycamorestand-state/bench/measure_state.py
+++ b/packages/sycamorestand-state/bench/measure_state.py
@@ -1,4 +1,4 @@
-"""Measures the configuration machine and the directory at target size.
+"""Measure the configuration machine and the directory at target size.
 
 .venv/bin/python packages/sycamorestand-state/bench/measure_state.py
 """
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Measure and write a line for each figure."""
+    """Run each measurement and print its figures."""
     _measure_configuration("today", 10, 20)
     _measure_configuration("target", 300, 1_000)
     _measure_directory()
--- a/packages/sycamorestand-state/tests/configurations.py
+++ b/packages/sycamorestand-state/tests/configurations.py
@@ -1,4 +1,4 @@
-"""Declarations and commands that the tests of the configuration share."""
+"""Declarations and commands for the tests of the configuration."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Cluster:
-    """A machine with its log, so that a test can play the log again."""
+    """A machine with its log, so that a test can replay the log."""
 
     def __init__(self) -> None:
         self.machine = ConfigurationMachine()
--- a/packages/sycamorestand-state/tests/test_codec.py
+++ b/packages/sycamorestand-state/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Commands as bytes in the log."""
+"""Encoding of commands as bytes in the log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def large() -> ApplyDeclarations:
-    """Return a change of a thousand routes with their document."""
+    """Return a change with 1000 routes and their document."""
     routes = {
         f"r{n}": Route(
             f"r{n}", "h", f"/{n}/", (RouteTarget("s"),), "once", 100, 50
@@ -31,24 +31,25 @@
 
 
 class TestLargeCommand:
-    def test_it_is_small_on_its_way_to_the_voters(self) -> None:
-        """Changes follow each other on an installation of 1,000 routes.
+    def test_a_large_command_is_compressed(self) -> None:
+        """Guards against large changes that fill links and memory.
 
-        Each goes whole to every voter, in other data centres too. At half
-        a megabyte each they were most of the bytes between these, and the
-        log's tail in memory held hundreds of them.
+        Each change goes as a whole to every voter, also in other data
+        centres. With 1,000 routes and without compression, a change has
+        half a megabyte; frequent changes then were most of the traffic
+        between data centres, and the log's tail kept hundreds in memory.
         """
         command = large()
         data = encode_command(command)
         assert len(data) < len(msgspec.msgpack.encode(command)) / 5
         assert decode_command(data) == command
 
-    def test_what_an_earlier_release_wrote_is_read(self) -> None:
+    def test_uncompressed_commands_of_earlier_releases_are_read(self) -> None:
         command = large()
         plain = msgspec.msgpack.encode((2, command))
         assert decode_command(plain) == command
 
-    def test_spoilt_bytes_are_refused(self) -> None:
+    def test_corrupt_bytes_are_refused(self) -> None:
         for data in (PACKED, encode_command(large())[:-9]):
             with pytest.raises(MalformedCommand):
                 decode_command(data)
--- a/packages/sycamorestand-state/tests/test_configuration.py
+++ b/packages/sycamorestand-state/tests/test_configuration.py
@@ -46,7 +46,7 @@
         assert identity is not None
         assert (identity.cluster_id, identity.shard_count) == ("c", 1)
 
-    def test_nothing_else_goes_first(self) -> None:
+    def test_no_change_is_applied_before_the_creation(self) -> None:
         machine = ConfigurationMachine()
         drain = DrainVm("d", "ann", 0, "vm-1", "", 1.0)
         assert machine.apply(1, encode_command(drain)).outcome == "refused"
@@ -54,10 +54,10 @@
 
 class TestResends:
     def test_a_resend_gets_the_first_answer(self) -> None:
-        """The operator sees the answer that was lost, not a conflict.
+        """Guards against a conflict as the answer to a resent change.
 
-        The change commits, its answer is lost, the client sends it again
-        with the same id. A new leader stamps another time on it.
+        The change commits and its answer is lost. The client resends it
+        with the same id, and a new leader sets another time stamp.
         """
         cluster = Cluster()
         drain = DrainVm("d", "ann", 1, "vm-1", "repair", 2.0)
@@ -78,13 +78,14 @@
         [(MAX_CHANGE_IDS, 0.0), (1, MAX_CHANGE_ID_AGE_S + 1.0)],
         ids=["by count", "by age"],
     )
-    def test_a_forgotten_id_conflicts(
+    def test_a_resend_with_an_evicted_id_conflicts(
         self, changes_between: int, later_s: float
     ) -> None:
-        """A resend after the bound is told of a conflict and runs no more.
+        """Guards against a late resend that is applied a second time.
 
-        The id is dropped, so the machine takes the resend for a new
-        change; its base revision is older than what it did itself.
+        The id was evicted, so the machine treats the resend as a new
+        change. Its base revision is older than the revision that the first
+        run created, which makes it a conflict.
         """
         cluster = Cluster()
         drain = DrainVm("d", "ann", 1, "vm-1", "", 2.0)
@@ -107,14 +108,14 @@
         ],
         ids=["without one", "older", "other content"],
     )
-    def test_a_document_in_force_never_goes_back(
+    def test_an_older_document_is_refused(
         self, document: SourceDocument, told: str
     ) -> None:
-        """The operator who numbers documents sees number 7 acknowledged.
+        """Guards against undoing a numbered document that is in force.
 
-        Somebody else then applies declarations that were made without a
-        document, or from an older one, on the newest revision. Taken, they
-        would undo number 7, which is promised to stay in force.
+        Document number 7 was acknowledged and must stay in force. Another
+        operator then applies, on the newest revision, declarations without
+        a document or from an older one.
         """
         cluster = Cluster()
         held = declare(document=SourceDocument(7, b"seven"))
@@ -124,7 +125,7 @@
         assert told in result.message
         assert cluster.machine.in_force().declarations == held
 
-    def test_the_same_document_stays_with_another_roll_out(self) -> None:
+    def test_the_same_document_is_applied_with_other_rollouts(self) -> None:
         cluster = Cluster()
         document = SourceDocument(7, b"seven")
         cluster.declare(declare(document=document))
@@ -133,11 +134,14 @@
 
 
 class TestRaces:
-    def test_the_later_of_two_operators_is_told_who_was_first(self) -> None:
-        """Two operators plan on revision 1 and apply; one wins.
+    def test_the_later_of_two_changes_gets_a_conflict_that_names_the_first(
+        self,
+    ) -> None:
+        """Guards against declarations that silently undo another change.
 
-        The other's declarations would undo the first's silently. It gets
-        a conflict that names who changed what, and nothing changes.
+        Two operators apply declarations that are based on revision 1. The
+        later one gets a conflict that names the other operator's change,
+        and nothing changes.
         """
         cluster = Cluster()
         cluster.declare(declare())
@@ -149,22 +153,25 @@
         assert cluster.machine.revision == 2
 
     @pytest.mark.parametrize("base", [0, 3])
-    def test_no_other_base_revision_is_taken(self, base: int) -> None:
+    def test_another_base_revision_conflicts(self, base: int) -> None:
         cluster = Cluster()
         drain = DrainVm("d", "ann", base, "vm-1", "", 2.0)
         assert cluster.run(drain).outcome == "conflict"
 
     @pytest.mark.parametrize("base", [0, 3, ANY_REVISION])
-    def test_an_apply_needs_the_revision_in_force(self, base: int) -> None:
+    def test_declarations_need_the_revision_in_force_as_base(
+        self, base: int
+    ) -> None:
         cluster = Cluster()
         apply = ApplyDeclarations("a", "ann", base, declare(), "", 2.0)
         assert cluster.run(apply).outcome == "conflict"
 
     def test_a_change_of_one_subject_needs_no_base(self) -> None:
-        """A change is accepted, its answer is lost, another one follows.
+        """Guards against a resend that counts as a different change.
 
-        The resend reaches a voter that has applied more since. It is the
-        same change with no base of its own, and gets the first answer.
+        A change is applied and its answer is lost; another change follows.
+        The resend reaches a voter with a newer revision. As the change
+        carries no base revision, it is the same and gets the first answer.
         """
         cluster = Cluster()
         drain = DrainVm("d", "ann", ANY_REVISION, "vm-1", "", 2.0)
@@ -176,7 +183,7 @@
 
 
 class TestAuditEntry:
-    def test_it_names_subject_base_and_what_was_said(self) -> None:
+    def test_an_entry_names_subject_base_and_message(self) -> None:
         cluster = Cluster()
         drain = DrainVm("d", "ann", 1, "vm-1", "new kernel", 2.0)
         cluster.run(drain)
@@ -186,7 +193,9 @@
         assert entry.message == "new kernel"
         assert entry.evidence == ""
 
-    def test_the_message_of_an_apply_is_no_evidence(self) -> None:
+    def test_the_message_of_declarations_is_not_repeated_as_evidence(
+        self,
+    ) -> None:
         cluster = Cluster()
         cluster.run(ApplyDeclarations("a", "ann", 1, declare(), "first", 2.0))
         entry = cluster.machine.audit(0, 10)[-1]
@@ -194,12 +203,12 @@
 
 
 class TestWithdrawal:
-    def test_declarations_do_not_bring_a_version_back(self) -> None:
-        """A withdrawn version stays so, whatever files are applied later.
+    def test_declarations_do_not_end_a_withdrawal(self) -> None:
+        """Guards against declarations that end a withdrawal.
 
-        Somebody withdraws nest@2 in a hurry; the files still declare it.
-        The next apply, and one that drops and declares it anew, are
-        accepted and say that it stays withdrawn.
+        An operator withdraws nest@2, which the declarations still contain.
+        The next declarations are applied, with a note that the version
+        stays withdrawn.
         """
         cluster = Cluster()
         cluster.declare(declare())
@@ -209,14 +218,16 @@
         assert "stays withdrawn" in result.notes[0]
         assert cluster.machine.in_force().withdrawn == ("nest@2",)
 
-    def test_reinstate_is_the_only_way_back(self) -> None:
+    def test_reinstate_ends_a_withdrawal(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         cluster.withdraw("nest@2")
         cluster.run(Reinstate("r", "ann", 3, "nest@2", "mended", 4.0))
         assert cluster.machine.in_force().withdrawn == ()
 
-    def test_a_declared_withdrawal_is_one_as_well(self) -> None:
+    def test_a_declared_withdrawal_needs_other_declarations_to_end(
+        self,
+    ) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         started = cluster.start()
@@ -236,14 +247,14 @@
         )
         assert refusal.outcome == "refused"
 
-    def test_an_unknown_version_is_a_typing_error(self) -> None:
+    def test_an_unknown_version_is_refused_with_the_known_ones(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         result = cluster.withdraw("nest@22")
         assert result.outcome == "refused"
         assert "nest@2, nest@3" in result.message
 
-    def test_it_needs_no_base_revision(self) -> None:
+    def test_a_withdrawal_needs_no_base_revision(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         assert cluster.withdraw("nest@2", ANY_REVISION).outcome == "applied"
@@ -251,7 +262,7 @@
 
 
 class TestDeclarations:
-    def test_all_findings_come_together(self) -> None:
+    def test_all_findings_are_returned_at_once(self) -> None:
         cluster = Cluster()
         broken = declare(
             stable="9",
@@ -268,7 +279,7 @@
         ]
         assert cluster.machine.revision == 1
 
-    def test_the_same_again_makes_no_revision(self) -> None:
+    def test_equal_declarations_create_no_revision(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         assert cluster.declare(declare()).outcome == "unchanged"
@@ -276,7 +287,7 @@
 
 
 class TestOtherChanges:
-    def test_each_is_seen_in_force_and_undone(self) -> None:
+    def test_each_change_takes_effect_and_can_be_undone(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         steps: list[Command] = [
@@ -299,7 +310,7 @@
 
 
 class TestAuditTrail:
-    def test_it_tells_who_changed_what_and_no_secret(self) -> None:
+    def test_the_trail_names_changes_but_no_key_hashes(self) -> None:
         cluster = Cluster()
         cluster.declare(declare())
         key = ADMIN._replace(key_hashes=("b2$cc$secret-hash",))
@@ -313,19 +324,19 @@
 
 
 class TestSnapshot:
-    def test_bytes_that_are_none_are_told_apart(self) -> None:
+    def test_bytes_that_are_no_snapshot_are_refused(self) -> None:
         with pytest.raises(SnapshotUnreadable):
             ConfigurationMachine().restore(b"\x93\x01")
 
 
 class TestAnyDeclarations:
     @given(st.from_type(Declarations))
-    def test_they_are_answered_and_never_raise(
+    def test_any_declarations_get_an_answer_without_an_exception(
         self, declarations: Declarations
     ) -> None:
-        """An exception here would stop every replica at the same command.
+        """Guards against an exception that stops every replica.
 
-        Whatever the types allow may reach the log from a faulty client.
+        A faulty client may send any declarations that the types allow.
         """
         cluster = Cluster()
         try:
@@ -342,7 +353,10 @@
 
 
 class ConfigurationRules(RuleBasedStateMachine):
-    """Operators race, resend and restart; the promises are invariants."""
+    """Operators race and resend changes, and replicas restart.
+
+    The invariants hold after each step.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -424,7 +438,7 @@
         self.cluster.machine = restored
 
     @invariant()
-    def revision_never_falls(self) -> None:
+    def revision_never_decreases(self) -> None:
         assert self.cluster.machine.revision >= self.revision
         self.revision = self.cluster.machine.revision
         assert self.cluster.machine.in_force().revision == self.revision
@@ -437,8 +451,12 @@
     @invariant()
     def audit_is_complete(self) -> None:
         entries = self.cluster.machine.audit(0, 10_000)
-        made = [e.revision for e in entries if e.outcome == "applied"]
-        assert made == list(range(1, self.cluster.machine.revision + 1))
+        applied_revisions = [
+            e.revision for e in entries if e.outcome == "applied"
+        ]
+        assert applied_revisions == list(
+            range(1, self.cluster.machine.revision + 1)
+        )
 
     def teardown(self) -> None:
         replica = ConfigurationMachine()
@@ -451,18 +469,18 @@
 
 
 class TestSize:
-    def test_the_largest_document_is_taken(self) -> None:
-        """An installation's routes grow until its document has 4 MiB.
+    def test_the_largest_document_is_accepted(self) -> None:
+        """Guards against refusing a valid document for its size.
 
-        It is valid and within what may be sent, so it has to be accepted;
-        refused for its size, the operator could never change anything.
+        A document of 4 MiB is within what clients may send. If it were
+        refused, an operator with so many routes could change nothing.
         """
         cluster = Cluster()
         document = SourceDocument(7, bytes(4 * 1024 * 1024))
         result = cluster.declare(declare(document=document))
         assert result.outcome == "applied", result.message
 
-    def test_what_is_larger_still_is_refused_with_its_size(self) -> None:
+    def test_a_larger_document_is_refused_with_the_limit(self) -> None:
         cluster = Cluster()
         document = SourceDocument(7, bytes(MAX_DECLARATIONS_BYTES))
         result = cluster.declare(declare(document=document))
--- a/packages/sycamorestand-state/tests/test_directory.py
+++ b/packages/sycamorestand-state/tests/test_directory.py
@@ -48,7 +48,7 @@
 
 
 class TestAnnouncements:
-    def test_late_and_doubled_ones_are_told_apart(
+    def test_late_and_duplicate_announcements_are_refused(
         self, control: BackendDirectory
     ) -> None:
         assert control.announce(server(sequence=2), 0.0)
@@ -57,13 +57,13 @@
         assert control.announce(server(incarnation=2, capacity=8), 0.0)
         assert control.servers()["b1"].capacity == 8
 
-    def test_renewals_are_no_news(self, control: BackendDirectory) -> None:
+    def test_renewals_cause_no_delta(self, control: BackendDirectory) -> None:
         for sequence in range(1, 20):
             load = LoadReport(running=sequence)
             control.announce(server(sequence=sequence, load=load), 0.0)
         assert control.version == 1
 
-    def test_a_lease_runs_out_on_the_local_clock(
+    def test_a_lease_expires_on_the_local_clock(
         self, control: BackendDirectory
     ) -> None:
         control.announce(server(lease_s=3.0), 10.0)
@@ -73,10 +73,10 @@
     def test_a_late_announcement_does_not_bring_a_server_back(
         self, control: BackendDirectory
     ) -> None:
-        """New work would go to a server that is gone.
+        """Guards against new work for a server that is gone.
 
-        The server leaves and its lease runs out; an announcement from
-        before was held up on the way and arrives last.
+        The server leaves and its lease expires. Then an earlier
+        announcement arrives that was delayed in the network.
         """
         control.announce(server(sequence=1), 0.0)
         control.announce(server(sequence=3, leaving=True), 1.0)
@@ -84,13 +84,14 @@
         assert not control.announce(server(sequence=2), 5.0)
         assert control.servers() == {}
 
-    def test_what_left_is_not_shown_by_another_origin(
+    def test_a_left_server_is_not_restored_by_another_origin(
         self, control: BackendDirectory
     ) -> None:
-        """One control process heard the server leave, another did not.
+        """Guards against an older record that brings a left server back.
 
-        The record of the first ends with the lease; that of the other
-        is older and still says that the server takes work.
+        One control process heard that the server leaves, another did not.
+        The first one's record expires with the lease. The other's record is
+        older and still shows the server as accepting work.
         """
         other = BackendDirectory("c2", 1)
         other.announce(server(sequence=1, lease_s=9.0), 0.0)
@@ -101,13 +102,14 @@
         assert control.expire(4.0) == ("b1",)
         assert control.servers() == {}
 
-    def test_a_server_that_stays_after_all_comes_back(
+    def test_a_later_announcement_cancels_a_leave(
         self, control: BackendDirectory
     ) -> None:
-        """A server that takes work would stay without any.
+        """Guards against an available server that gets no work.
 
-        It says that it leaves to one control process and, later, that it
-        stays to another, which learns of the first only after that.
+        The server announces to one control process that it leaves and
+        later to another that it stays. The second one learns of the first
+        announcement only after that.
         """
         other = BackendDirectory("c2", 1)
         other.announce(server(sequence=2, leaving=True), 0.0)
@@ -118,7 +120,7 @@
 
 
 class TestDeltas:
-    def test_they_carry_what_came_and_went(
+    def test_a_delta_carries_added_and_removed_servers(
         self, control: BackendDirectory, entry: BackendDirectory
     ) -> None:
         control.announce(server("b1"), 0.0)
@@ -132,13 +134,14 @@
         assert set(entry.servers()) == {"b2"}
         assert entry.digest() == control.digest()
 
-    def test_a_gap_or_a_new_epoch_asks_for_all(
+    def test_a_gap_or_a_new_epoch_requests_a_full_delta(
         self, control: BackendDirectory, entry: BackendDirectory
     ) -> None:
-        """An entry would miss a server for good, without noticing.
+        """Guards against an entry that never learns of a server.
 
-        First a delta is lost, then the control process restarts and its
-        versions begin anew; each time all is asked for and taken.
+        First a delta is lost. Then the control process restarts and its
+        versions start again. In both cases the entry requests and applies
+        a full delta.
         """
         entry.apply_delta(control.full(), 0.0)
         control.announce(server("b1"), 0.0)
@@ -155,7 +158,7 @@
         assert entry.apply_delta(second, 0.0) == "stale"
         assert entry.servers() == {}
 
-    def test_a_digest_that_differs_asks_for_all(
+    def test_a_different_digest_requests_a_full_delta(
         self, control: BackendDirectory, entry: BackendDirectory
     ) -> None:
         control.announce(server("b1"), 0.0)
@@ -167,7 +170,7 @@
         assert entry.apply_delta(beat, 0.0) == "resync"
         assert entry.apply_delta(control.full(), 0.0) == "applied"
 
-    def test_too_old_a_version_has_no_delta(
+    def test_an_unknown_version_has_no_delta(
         self, control: BackendDirectory
     ) -> None:
         for number in range(HISTORY_LENGTH + 1):
@@ -176,7 +179,7 @@
         assert control.delta_since(1) is not None
         assert control.delta_since(control.version + 1) is None
 
-    def test_a_silent_origin_is_dropped_and_its_late_news_are_stale(
+    def test_a_silent_origin_is_dropped_and_its_late_deltas_are_stale(
         self, control: BackendDirectory, entry: BackendDirectory
     ) -> None:
         control.announce(server("b1"), 0.0)
@@ -187,7 +190,7 @@
         assert entry.apply_delta(old, ORIGIN_LEASE_S) == "stale"
         assert entry.apply_delta(control.full(), 4.0) == "applied"
 
-    def test_a_delta_survives_the_wire(
+    def test_a_delta_is_decoded_as_encoded(
         self, control: BackendDirectory
     ) -> None:
         control.announce(server("b1"), 0.0)
@@ -198,7 +201,7 @@
 
 
 class TestLoads:
-    def test_they_are_bounded_coarse_and_aged(
+    def test_loads_are_bounded_rounded_and_aged(
         self, control: BackendDirectory, entry: BackendDirectory
     ) -> None:
         names = [f"b{number}" for number in range(MAX_LOADS + 5)]
@@ -208,20 +211,22 @@
         update = control.loads(names, 1.0)
         assert len(update.loads) == MAX_LOADS
         entry.apply_loads(update, 7.0)
-        told = entry.load("b0", 8.0)
-        assert told is not None
-        assert (told.running, told.age_s) == (12, 2.5)
+        relayed = entry.load("b0", 8.0)
+        assert relayed is not None
+        assert (relayed.running, relayed.age_s) == (12, 2.5)
         assert entry.load("b0", 90.0) is None
 
     @pytest.mark.parametrize(
         ("count", "told"), [(0, 0), (3, 3), (9, 8), (13, 12), (27, 24)]
     )
-    def test_steps_are_about_a_quarter(self, count: int, told: int) -> None:
+    def test_counts_are_rounded_down_by_about_a_quarter(
+        self, count: int, told: int
+    ) -> None:
         assert coarse_count(count) == told
 
 
 class TestSubset:
-    def test_a_server_that_goes_moves_nobody_else(self) -> None:
+    def test_removing_a_server_replaces_only_that_server(self) -> None:
         names = [f"b{number}" for number in range(50)]
         before = subset("vm-3", names, 8)
         names.remove(before[2])
@@ -235,10 +240,11 @@
 
 
 class DirectoryRules(RuleBasedStateMachine):
-    """Announcements and deltas are lost, doubled and reordered.
+    """Announcements and deltas are lost, duplicated and reordered.
 
-    Whoever has seen a server leave never shows it as staying for an older
-    announcement, and an exchange by digest makes all agree again.
+    A control process that has seen a server leave never shows it as
+    staying because of an older announcement. Exchanging deltas with their
+    digests makes all directories equal again.
     """
 
     def __init__(self) -> None:
@@ -247,9 +253,11 @@
         self.numbers = {name: (1, 0) for name in SERVERS}
         self.leaving = dict.fromkeys(SERVERS, False)
         self.epochs = {"c1": 1, "c2": 1}
-        self.all = {name: BackendDirectory(name, 1) for name in CONTROLS}
-        self.all["e1"] = BackendDirectory("e1", 1)
-        self.late: list[tuple[float, Announcement]] = []
+        self.directories = {
+            name: BackendDirectory(name, 1) for name in CONTROLS
+        }
+        self.directories["e1"] = BackendDirectory("e1", 1)
+        self.announcements: list[tuple[float, Announcement]] = []
         self.deltas: list[tuple[str, DirectoryDelta]] = []
         self.left: dict[tuple[str, str], tuple[int, int]] = {}
 
@@ -272,9 +280,9 @@
             lease_s=lease_s,
             leaving=self.leaving[name],
         )
-        self.late.append((self.now_s, announcement))
+        self.announcements.append((self.now_s, announcement))
         if control != "lost":
-            self.all[control].announce(announcement, self.now_s)
+            self.directories[control].announce(announcement, self.now_s)
 
     @rule(name=st.sampled_from(SERVERS), leaving=st.booleans())
     def leave_or_stay(self, name: str, leaving: bool) -> None:
@@ -285,28 +293,28 @@
         self.numbers[name] = (self.numbers[name][0] + 1, 0)
         self.leaving[name] = False
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.announcements)
     @rule(recent=st.integers(1, 6), control=st.sampled_from(CONTROLS))
-    def announcement_comes_late(self, recent: int, control: str) -> None:
-        sent_s, announcement = self.late[-recent:][0]
+    def deliver_late_announcement(self, recent: int, control: str) -> None:
+        sent_s, announcement = self.announcements[-recent:][0]
         if self.now_s - sent_s < NUMBER_RETENTION_S:
-            self.all[control].announce(announcement, self.now_s)
+            self.directories[control].announce(announcement, self.now_s)
 
     @rule(step_s=st.sampled_from([0.5, 2.0, 4.0]))
-    def pass_time(self, step_s: float) -> None:
+    def advance_time(self, step_s: float) -> None:
         self.now_s += step_s
-        for directory in self.all.values():
+        for directory in self.directories.values():
             directory.expire(self.now_s)
 
     @rule(control=st.sampled_from(CONTROLS), whole=st.booleans())
     def send(self, control: str, whole: bool) -> None:
         other = CONTROLS[1 - CONTROLS.index(control)]
-        origin = self.all[control]
-        version = self.all[other].copied_version(control)
+        origin = self.directories[control]
+        version = self.directories[other].copied_version(control)
         own = None if whole else origin.own_delta_since(version)
         self.deltas.append((other, own or origin.own_full()))
         if control == "c1":
-            version = self.all["e1"].copied_version(control)
+            version = self.directories["e1"].copied_version(control)
             merged = None if whole else origin.delta_since(version)
             self.deltas.append(("e1", merged or origin.full()))
 
@@ -314,18 +322,20 @@
     @rule(recent=st.integers(1, 6))
     def deliver(self, recent: int) -> None:
         receiver, delta = self.deltas[-recent:][0]
-        self.all[receiver].apply_delta(delta, self.now_s)
+        self.directories[receiver].apply_delta(delta, self.now_s)
 
     @rule(control=st.sampled_from(CONTROLS))
     def restart_control(self, control: str) -> None:
         self.epochs[control] += 1
-        self.all[control] = BackendDirectory(control, self.epochs[control])
+        self.directories[control] = BackendDirectory(
+            control, self.epochs[control]
+        )
         for name in SERVERS:
             self.left.pop((control, name), None)
 
     @invariant()
-    def what_left_stays_away(self) -> None:
-        for process, directory in self.all.items():
+    def a_left_server_is_not_shown_as_staying(self) -> None:
+        for process, directory in self.directories.items():
             for name, shown in directory.servers().items():
                 number = (shown.incarnation, shown.sequence)
                 seen = self.left.get((process, name), (0, 0))
@@ -339,35 +349,35 @@
         self._exchange(sender, CONTROLS[1 - CONTROLS.index(sender)])
 
     @rule()
-    def agree(self) -> None:
+    def converge(self) -> None:
         for _ in range(4):
             self._exchange("c1", "c2")
             self._exchange("c2", "c1")
-        self._tell_entry()
-        entry, control = self.all["e1"], self.all["c1"]
+        self._update_entry()
+        entry, control = self.directories["e1"], self.directories["c1"]
         assert entry.servers() == control.servers()
         assert entry.digest() == control.digest()
         for name in SERVERS:
-            self._same_or_left(name)
+            self._check_equal_or_left(name)
 
     def _exchange(self, sender: str, receiver: str) -> None:
-        origin, target = self.all[sender], self.all[receiver]
+        origin, target = self.directories[sender], self.directories[receiver]
         delta = origin.own_delta_since(target.copied_version(sender))
         if delta is None or target.apply_delta(delta, self.now_s) != "applied":
             outcome = target.apply_delta(origin.own_full(), self.now_s)
             assert outcome == "applied"
 
-    def _tell_entry(self) -> None:
-        origin, target = self.all["c1"], self.all["e1"]
+    def _update_entry(self) -> None:
+        origin, target = self.directories["c1"], self.directories["e1"]
         delta = origin.delta_since(target.copied_version("c1"))
         if delta is None or target.apply_delta(delta, self.now_s) != "applied":
             assert target.apply_delta(origin.full(), self.now_s) == "applied"
 
-    def _same_or_left(self, name: str) -> None:
-        one = self.all["c1"].servers().get(name)
-        other = self.all["c2"].servers().get(name)
-        # One that has seen it leave hides it longer than the other, which
-        # holds an older record until its lease there runs out.
+    def _check_equal_or_left(self, name: str) -> None:
+        one = self.directories["c1"].servers().get(name)
+        other = self.directories["c2"].servers().get(name)
+        # A directory that has seen the server leave hides it. The other one
+        # may hold an older record until its lease there expires.
         if one is None or other is None:
             return
         assert one == other
--- a/packages/sycamorestand-state/tests/test_leases.py
+++ b/packages/sycamorestand-state/tests/test_leases.py
@@ -42,14 +42,14 @@
         leader.acknowledge("b", 2)
         assert leader.in_force(2, 0.1).in_force
 
-    def test_a_holder_that_is_cut_off_runs_out(
+    def test_the_lease_of_an_unreachable_holder_expires(
         self, leader: LeaseTable
     ) -> None:
-        """An operator waits for a withdrawal while a VM is cut off.
+        """Guards against a withdrawal that waits for an unreachable VM.
 
-        The VM renews, is cut off, and the withdrawal commits. It cannot
-        be told; after its lease it takes no new work, so within 3 s the
-        withdrawal is in force.
+        The VM renews its lease and is cut off, and the withdrawal commits.
+        The VM cannot learn of it, but takes no new work once its lease has
+        expired, so the withdrawal is in force within 3 s.
         """
         leader.grant("a", 1, 0.0, 1.0)
         leader.require(2)
@@ -59,20 +59,21 @@
         assert guarded_s < 3.0
         assert leader.forget_expired(guarded_s) == ("a",)
 
-    def test_a_slow_clock_ends_before_a_fast_one_gives_up(
+    def test_a_slow_holders_lease_ends_before_a_fast_granter_drops_it(
         self, leader: LeaseTable
     ) -> None:
-        """Work under an old revision after the new one is "in force".
+        """Guards against work under an old revision when a newer is in force.
 
-        The granter's clock runs fast and the holder's slow: without a
-        margin the granter gives the lease up while the holder uses it.
+        The granter's clock runs fast and the holder's slow. Without a
+        margin, the lease expires for the granter before it does for the
+        holder.
         """
         leader.grant("a", 1, 0.0, 1.0)
         ends_s = CONTROL_LEASE_S / RATES["c0"]
         granter_s = (ends_s - 0.000_001) * RATES["l0"]
         assert leader.in_force(2, granter_s).missing == ("a",)
 
-    def test_a_holder_that_lags_gets_no_renewal(
+    def test_a_lagging_holder_gets_no_renewal(
         self, leader: LeaseTable
     ) -> None:
         leader.require(2)
@@ -80,13 +81,14 @@
         assert leader.grant("a", 1, 0.0, 1.0, held_revision=2) is not None
         assert leader.grant("b", 2, 0.0, 1.0) is not None
 
-    def test_after_in_force_nobody_begins_below(
+    def test_no_grant_below_a_revision_reported_in_force(
         self, leader: LeaseTable
     ) -> None:
-        """A withdrawn version would get work from an entry that comes late.
+        """Guards against a lease under an old revision for a late holder.
 
-        The revision is reported in force with no holder at all; then one
-        that has slept under the old revision asks for a lease.
+        The revision is reported as in force while there is no holder. Then
+        a process that was suspended under the old revision asks for a
+        lease.
         """
         assert leader.in_force(7, 0.0).in_force
         assert leader.grant("late", 6, 0.1, 1.0) is None
@@ -97,13 +99,13 @@
         assert table.grant("a", 4, 10.0, 1.0) is not None
         assert table.in_force(4, table.earliest_in_force_s).in_force
 
-    def test_no_grant_without_backing(
+    def test_no_grant_without_quorum_or_own_lease(
         self, leader: LeaseTable, control: LeaseTable
     ) -> None:
         assert leader.grant("a", 1, 0.0, 0.0) is None
         assert control.grant("a", 1, 0.0, 0.01) is None
 
-    def test_a_grant_ends_before_ones_own_lease(
+    def test_a_grant_ends_before_the_granters_lease(
         self, control: LeaseTable
     ) -> None:
         grant = control.grant("a", 1, 0.0, 1.0)
@@ -113,7 +115,7 @@
         assert grant is not None
         assert grant.length_s == ENTRY_LEASE_S
 
-    def test_one_silent_entry_holds_up_only_the_acknowledgement(
+    def test_a_silent_entry_delays_only_the_acknowledgement(
         self, control: LeaseTable
     ) -> None:
         control.grant("a", 1, 0.0, 2.4)
@@ -123,11 +125,11 @@
         assert control.revision_to_acknowledge(2, 0.1) == 1
         assert control.revision_to_acknowledge(2, 2.1) == 2
 
-    def test_a_restarted_control_process_acknowledges_late(self) -> None:
-        """Leases from before a restart are known to nobody.
+    def test_a_restarted_control_process_waits_to_acknowledge(self) -> None:
+        """Guards against ignoring leases that were granted before a restart.
 
-        A control process grants, restarts and finds its table empty; its
-        entries still work on the old revision for up to 2 s.
+        A control process grants leases and restarts with an empty table.
+        Its entries still act on the old revision for up to 2 s.
         """
         table = control_table(started_s=0.0)
         assert table.revision_to_acknowledge(5, 2.0) == 0
@@ -135,25 +137,25 @@
 
 
 class TestHeldLease:
-    def test_it_counts_from_the_sending(self) -> None:
+    def test_a_lease_starts_when_its_request_was_sent(self) -> None:
         held = HeldLease()
         assert held.remaining_s(0.0) == 0.0
         held.renew(1.0, LeaseGrant(2.0, 1))
         assert held.remaining_s(1.5) == 1.5
         assert held.remaining_s(9.0) == 0.0
 
-    def test_a_late_grant_does_not_shorten_it(self) -> None:
+    def test_a_late_grant_does_not_shorten_the_lease(self) -> None:
         held = HeldLease()
         held.renew(1.0, LeaseGrant(2.0, 1))
         held.renew(0.6, LeaseGrant(2.0, 1))
         assert held.remaining_s(1.0) == 2.0
 
-    def test_it_survives_a_leader_change(self) -> None:
-        """Callers see no refusal while a new leader is elected in 1.5 s.
+    def test_an_entrys_lease_outlasts_a_leader_change(self) -> None:
+        """Guards against refusals while a new leader is elected in 1.5 s.
 
-        The last renewal got through just before the leader died; the
-        control process goes on granting what remains of its own lease,
-        and the entry's next renewals are due each 0.4 s.
+        The control process renewed its lease for the last time just before
+        the leader died. It continues to grant leases within the rest of its
+        own, and the entry renews every 0.4 s.
         """
         own = HeldLease()
         own.renew(0.0, LeaseGrant(CONTROL_LEASE_S, 1))
@@ -199,10 +201,10 @@
 
 
 class LeaseRules(RuleBasedStateMachine):
-    """Leader changes, restarts and delays on clocks of unlike rates.
+    """Leader changes, restarts and delays, with clocks of different rates.
 
-    No entry accepts new work under a revision below one that was
-    reported in force, whatever is delivered when.
+    Whatever is delivered when, no entry accepts new work under a revision
+    below one that was reported as in force.
     """
 
     def __init__(self) -> None:
@@ -225,7 +227,7 @@
         return self.time_s * RATES[name]
 
     @rule(step_s=st.sampled_from([0.005, 0.1, 0.4, 1.0, 1.9, 2.0, 2.4]))
-    def pass_time(self, step_s: float) -> None:
+    def advance_time(self, step_s: float) -> None:
         self.time_s += step_s
 
     @rule()
@@ -234,18 +236,18 @@
         self.tables[self.leader].require(self.committed)
 
     @rule(name=st.sampled_from(CONTROLS))
-    def control_applies(self, name: str) -> None:
+    def apply_at_control(self, name: str) -> None:
         self.revisions[name] = self.committed
         self.tables[name].require(self.committed)
 
     @rule(name=st.sampled_from(ENTRIES), control=st.sampled_from(CONTROLS))
-    def entry_learns(self, name: str, control: str) -> None:
+    def inform_entry(self, name: str, control: str) -> None:
         learned = max(self.revisions[name], self.revisions[control])
         self.revisions[name] = learned
         self.tables[control].acknowledge(name, learned)
 
     @rule(name=st.sampled_from(CONTROLS), doubled=st.booleans())
-    def control_asks(self, name: str, doubled: bool) -> None:
+    def request_control_lease(self, name: str, doubled: bool) -> None:
         held = self.revisions[name]
         now_s = self._clock_s(name)
         acked = self.tables[name].revision_to_acknowledge(held, now_s)
@@ -253,7 +255,7 @@
         self.requests.extend([request] * (2 if doubled else 1))
 
     @rule(name=st.sampled_from(ENTRIES), control=st.sampled_from(CONTROLS))
-    def entry_asks(self, name: str, control: str) -> None:
+    def request_entry_lease(self, name: str, control: str) -> None:
         held = self.revisions[name]
         now_s = self._clock_s(name)
         self.requests.append(Request(name, control, now_s, held, held))
@@ -292,19 +294,19 @@
         lease.renew(reply.sent_at_s, reply.grant)
 
     @rule()
-    def controls_renew(self) -> None:
+    def renew_control_leases(self) -> None:
         for name in CONTROLS:
-            self.control_applies(name)
-            self.control_asks(name, False)
+            self.apply_at_control(name)
+            self.request_control_lease(name, False)
             self._answer_last()
 
     @rule(learn=st.booleans())
-    def entries_renew(self, learn: bool) -> None:
+    def renew_entry_leases(self, learn: bool) -> None:
         for number, name in enumerate(ENTRIES):
             control = CONTROLS[number % 2]
             if learn:
-                self.entry_learns(name, control)
-            self.entry_asks(name, control)
+                self.inform_entry(name, control)
+            self.request_entry_lease(name, control)
             self._answer_last()
 
     def _answer_last(self) -> None:
@@ -323,16 +325,16 @@
     @rule(name=st.sampled_from(CONTROLS))
     def restart_control(self, name: str) -> None:
         self.tables[name] = control_table(self._clock_s(name))
-        self._forget(name)
+        self._lose_state(name)
 
     @rule(name=st.sampled_from(ENTRIES))
     def restart_entry(self, name: str) -> None:
-        self._forget(name)
+        self._lose_state(name)
 
-    def _forget(self, name: str) -> None:
+    def _lose_state(self, name: str) -> None:
         self.leases[name] = HeldLease()
         self.revisions[name] = 0
-        # Answers to a process that is gone reach nobody.
+        # Messages of a process before its restart are lost.
         self.replies = [r for r in self.replies if r.holder != name]
         self.requests = [r for r in self.requests if r.holder != name]
 
@@ -344,7 +346,7 @@
             self.reported = self.committed
 
     @invariant()
-    def no_new_work_below_what_was_reported(self) -> None:
+    def no_new_work_below_the_reported_revision(self) -> None:
         for name in ENTRIES:
             remaining_s = self.leases[name].remaining_s(self._clock_s(name))
             if remaining_s > 0.0:
--- a/packages/sycamorestand-state/tests/test_ledger.py
+++ b/packages/sycamorestand-state/tests/test_ledger.py
@@ -41,7 +41,7 @@
 
 
 class Shard:
-    """A ledger with the log that it was fed."""
+    """A ledger with its log, so that a test can replay the log."""
 
     def __init__(self, limits: LedgerLimits | None = None) -> None:
         self.limits = limits
@@ -95,11 +95,13 @@
         assert shard.dispatch().state == "ok"
         assert shard.claim(owner="b").claim_state == "dispatched"
         shard.outcome("done", answer=b"held")
-        told = shard.claim(owner="b")
-        assert (told.state, told.claim_state) == ("exists", "done")
-        assert (told.status, told.answer) == (200, b"held")
+        second = shard.claim(owner="b")
+        assert (second.state, second.claim_state) == ("exists", "done")
+        assert (second.status, second.answer) == (200, b"held")
 
-    def test_other_content_under_the_key_conflicts(self, shard: Shard) -> None:
+    def test_other_content_with_the_same_key_conflicts(
+        self, shard: Shard
+    ) -> None:
         shard.claim()
         assert shard.claim(content="other").state == "conflict"
 
@@ -107,7 +109,7 @@
     def test_only_one_dispatch_succeeds(
         self, shard: Shard, owner: str
     ) -> None:
-        """A lane hold would be made twice.
+        """Guards against a request that runs twice.
 
         The owner's dispatch is durable but its answer is lost. Neither a
         resend nor another attempt may get an "ok" for the same claim.
@@ -116,7 +118,7 @@
         shard.dispatch()
         assert shard.dispatch(owner=owner).state == "conflict"
 
-    def test_not_run_lets_another_attempt_in_by_one_batch(
+    def test_not_run_permits_another_attempt_in_the_same_batch(
         self, shard: Shard
     ) -> None:
         shard.claim()
@@ -128,13 +130,13 @@
         )
         assert [r.state for r in results] == ["ok", "created", "ok"]
 
-    def test_a_late_not_run_does_not_free_a_later_attempt(
+    def test_a_late_not_run_does_not_release_a_later_attempts_claim(
         self, shard: Shard
     ) -> None:
-        """A doubled order would cut the sheet twice.
+        """Guards against a late record that lets a request run twice.
 
-        Attempt a did not run and says so; a2 claims and runs. The resend
-        of a's "not run", or of its claim, comes after that.
+        Attempt a reports that it did not run; a2 claims and runs. Then a
+        resend of a's outcome "not_run", or of its claim, arrives.
         """
         shard.claim()
         shard.outcome("not_run")
@@ -145,10 +147,10 @@
         assert shard.claim(owner="c").claim_state == "dispatched"
 
     def test_an_undispatched_claim_is_taken_over(self, shard: Shard) -> None:
-        """The caller's retry runs although the first entry died.
+        """Guards against a retry that is blocked by a dead entry's claim.
 
-        The entry claimed and died before its dispatch: nothing was sent.
-        If it is alive after all, its dispatch conflicts.
+        The entry claimed and died before its dispatch, so nothing was
+        sent. If it is still alive, its later dispatch gets a conflict.
         """
         shard.claim()
         shard.now_s += TAKEOVER_AGE_S - 1.0
@@ -161,11 +163,11 @@
     def test_a_dispatched_claim_becomes_unknown_and_never_runs_again(
         self, shard: Shard
     ) -> None:
-        """The caller is told that the outcome is unknown, and no lie.
+        """Guards against running a request that may have run already.
 
-        The entry died after its dispatch; whether the backend server ran
-        the request cannot be known. If the owner lives and the answer
-        comes late, it is recorded.
+        The entry died after its dispatch, so it is unknown whether the
+        backend server ran the request. If the owner is still alive and the
+        answer arrives late, the answer is recorded.
         """
         shard.claim()
         shard.dispatch()
@@ -180,7 +182,7 @@
         shard.claim()
         assert shard.outcome("done").state == "conflict"
 
-    def test_a_resent_outcome_is_no_conflict(self, shard: Shard) -> None:
+    def test_a_resent_outcome_does_not_conflict(self, shard: Shard) -> None:
         shard.claim()
         shard.dispatch()
         shard.outcome("done", answer=b"x")
@@ -199,13 +201,11 @@
         shard.now_s += WINDOW_S + 1.0
         assert shard.claim(owner="d").state == "created"
 
-    def test_past_the_count_a_used_key_is_expired_and_not_new(
-        self, small: Shard
-    ) -> None:
-        """A retry within the window would run a second time.
+    def test_an_evicted_key_is_expired_and_not_new(self, small: Shard) -> None:
+        """Guards against a retry within the window that runs again.
 
-        There is no room for the full record of the first claim any more;
-        what remains says that the key was used.
+        The full record of the first claim was evicted for newer ones. Its
+        tombstone shows that the key was used.
         """
         small.claim("k0")
         small.dispatch("k0")
@@ -217,7 +217,7 @@
         small.now_s += WINDOW_S + GENERATION_S + 1.0
         assert small.claim("k0", owner="c").state == "created"
 
-    def test_a_full_shard_turns_new_keys_away(self, small: Shard) -> None:
+    def test_a_full_shard_refuses_new_keys(self, small: Shard) -> None:
         states = [small.claim(f"k{number}").state for number in range(6)]
         assert states == ["created"] * 5 + ["full"]
         charged = [small.charge(f"k{number}").state for number in range(6)]
@@ -227,26 +227,27 @@
     def test_answers_are_bounded_and_states_are_kept(
         self, small: Shard
     ) -> None:
-        """A caller would get an empty body for the whole answer.
+        """Guards against an empty body that is returned as the full answer.
 
-        The call ran and its answer was kept, then others took the room.
-        The retry is told that it ran and that the answer is not kept.
+        The call ran and its answer was recorded, then evicted for newer
+        answers. The retry must learn that the call ran and that its answer
+        is not kept.
         """
         for key, answer in (("k0", b"12345678"), ("k1", b"1234567")):
             small.claim(key)
             small.dispatch(key)
             small.outcome("done", answer=answer, key=key)
         assert small.machine.fill().answers_bytes == 7
-        told = small.claim("k0", owner="b")
-        assert (told.claim_state, told.answer) == ("done", b"")
-        assert told.content_type == NOT_KEPT
+        retry = small.claim("k0", owner="b")
+        assert (retry.claim_state, retry.answer) == ("done", b"")
+        assert retry.content_type == NOT_KEPT
         small.claim("k2")
         small.dispatch("k2")
         small.outcome("done", answer=b"123456789", key="k2")
         assert small.claim("k2", owner="b").content_type == NOT_KEPT
 
-    def test_one_wrong_clock_expires_nothing(self, shard: Shard) -> None:
-        """A key would be forgotten early, and run twice, for a bad clock.
+    def test_one_wrong_clock_expires_no_keys(self, shard: Shard) -> None:
+        """Guards against keys that expire early and run twice.
 
         First the leader's clock is a year ahead, then an entry's.
         """
@@ -257,13 +258,13 @@
         shard.run(Pin("g", "s", "v", ahead_s))
         assert shard.claim(owner="b").claim_state == "claimed"
 
-    def test_a_claim_that_was_held_up_for_long_is_expired(
+    def test_a_claim_that_was_delayed_too_long_is_expired(
         self, shard: Shard
     ) -> None:
-        """A suspended entry resumes and sends its claim a day later.
+        """Guards against a claim that a suspended entry sends a day late.
 
-        The key ran elsewhere meanwhile and was forgotten after its
-        window; to the ledger it looks new.
+        The request ran elsewhere meanwhile and its key expired after the
+        window, so the ledger knows nothing of the key.
         """
         shard.pin("s", "v")
         late = Claim("guild", "k", "f", "a", START_S - MAX_DELAY_S - 1.0)
@@ -271,20 +272,24 @@
 
 
 class TestCharges:
-    def test_a_second_charge_tells_the_first_cost(self, shard: Shard) -> None:
+    def test_a_second_charge_returns_the_first_cost(
+        self, shard: Shard
+    ) -> None:
         assert shard.charge(cost_micros=5).state == "created"
         again = shard.charge(cost_micros=9)
         assert (again.state, again.cost_micros) == ("exists", 5)
         assert shard.machine.bills(None, 0, 9).totals[0].cost_micros == 5
 
     @pytest.mark.parametrize("cost_micros", [-1, 2**62])
-    def test_no_charge_is_taken_that_cannot_be(
+    def test_an_implausible_charge_is_refused(
         self, shard: Shard, cost_micros: int
     ) -> None:
         assert shard.charge(cost_micros=cost_micros).state == "conflict"
         assert shard.machine.bills(None, 0, 9).totals == ()
 
-    def test_totals_outlive_the_single_charges(self, shard: Shard) -> None:
+    def test_totals_remain_after_single_charges_expire(
+        self, shard: Shard
+    ) -> None:
         shard.charge("k1", 5)
         shard.now_s += WINDOW_S + 1.0
         shard.charge("k2", 7)
@@ -296,7 +301,7 @@
         assert [line.number for line in bills.charges] == [2]
         assert bills.dropped_until == 1
 
-    def test_pages_follow_one_another(self, shard: Shard) -> None:
+    def test_pages_of_charges_are_consecutive(self, shard: Shard) -> None:
         for number in range(5):
             shard.charge(f"k{number}")
         first = shard.machine.bills("guild", 0, 3)
@@ -304,7 +309,9 @@
         assert [line.number for line in second.charges] == [4, 5]
         assert shard.machine.bills("other", 0, 3).totals == ()
 
-    def test_csv_has_a_header_and_a_row_each(self, shard: Shard) -> None:
+    def test_csv_has_a_header_and_a_row_for_each_bill(
+        self, shard: Shard
+    ) -> None:
         shard.charge()
         bills = shard.machine.bills(None, 0, 9)
         assert totals_csv(bills).splitlines()[1] == (
@@ -318,7 +325,9 @@
         assert shard.pin("s", "nest@1").version == "nest@1"
         assert shard.pin("s", "nest@2").version == "nest@1"
 
-    def test_a_session_in_use_is_never_forgotten(self, small: Shard) -> None:
+    def test_the_pin_of_a_session_in_use_is_never_evicted(
+        self, small: Shard
+    ) -> None:
         small.pin("s1", "nest@1")
         small.pin("s2", "nest@1")
         assert small.pin("s3", "nest@1").state == "full"
@@ -329,14 +338,14 @@
 
 
 class TestFormat:
-    def test_a_batch_comes_back(self) -> None:
+    def test_a_batch_is_decoded_as_encoded(self) -> None:
         records = [
             Claim("g", "k", "f", "a", 1.0),
             Dispatch("g", "k", "a", "b"),
         ]
         assert decode_batch(encode_batch(records, 2.0)) == (2.0, records)
 
-    def test_an_unknown_record_is_a_clear_error(self) -> None:
+    def test_an_unknown_record_code_is_named_in_the_error(self) -> None:
         data = msgspec.msgpack.encode((1.0, [(99, [])]))
         with pytest.raises(UnknownCommand, match="code 99"):
             decode_batch(data)
@@ -358,16 +367,16 @@
     key: str
 
 
-# Most on one key, as the races are there; the others fill the bounds.
+# Most rules use one key, to provoke races; the other keys reach the bounds.
 KEYS = st.sampled_from(["k0", "k0", "k0", "k0", "k1", "k2"])
 RECENT = st.integers(1, 5)
 
 
 class LedgerRules(RuleBasedStateMachine):
-    """Entries claim, dispatch, die and resend over a network that reorders.
+    """Entries claim, dispatch, die and resend in a network that reorders.
 
-    Each batch that was ever sent may be delivered at any time and any
-    number of times. Each key runs at most once and is charged once.
+    A record that was sent may be delivered again at any time. Each key runs
+    at most once and is charged at most once.
     """
 
     def __init__(self) -> None:
@@ -375,12 +384,12 @@
         self.shard = Shard(SMALL._replace(tombstones=2))
         self.sent: list[LedgerRecord] = []
         self.attempts: list[Attempt] = []
-        self.wrote: set[str] = set()
-        self.gave_up: set[str] = set()
+        self.owners_that_wrote: set[str] = set()
+        self.owners_that_gave_up: set[str] = set()
         self.runs = {"k0": 0, "k1": 0, "k2": 0}
         self.charged = {"k0": 0, "k1": 0, "k2": 0}
 
-    def _deliver(self, record: LedgerRecord) -> None:
+    def _apply(self, record: LedgerRecord) -> None:
         self.sent.append(record)
         result = self.shard.run(record)[0]
         if isinstance(record, Charge) and result.state == "created":
@@ -389,11 +398,11 @@
             self._write(record)
 
     def _write(self, record: Dispatch) -> None:
-        # An entry that gave up on the answer writes nothing any more.
-        if record.owner in self.gave_up:
+        # An entry that gave up waiting for the dispatch must not write.
+        if record.owner in self.owners_that_gave_up:
             return
-        assert record.owner not in self.wrote
-        self.wrote.add(record.owner)
+        assert record.owner not in self.owners_that_wrote
+        self.owners_that_wrote.add(record.owner)
         if record.backend_server == "refuses":
             outcome = Outcome(
                 "guild", record.request_key, record.owner, "not_run"
@@ -412,46 +421,47 @@
         attempt = Attempt(f"a{len(self.attempts)}", key)
         self.attempts.append(attempt)
         now_s = self.shard.now_s
-        self._deliver(Claim("guild", key, "f", attempt.owner, now_s))
+        self._apply(Claim("guild", key, "f", attempt.owner, now_s))
 
     @precondition(lambda self: self.attempts)
     @rule(recent=RECENT, server=st.sampled_from(["runs", "refuses"]))
     def dispatch(self, recent: int, server: str) -> None:
         attempt = self.attempts[-recent:][0]
-        if attempt.owner not in self.wrote | self.gave_up:
-            self._deliver(
-                Dispatch("guild", attempt.key, attempt.owner, server)
-            )
+        if (
+            attempt.owner
+            not in self.owners_that_wrote | self.owners_that_gave_up
+        ):
+            self._apply(Dispatch("guild", attempt.key, attempt.owner, server))
 
     @precondition(lambda self: self.attempts)
     @rule(recent=RECENT, state=st.sampled_from(["done", "unknown"]))
     def end(self, recent: int, state: str) -> None:
         attempt = self.attempts[-recent:][0]
-        if attempt.owner in self.wrote:
-            self._deliver(Outcome("guild", attempt.key, attempt.owner, state))
+        if attempt.owner in self.owners_that_wrote:
+            self._apply(Outcome("guild", attempt.key, attempt.owner, state))
 
     @precondition(lambda self: self.attempts)
     @rule(recent=RECENT)
     def give_up(self, recent: int) -> None:
         attempt = self.attempts[-recent:][0]
-        if attempt.owner not in self.wrote:
-            self.gave_up.add(attempt.owner)
-            self._deliver(
+        if attempt.owner not in self.owners_that_wrote:
+            self.owners_that_gave_up.add(attempt.owner)
+            self._apply(
                 Outcome("guild", attempt.key, attempt.owner, "not_run")
             )
 
     @rule(key=KEYS, cost_micros=st.integers(1, 9))
     def charge(self, key: str, cost_micros: int) -> None:
         now_s = self.shard.now_s
-        self._deliver(Charge("guild", key, "v", cost_micros, 1, 1, now_s))
+        self._apply(Charge("guild", key, "v", cost_micros, 1, 1, now_s))
 
     @precondition(lambda self: self.sent)
     @rule(recent=st.integers(1, 12))
-    def deliver_again(self, recent: int) -> None:
-        self._deliver(self.sent[-recent:][0])
+    def resend(self, recent: int) -> None:
+        self._apply(self.sent[-recent:][0])
 
     @rule(step_s=st.sampled_from([1.0, TAKEOVER_AGE_S, DISPATCHED_AGE_S]))
-    def pass_time(self, step_s: float) -> None:
+    def advance_time(self, step_s: float) -> None:
         self.shard.now_s += step_s
 
     @rule()
--- a/packages/sycamorestand-state/tests/test_nodes.py
+++ b/packages/sycamorestand-state/tests/test_nodes.py
@@ -16,11 +16,11 @@
 
 @pytest.fixture
 def registry() -> NodeRegistry:
-    made = NodeRegistry("c1", 1)
-    made.announce(node("a"), 0.0)
-    made.announce(node("b"), 0.0)
-    made.announce(node("far", "Marietta"), 0.0)
-    return made
+    created = NodeRegistry("c1", 1)
+    created.announce(node("a"), 0.0)
+    created.announce(node("b"), 0.0)
+    created.announce(node("far", "Marietta"), 0.0)
+    return created
 
 
 def names(found: tuple[NodeRecord, ...]) -> set[str]:
@@ -28,7 +28,7 @@
 
 
 class TestAddresses:
-    def test_the_own_data_centre_comes_first(
+    def test_the_callers_data_centre_comes_first(
         self, registry: NodeRegistry
     ) -> None:
         found = registry.addresses("caller", "Dalton", 3)
@@ -51,13 +51,13 @@
         ]
         assert 30 < first.count("a") < 70
 
-    def test_stopping_and_draining_ones_leave_the_answers(
+    def test_stopping_and_draining_entries_are_left_out(
         self, registry: NodeRegistry
     ) -> None:
-        """A planned stop would cut the requests of new callers.
+        """Guards against a planned stop that cuts requests of new callers.
 
-        One entry says that it stops, the VM of another is drained; both
-        still serve whoever kept their address.
+        One entry announces that it stops, and another one's VM is drained.
+        Both still serve callers that have their address.
         """
         registry.announce(node("a", sequence=2, stopping=True), 0.0)
         found = registry.addresses("caller", "Dalton", 3, ["vm-b"])
@@ -66,13 +66,13 @@
         found = registry.addresses("caller", "Dalton", 3, everywhere)
         assert names(found) == {"b", "far"}
 
-    def test_a_silent_entry_runs_out(self, registry: NodeRegistry) -> None:
+    def test_a_silent_entry_expires(self, registry: NodeRegistry) -> None:
         registry.announce(node("a", sequence=2), 2.0)
         assert registry.expire(3.0) == ("b", "far")
 
 
 class TestNodeDeltas:
-    def test_small_moves_of_load_are_no_news(
+    def test_small_load_changes_cause_no_delta(
         self, registry: NodeRegistry
     ) -> None:
         version = registry.version
--- a/packages/sycamorestand-state/tests/test_orders.py
+++ b/packages/sycamorestand-state/tests/test_orders.py
@@ -43,20 +43,20 @@
     )
 
 
-def ask(
+def request_order(
     issuer: OrderIssuer, now_s: float, orders: Iterable[OrderRecord] = ()
 ) -> RecordOrder | None:
     return issuer.next_order(now_s, "b1", "load", "nest@2", orders, WALL_S)
 
 
-def issued(issuer: OrderIssuer, now_s: float) -> RecordOrder:
-    record = ask(issuer, now_s)
+def request_next_order(issuer: OrderIssuer, now_s: float) -> RecordOrder:
+    record = request_order(issuer, now_s)
     assert record is not None
     return record
 
 
 class TestRecordedOrders:
-    def test_intent_and_outcome_change_no_revision(
+    def test_recording_an_order_creates_no_revision(
         self, cluster: Cluster
     ) -> None:
         assert cluster.run(order()).outcome == "applied"
@@ -80,25 +80,25 @@
         ids=[
             "deposed leader",
             "number used twice",
-            "server has another",
-            "never intended",
-            "other number",
+            "server has another unfinished order",
+            "intent was never recorded",
+            "fencing number of another order",
             "unknown phase",
         ],
     )
-    def test_what_does_not_fit_is_refused(
+    def test_inconsistent_records_are_refused(
         self, cluster: Cluster, late: RecordOrder
     ) -> None:
         cluster.run(order())
         assert cluster.run(late).outcome == "refused"
 
-    def test_a_late_outcome_of_the_old_number_is_refused(
+    def test_a_late_outcome_of_an_old_fencing_number_is_refused(
         self, cluster: Cluster
     ) -> None:
-        """The new leader's order would count as done before it is.
+        """Guards against an order that counts as done too early.
 
-        The old leader's order is sent again under a new number; then the
-        old leader's outcome reaches the log.
+        A new leader resends the order under a new fencing number. Then the
+        old leader's outcome, with the old number, reaches the log.
         """
         cluster.run(order())
         cluster.run(order(term=4))
@@ -125,20 +125,20 @@
     def test_the_first_order_waits_for_the_predecessors_lease(
         self, issuer: OrderIssuer
     ) -> None:
-        assert ask(issuer, 100.0 + LEADER_LEASE_S) is None
-        first = issued(issuer, issuer.earliest_order_s)
+        assert request_order(issuer, 100.0 + LEADER_LEASE_S) is None
+        first = request_next_order(issuer, issuer.earliest_order_s)
         assert (first.term, first.sequence, first.phase) == (3, 1, INTENDED)
 
-    def test_numbers_grow_with_term_and_sequence(self) -> None:
+    def test_fencing_numbers_increase_with_term_and_sequence(self) -> None:
         numbers = [FencingNumber(2, 9), FencingNumber(3, 1)]
         assert numbers == sorted(numbers)
         integers = [number.as_integer() for number in numbers]
         assert integers == sorted(integers)
 
-    def test_an_order_goes_once_soon_and_backed(
+    def test_an_order_is_sent_once_in_time_and_with_a_quorum(
         self, issuer: OrderIssuer
     ) -> None:
-        record = issued(issuer, 110.0)
+        record = request_next_order(issuer, 110.0)
         assert not issuer.may_send(110.0, 0.0, record)
         assert not issuer.may_send(110.0 + SEND_WITHIN_S, 1.0, record)
         assert not issuer.may_send(110.0, 1.0, order(sequence=9))
@@ -148,37 +148,38 @@
     def test_a_server_has_one_order_at_a_time(
         self, issuer: OrderIssuer
     ) -> None:
-        """An engine would end with either of two versions loaded.
+        """Guards against two orders that take effect in an unknown sequence.
 
-        The first order got no answer: it may yet be read. The next one
-        waits until the first can have no effect any more.
+        The first order got no answer, so the engine may still read it. The
+        next order must wait until the first can no longer take effect.
         """
-        record = issued(issuer, 110.0)
+        record = request_next_order(issuer, 110.0)
         known = OrderRecord(*record)
-        assert ask(issuer, 110.0, [known]) is None
+        assert request_order(issuer, 110.0, [known]) is None
         issuer.may_send(110.0, 1.0, record)
         unknown = issuer.outcome(record, "unknown", "no answer", WALL_S)
-        assert ask(issuer, 117.0, [OrderRecord(*unknown)]) is None
-        assert ask(issuer, 110.0 + ORDER_TIMEOUT_S) is None
-        assert ask(issuer, 117.0) is not None
+        assert request_order(issuer, 117.0, [OrderRecord(*unknown)]) is None
+        assert request_order(issuer, 110.0 + ORDER_TIMEOUT_S) is None
+        assert request_order(issuer, 117.0) is not None
 
-    def test_an_answered_order_frees_the_server_at_once(
+    def test_an_answered_order_permits_the_next_one_at_once(
         self, issuer: OrderIssuer
     ) -> None:
-        record = issued(issuer, 110.0)
+        record = request_next_order(issuer, 110.0)
         issuer.may_send(110.0, 1.0, record)
         issuer.outcome(record, "done", "", WALL_S)
-        assert ask(issuer, 110.1) is not None
+        assert request_order(issuer, 110.1) is not None
 
 
 class TestUnfinishedOrders:
-    def test_a_new_leader_waits_for_the_old_ones_time_of_flight(
+    def test_a_new_leader_waits_for_the_timeout_of_old_orders(
         self, issuer: OrderIssuer, cluster: Cluster
     ) -> None:
-        """An engine that ignores the number would act on the old order last.
+        """Guards against a deposed leader's order that takes effect last.
 
-        The old leader sends and is deposed; its bytes are on their way.
-        The new one sends the same order again only when they cannot be.
+        The old leader sends an order and is deposed before the engine has
+        read it. An engine that ignores fencing numbers would act on it
+        after the new leader's order, unless the new leader waits.
         """
         cluster.run(order("2.7", 2, 7))
         old = cluster.machine.orders()[0]
@@ -189,10 +190,10 @@
         assert (again.order_id, again.term) == ("2.7", 3)
         assert cluster.run(again).outcome == "applied"
 
-    def test_ones_own_without_an_answer_goes_again_later(
+    def test_an_own_unanswered_order_is_resent_after_its_timeout(
         self, issuer: OrderIssuer
     ) -> None:
-        record = issued(issuer, 110.0)
+        record = request_next_order(issuer, 110.0)
         known = OrderRecord(*record)
         assert issuer.unfinished([known], 110.0) == ()
         assert issuer.unfinished([known], 110.0 + SEND_WITHIN_S) == (known,)
@@ -202,6 +203,6 @@
         assert issuer.unfinished([known], 111.0 + ORDER_TIMEOUT_S) == ()
         assert issuer.unfinished([known], 118.0) == (known,)
 
-    def test_finished_ones_stay_finished(self, issuer: OrderIssuer) -> None:
+    def test_finished_orders_are_not_resent(self, issuer: OrderIssuer) -> None:
         done = OrderRecord(*order(phase="done"))
         assert issuer.unfinished([done], 999.0) == ()
--- a/packages/sycamorestand-state/tests/test_rollouts.py
+++ b/packages/sycamorestand-state/tests/test_rollouts.py
@@ -17,9 +17,9 @@
 
 @pytest.fixture
 def cluster() -> Cluster:
-    made = Cluster()
-    made.declare(declare())
-    return made
+    created = Cluster()
+    created.declare(declare())
+    return created
 
 
 def step(
@@ -69,21 +69,21 @@
     @pytest.mark.parametrize(
         ("from_step", "to_step"), [(1, 2), (0, 2), (0, 0), (0, -1)]
     )
-    def test_a_step_that_does_not_fit_is_refused(
+    def test_an_invalid_step_is_refused(
         self, cluster: Cluster, from_step: int, to_step: int
     ) -> None:
         started = cluster.start()
         result = step(cluster, started, from_step, to_step)
         assert result.outcome == "refused"
 
-    def test_a_late_step_of_an_earlier_run_does_no_harm(
+    def test_a_late_step_of_an_earlier_run_is_refused(
         self, cluster: Cluster
     ) -> None:
-        """Callers would get more of a version on evidence that is void.
+        """Guards against a step that is based on an earlier run's evidence.
 
         A leader proposes step 0 -> 1 and is deposed. The roll-out is
-        stopped and started anew, and is at step 0 again when the late
-        step arrives: only the number of the run tells them apart.
+        stopped and started again, and is at step 0 when the late step
+        arrives. Only the started revision distinguishes the two runs.
         """
         started = cluster.start()
         stop(cluster, started)
@@ -104,7 +104,7 @@
 
 
 class TestStoppedRollout:
-    def test_stop_keeps_the_reason_and_gives_no_work(
+    def test_stop_keeps_the_reason_and_ends_new_work(
         self, cluster: Cluster
     ) -> None:
         started = cluster.start()
@@ -115,7 +115,7 @@
         assert (rollout.share, rollout.reason) == (0.0, "more errors")
         assert rollout.evidence == "9 of 100"
 
-    def test_late_evidence_does_not_stop_another_run(
+    def test_a_late_stop_of_an_earlier_run_is_refused(
         self, cluster: Cluster
     ) -> None:
         started = cluster.start()
@@ -123,7 +123,7 @@
         cluster.start()
         assert stop(cluster, started).outcome == "refused"
 
-    def test_quarantine_stops_it(self, cluster: Cluster) -> None:
+    def test_quarantine_stops_a_rollout(self, cluster: Cluster) -> None:
         cluster.start()
         cluster.run(
             Quarantine("q", SYSTEM, ANY_REVISION, "nest@2", "errors", 6.0)
@@ -141,30 +141,32 @@
         step(cluster, started, 1, 2)
         return cluster
 
-    def test_it_holds_until_made_stable(self, completed: Cluster) -> None:
+    def test_it_is_kept_until_the_version_is_stable(
+        self, completed: Cluster
+    ) -> None:
         completed.declare(declare(rollouts={}))
         assert completed.machine.in_force().shares["nest"].share == 1.0
         completed.declare(declare("2", rollouts={}))
         assert completed.machine.in_force().shares == {}
 
-    def test_the_next_one_must_wait_for_that(self, completed: Cluster) -> None:
-        """New work would fall back to version 1 without anybody's word.
+    def test_the_next_rollout_is_refused_before_that(
+        self, completed: Cluster
+    ) -> None:
+        """Guards against new work that silently returns to version 1.
 
-        Version 2 is rolled out completely while the files still call 1
-        stable. Declaring a roll-out of 3 would end the one of 2.
+        Version 2 is rolled out completely, and the declarations still name
+        1 as stable. Declaring a roll-out of 3 would end that of 2.
         """
         following = {"nest": Rollout("nest", "3")}
         result = completed.declare(declare(rollouts=following))
         assert result.outcome == "refused"
         assert "make it stable first" in result.message
-        made = completed.declare(declare("2", rollouts=following))
-        assert made.outcome == "applied"
+        accepted = completed.declare(declare("2", rollouts=following))
+        assert accepted.outcome == "applied"
 
 
-class TestDeclaredAnew:
-    def test_fewer_shares_keep_the_step_in_bounds(
-        self, cluster: Cluster
-    ) -> None:
+class TestChangedDeclarations:
+    def test_fewer_shares_limit_the_step(self, cluster: Cluster) -> None:
         started = cluster.start()
         step(cluster, started, 0, 1)
         shorter = {"nest": Rollout("nest", "2", (0.2,))}
@@ -172,7 +174,9 @@
         share = cluster.machine.in_force().shares["nest"]
         assert (share.step, share.share) == (0, 0.2)
 
-    def test_no_longer_declared_ends_it(self, cluster: Cluster) -> None:
+    def test_removing_the_declaration_ends_the_rollout(
+        self, cluster: Cluster
+    ) -> None:
         cluster.start()
         cluster.declare(declare(rollouts={}))
         assert cluster.machine.in_force().shares == {}
--- a/packages/sycamorestand-state/tests/test_tombstones.py
+++ b/packages/sycamorestand-state/tests/test_tombstones.py
@@ -9,7 +9,7 @@
 
 
 class TestTombstones:
-    def test_each_key_is_held_for_the_window(self) -> None:
+    def test_each_key_is_known_for_the_window(self) -> None:
         used = Tombstones()
         used.add("guild", "early", 0.0)
         used.add("guild", "late", GENERATION_S - 1.0)
@@ -22,7 +22,7 @@
     @pytest.mark.parametrize(
         "count", [MAX_OPEN_HASHES - 1, MAX_OPEN_HASHES + 1]
     )
-    def test_keys_are_found_open_and_closed_and_after_a_restart(
+    def test_open_and_closed_keys_are_found_also_after_a_restart(
         self, count: int
     ) -> None:
         used = Tombstones()
