--- a/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
@@ -51,10 +51,10 @@
 
 
 __all__ = [
-    "StoredAnswer",
     "drop_expired",
     "MAX_CHANGE_ID_AGE_S",
     "MAX_CHANGE_ID_CHARACTERS",
     "MAX_CHANGE_IDS",
     "store_answer",
+    "StoredAnswer",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/claims.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/claims.py
@@ -48,7 +48,8 @@
 # waits for an answer; a late answer of the owner still replaces ``unknown``.
 DISPATCHED_AGE_S: Final = 120.0
 # A claim with a time stamp this far behind the ledger's clock waited in a
-# suspended process. Its key may have run meanwhile and expired since.
+# suspended process. The request may have run meanwhile under another claim,
+# whose key has expired since, so the late claim is refused.
 MAX_DELAY_S: Final = 3_600.0
 MAX_CLAIMS: Final = 100_000
 MAX_ANSWER_BYTES: Final = 262_144
--- a/packages/sycamorestand-state/src/sycamorestand_state/leases.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/leases.py
@@ -4,7 +4,7 @@
 entry that no other process can reach. An entry therefore accepts new work
 only while it holds a lease, and a granter renews a lease only if its holder
 has the newest revision. A revision is in force once each holder of a lease
-under an older revision has acknowledged it, or its lease has expired.
+under an older one has acknowledged the revision, or its lease has expired.
 
 Leases form a tree of two levels. The leader grants leases to control
 processes while a quorum supports it. A control process grants leases to
--- a/packages/sycamorestand-state/src/sycamorestand_state/orders.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/orders.py
@@ -189,8 +189,8 @@
         intended_at_s = self._intended_at_s.get(fence)
         if intended_at_s is None or fence in self._sent:
             return settled_at_s
-        # The order is recorded and not sent; `may_send` permits to send it
-        # until `SEND_WITHIN_S` has passed.
+        # The intent is recorded but the order not yet sent; `may_send`
+        # permits sending it until `SEND_WITHIN_S` has passed.
         return max(settled_at_s, intended_at_s + SEND_WITHIN_S)
 
     def _build_intent(
--- a/packages/sycamorestand-state/src/sycamorestand_state/registry.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/registry.py
@@ -250,8 +250,8 @@
 __all__ = [
     "Announced",
     "MAX_LEASE_S",
-    "NUMBER_RETENTION_S",
     "MERGED_STREAM",
+    "NUMBER_RETENTION_S",
     "ORIGIN_LEASE_S",
     "OWN_STREAM",
     "Registry",
--- a/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
@@ -290,6 +290,8 @@
 
 __all__ = [
     "COMPLETED",
+    "FULL_SHARE",
+    "not_stable_findings",
     "reconcile",
     "Reconciled",
     "RUNNING",
@@ -299,6 +301,4 @@
     "stop_rollout",
     "STOPPED",
     "stopped",
-    "not_stable_findings",
-    "FULL_SHARE",
 ]
--- a/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
@@ -63,7 +63,10 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the limit is reached, so that no key can be added."""
+        """Whether the number of hashes has reached the limit.
+
+        A shard without room for another full record then refuses new keys.
+        """
         return self._count >= self._limit
 
     def add(self, customer: str, key: str, changed_s: float) -> None:
