--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
@@ -83,7 +83,7 @@
         folder / f"group-{CONFIGURATION_GROUP}",
         ReplicaSettings().segment_bytes,
     )
-    found = storage.open(known=True)
+    found = storage.open(had_log=True)
     machine = ConfigurationMachine()
     if found.snapshot.data:
         machine.restore(found.snapshot.data)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/mutants.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/mutants.py
@@ -19,7 +19,7 @@
 from sycamorestand_consensus.raft_state import append_entries
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import send_now
-from sycamorestand_consensus.raft_state import set_hard
+from sycamorestand_consensus.raft_state import set_hard_state
 from sycamorestand_consensus.raft_state import truncate_from
 
 PACKAGE: Final = "sycamorestand_consensus"
@@ -86,12 +86,12 @@
 
 
 def _note_led(state: RaftState) -> None:
-    set_hard(state, state.hard._replace(led=True))
+    set_hard_state(state, state.hard._replace(led=True))
 
 
 MUTANTS: Final[dict[str, tuple[Replacement, ...]]] = {
     "commit-earlier-terms": (
-        Replacement("commit", "is_of_own_term", _always),
+        Replacement("commit", "is_from_current_term", _always),
     ),
     "answer-before-sync": (
         Replacement("election", "send_after_sync", send_now),
@@ -102,14 +102,18 @@
     ),
     "vote-for-anyone": (Replacement("election", "_is_up_to_date", _always),),
     "vote-twice": (Replacement("election", "_has_vote_for", _always),),
-    "vote-despite-promise": (Replacement("inbox", "is_promised", _never),),
+    "vote-despite-promise": (
+        Replacement("inbox", "has_active_promise", _never),
+    ),
     "forget-promise-in-restart": (
         Replacement("core", "assume_promise", _nothing),
     ),
     "end-promises-without-restart": (
         Replacement("election", "ended_term", _last_term),
     ),
-    "led-before-first-lease": (Replacement("core", "note_led", _note_led),),
+    "led-before-first-lease": (
+        Replacement("core", "record_leadership", _note_led),
+    ),
     "lease-at-once-after-transfer": (
         Replacement("election", "lease_start_s", _now_s),
     ),
@@ -126,7 +130,7 @@
         Replacement("change", "_check_change", _check_leader),
     ),
     "truncate-without-conflict": (
-        Replacement("follower", "_take_entries", _cut_after),
+        Replacement("follower", "_append_new_entries", _cut_after),
     ),
 }
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
@@ -122,7 +122,7 @@
             return
         sequence = self.disk.sync(count)
         if sequence and self.up:
-            self.core.stored(sequence, self.local_s)
+            self.core.mark_synced(sequence, self.local_s)
 
     def set_disk_full(self, full: bool) -> None:
         """Fill the disk or free it."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
@@ -50,7 +50,7 @@
         sent.extend(output.messages)
         if output.batch is None:
             return sent
-        core.stored(output.batch.sequence, now_s)
+        core.mark_synced(output.batch.sequence, now_s)
 
 
 def lead(core: Core, now_s: float) -> None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
@@ -213,7 +213,7 @@
 def _read(folder: Path) -> float:
     storage = Storage(folder / f"group-{GROUP}", SETTINGS.segment_bytes)
     started_s = time.monotonic()
-    storage.open(known=True)
+    storage.open(had_log=True)
     elapsed_s = time.monotonic() - started_s
     storage.close()
     return 1000 * elapsed_s
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/commit.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/commit.py
@@ -16,12 +16,12 @@
     if state.role != Role.LEADER or not voters(state.membership):
         return
     index = int(majority_value(state.membership, _synced_index(state)))
-    if index > state.commit_index and is_of_own_term(state, index):
+    if index > state.commit_index and is_from_current_term(state, index):
         _release_bytes(state, index)
         state.commit_index = index
 
 
-def is_of_own_term(state: RaftState, index: int) -> bool:
+def is_from_current_term(state: RaftState, index: int) -> bool:
     """Tell whether this leader itself appended the entry.
 
     An entry of an earlier term may sit on a majority and still be
@@ -71,5 +71,5 @@
 __all__ = [
     "advance_commit",
     "confirm_barriers",
-    "is_of_own_term",
+    "is_from_current_term",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
@@ -32,8 +32,8 @@
 from sycamorestand_consensus.inbox import handle_message
 from sycamorestand_consensus.lease import assume_promise
 from sycamorestand_consensus.lease import claim_lease_s
-from sycamorestand_consensus.lease import note_led
 from sycamorestand_consensus.lease import quorum_sent_s
+from sycamorestand_consensus.lease import record_leadership
 from sycamorestand_consensus.membership import cluster_id
 from sycamorestand_consensus.messages import Batch
 from sycamorestand_consensus.messages import Entry
@@ -50,7 +50,7 @@
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import Role
 from sycamorestand_consensus.raft_state import save_snapshot
-from sycamorestand_consensus.raft_state import set_hard
+from sycamorestand_consensus.raft_state import set_hard_state
 from sycamorestand_consensus.raft_state import take_batch
 from sycamorestand_consensus.replication import replicate
 from sycamorestand_consensus.replication import send_heartbeats
@@ -61,9 +61,9 @@
     """What the owner does after some inputs, in the order of the fields.
 
     Messages may leave at once. ``batch`` is to be written and synced, then
-    reported with ``stored``. ``install`` replaces the state machine before
-    ``committed`` is applied to it. A barrier in ``confirmed`` is passed
-    once its index is applied.
+    reported with ``mark_synced``. ``install`` replaces the state machine
+    before ``committed`` is applied to it. A barrier in ``confirmed`` is
+    passed once its index is applied.
     """
 
     messages: tuple[Message, ...]
@@ -107,7 +107,7 @@
         if state.member_id not in ids or len(ids) != len(members):
             raise BootstrapRefused("the list must name each member once")
         membership = tuple(sorted(Member(m, a, True) for m, a in members))
-        set_hard(state, HardState(0, "", cluster_id(members)))
+        set_hard_state(state, HardState(0, "", cluster_id(members)))
         save_snapshot(state, Snapshot(0, 0, membership, b""))
         state.memberships = [(0, membership)]
         set_election_deadline(state)
@@ -121,7 +121,7 @@
         handle_message(self.state, message)
         self._settle()
 
-    def stored(self, sequence: int, now_s: float) -> None:
+    def mark_synced(self, sequence: int, now_s: float) -> None:
         """Take in that all batches up to ``sequence`` are synced."""
         state = self.state
         state.now_s = now_s
@@ -249,7 +249,7 @@
         if silent_s > state.settings.election_max_s:
             become_follower(state, state.term, "")
             return
-        note_led(state)
+        record_leadership(state)
 
     def _tick_without_leader(self) -> None:
         state = self.state
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
@@ -23,7 +23,7 @@
 from sycamorestand_consensus.raft_state import Role
 from sycamorestand_consensus.raft_state import send_after_sync
 from sycamorestand_consensus.raft_state import send_now
-from sycamorestand_consensus.raft_state import set_hard
+from sycamorestand_consensus.raft_state import set_hard_state
 from sycamorestand_consensus.replication import sync_progress
 
 
@@ -69,7 +69,7 @@
     """Follow ``leader_id``, or nobody yet, in ``term``."""
     if term > state.term:
         cluster = state.hard.cluster
-        set_hard(state, HardState(term, "", cluster))
+        set_hard_state(state, HardState(term, "", cluster))
     if state.role != Role.FOLLOWER:
         set_election_deadline(state)
     state.role = Role.FOLLOWER
@@ -109,7 +109,7 @@
     state.ballots = {}
     state.transfer_campaign = transfer
     cluster = state.hard.cluster
-    set_hard(state, HardState(state.term + 1, state.member_id, cluster))
+    set_hard_state(state, HardState(state.term + 1, state.member_id, cluster))
     own_vote = VoteReply(state.term, pre=False, granted=True)
     send_after_sync(state, state.member_id, own_vote)
     _ask_for_votes(state, pre=False)
@@ -126,7 +126,7 @@
     reply = VoteReply(request.campaign_term, request.pre, granted)
     if granted and not request.pre:
         cluster = state.hard.cluster
-        set_hard(state, HardState(state.term, message.sender, cluster))
+        set_hard_state(state, HardState(state.term, message.sender, cluster))
         set_election_deadline(state)
     send_after_sync(state, message.sender, reply)
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
@@ -28,7 +28,7 @@
     if state.log.term_at(append.prev_index) != append.prev_term:
         _reply_mismatch(state, message.sender, append)
         return
-    _take_entries(state, append.entries)
+    _append_new_entries(state, append.entries)
     matched = append.prev_index + len(append.entries)
     state.commit_index = max(
         state.commit_index, min(append.commit_index, matched)
@@ -80,7 +80,7 @@
     )
 
 
-def _take_entries(state: RaftState, entries: tuple[Entry, ...]) -> None:
+def _append_new_entries(state: RaftState, entries: tuple[Entry, ...]) -> None:
     for position, entry in enumerate(entries):
         found = state.log.term_at(entry.log_index)
         if found == entry.term:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
@@ -13,7 +13,7 @@
 from sycamorestand_consensus.follower import on_snapshot_chunk
 from sycamorestand_consensus.follower import reply_stale_leader
 from sycamorestand_consensus.lease import ends_promise
-from sycamorestand_consensus.lease import is_promised
+from sycamorestand_consensus.lease import has_active_promise
 from sycamorestand_consensus.lease import promise_to_leader
 from sycamorestand_consensus.membership import find_member
 from sycamorestand_consensus.messages import Append
@@ -26,7 +26,7 @@
 from sycamorestand_consensus.messages import VoteRequest
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import Role
-from sycamorestand_consensus.raft_state import set_hard
+from sycamorestand_consensus.raft_state import set_hard_state
 from sycamorestand_consensus.replication import on_append_reply
 from sycamorestand_consensus.replication import on_snapshot_reply
 
@@ -64,7 +64,7 @@
         raise SafetyViolated(f"{message.sender} leads in the same term")
     become_follower(state, message.term, message.sender)
     if state.hard.cluster == "":
-        set_hard(state, state.hard._replace(cluster=message.cluster))
+        set_hard_state(state, state.hard._replace(cluster=message.cluster))
     promise_to_leader(state)
     set_election_deadline(state)
     if isinstance(body, Append):
@@ -77,7 +77,7 @@
     state: RaftState, message: Message, request: VoteRequest
 ) -> None:
     passes = request.transfer or ends_promise(state, request)
-    bound = is_promised(state) and not passes
+    bound = has_active_promise(state) and not passes
     if request.pre:
         on_vote_request(state, message, request, bound)
         return
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
@@ -22,7 +22,7 @@
 from sycamorestand_consensus.messages import VoteRequest
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import Role
-from sycamorestand_consensus.raft_state import set_hard
+from sycamorestand_consensus.raft_state import set_hard_state
 from sycamorestand_consensus.settings import CLOCK_RATE_MARGIN
 
 
@@ -41,7 +41,7 @@
     promise_to_leader(state)
 
 
-def is_promised(state: RaftState) -> bool:
+def has_active_promise(state: RaftState) -> bool:
     """Tell whether a vote now could break a leader's lease."""
     until_s = state.promise_until_s
     if state.role == Role.LEADER:
@@ -50,14 +50,14 @@
     return state.now_s < until_s
 
 
-def note_led(state: RaftState) -> None:
+def record_leadership(state: RaftState) -> None:
     """Record that this member leads, once it may claim a lease.
 
     Until then a lease of the leader before it may still run, of whose end
     this member could say nothing after a restart.
     """
     if not state.hard.led and state.now_s >= state.lease_from_s:
-        set_hard(state, state.hard._replace(led=True))
+        set_hard_state(state, state.hard._replace(led=True))
 
 
 def ended_term(state: RaftState, *, pre: bool) -> int:
@@ -147,10 +147,10 @@
     "ended_term",
     "ends_promise",
     "is_last_leader",
-    "is_promised",
+    "has_active_promise",
     "lease_start_s",
     "lease_until_s",
-    "note_led",
+    "record_leadership",
     "promise_to_leader",
     "quorum_sent_s",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
@@ -158,7 +158,7 @@
         send_after_sync(state, to, body)
 
 
-def set_hard(state: RaftState, hard: HardState) -> None:
+def set_hard_state(state: RaftState, hard: HardState) -> None:
     """Change term, vote or cluster, and record it."""
     if hard == state.hard:
         return
@@ -292,7 +292,7 @@
     "send_after_sync",
     "send_after_term_sync",
     "send_now",
-    "set_hard",
+    "set_hard_state",
     "take_batch",
     "truncate_from",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
@@ -235,7 +235,7 @@
 
     async def _open(self) -> Core:
         found = await to_thread.run_sync(
-            lambda: self._storage.open(known=self._known)
+            lambda: self._storage.open(had_log=self._known)
         )
         note_group(self._folder, self._group)
         self._applier.begin(found.snapshot)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
@@ -69,13 +69,13 @@
         self._tail_dirty = False
         self._delete_due = False
 
-    def open(self, *, known: bool) -> Recovered:
+    def open(self, *, had_log: bool) -> Recovered:
         """Read everything, cut a torn tail, and get ready to write.
 
         ``known`` says that the group had its files at an earlier start.
         """
         with storage_errors(self._folder):
-            self._make_folder(known)
+            self._make_folder(had_log)
             self._snapshot = _newest_snapshot(self._folder)
             image = DiskImage(self._snapshot)
             self._read_segments(image)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
@@ -46,7 +46,7 @@
             self._batches = []
             records = [r for batch in batches for r in batch.records]
             await self._write(core, records)
-            core.stored(batches[-1].sequence, self._now())
+            core.mark_synced(batches[-1].sequence, self._now())
             self._wake()
 
     async def _write(self, core: Core, records: list[Record]) -> None:
--- a/packages/sycamorestand-consensus/tests/test_core.py
+++ b/packages/sycamorestand-consensus/tests/test_core.py
@@ -78,7 +78,7 @@
         assert output.messages == ()
         assert output.batch is not None
         assert HardState(2, "b", CLUSTER) in output.batch.records
-        core.stored(output.batch.sequence, 5.0)
+        core.mark_synced(output.batch.sequence, 5.0)
         (reply,) = core.drain(5.0).messages
         assert reply.body == VoteReply(2, pre=False, granted=True)
 
@@ -158,7 +158,7 @@
         first = [e.log_index for e in core.drain(5.0).committed]
         assert first == [1]
         assert output.batch is not None
-        core.stored(output.batch.sequence, 5.0)
+        core.mark_synced(output.batch.sequence, 5.0)
         second = [e.log_index for e in core.drain(5.0).committed]
         assert second == [2]
 
@@ -192,10 +192,10 @@
         second = core.drain(1.0).batch
         assert first is not None
         assert second is not None
-        core.stored(first.sequence, 1.0)
+        core.mark_synced(first.sequence, 1.0)
         assert core.state.stable_index < 2
         assert core.drain(1.0).messages == ()
-        core.stored(second.sequence, 1.0)
+        core.mark_synced(second.sequence, 1.0)
         (reply,) = core.drain(1.0).messages
         assert reply.body == matched(3)
 
--- a/packages/sycamorestand-consensus/tests/test_storage.py
+++ b/packages/sycamorestand-consensus/tests/test_storage.py
@@ -49,7 +49,7 @@
 
 def write(folder: Path, *batches: list[Record]) -> None:
     opened = Storage(folder, SEGMENT_BYTES)
-    opened.open(known=False)
+    opened.open(had_log=False)
     for batch in batches:
         opened.write(batch)
     opened.close()
@@ -57,7 +57,7 @@
 
 def reopen(folder: Path) -> Recovered:
     opened = Storage(folder, SEGMENT_BYTES)
-    found = opened.open(known=True)
+    found = opened.open(had_log=True)
     opened.close()
     return found
 
@@ -122,7 +122,7 @@
         # snapshot, also after one restart more.
         write(tmp_path, [append(1, last)])
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=True)
+        opened.open(had_log=True)
         opened._write_snapshot(snapshot(10, term=2))
         opened.close()
         assert indexes(reopen(tmp_path)) == kept
@@ -173,7 +173,7 @@
         # is there as a whole or not at all.
         folder = tmp_path_factory.mktemp("any")
         opened = Storage(folder, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         model = DiskImage()
         last = 0
         term = 1
@@ -277,7 +277,7 @@
         # frame stays. Once there is space the same records are written in
         # its place; a restart finds each of them once.
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         opened.write([append(1, 2)])
         monkeypatch.setattr(os, call, fails_after_a_part(call))
         with pytest.raises(DiskFull):
@@ -296,7 +296,7 @@
         # steps aside, as on a full disk, and goes on once it is raised; it
         # does not end, which would take a majority away with one setting.
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         opened.write([append(1, 2)])
         monkeypatch.setattr(os, "pwrite", refuses_to_grow)
         with pytest.raises(DiskFull):
@@ -310,7 +310,7 @@
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         opened.write([HARD, append(1, 2)])
         monkeypatch.setattr(os, "pwrite", fails_after_a_part("pwrite"))
         with pytest.raises(DiskFull):
@@ -325,7 +325,7 @@
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         opened.write([append(1, 60)])
         monkeypatch.setattr(os, "pwrite", fails_after_a_part("pwrite"))
         with pytest.raises(DiskFull):
@@ -342,7 +342,7 @@
         # After a failed fsync the kernel may drop the pages and report
         # success next time, so the member must not simply try again.
         opened = Storage(tmp_path, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
 
         def fail(descriptor: int) -> None:
             raise OSError(errno.EIO, "input/output error")
@@ -367,7 +367,7 @@
             monkeypatch.setattr(target, names.sync)
         folder = tmp_path / "group-0"
         opened = Storage(folder, SEGMENT_BYTES)
-        opened.open(known=False)
+        opened.open(had_log=False)
         if step == "roll":
             opened.write([append(1, 60)])
             opened.write([append(61, 61)])
