--- a/packages/sycamorestand-state/tests/test_tombstones.py
+++ b/packages/sycamorestand-state/tests/test_tombstones.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from sycamorestand_state.tombstones import CLOSE_AT
 from sycamorestand_state.tombstones import GENERATION_S
+from sycamorestand_state.tombstones import MAX_OPEN_HASHES
 from sycamorestand_state.tombstones import Tombstones
 from sycamorestand_state.tombstones import WINDOW_S
 
 
 class TestTombstones:
-    def test_each_key_is_held_for_the_window(self) -> None:
+    def test_each_key_is_known_for_the_window(self) -> None:
         used = Tombstones()
         used.add("guild", "early", 0.0)
         used.add("guild", "late", GENERATION_S - 1.0)
@@ -19,8 +19,10 @@
         used.expire(GENERATION_S + WINDOW_S)
         assert (len(used), used.holds("guild", "late")) == (0, False)
 
-    @pytest.mark.parametrize("count", [CLOSE_AT - 1, CLOSE_AT + 1])
-    def test_keys_are_found_open_and_closed_and_after_a_restart(
+    @pytest.mark.parametrize(
+        "count", [MAX_OPEN_HASHES - 1, MAX_OPEN_HASHES + 1]
+    )
+    def test_open_and_closed_keys_are_found_also_after_a_restart(
         self, count: int
     ) -> None:
         used = Tombstones()
