--- a/packages/sycamorestand-control/src/sycamorestand_control/joining.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/joining.py
@@ -1,4 +1,4 @@
-"""The side of a control process that is no voter yet, or no longer."""
+"""How a control process that does not vote asks to join its cluster."""
 
 from __future__ import annotations
 
@@ -23,15 +23,18 @@
 LOG: Final = logging.getLogger(__name__)
 JOIN_INTERVAL_S: Final = 0.5
 JOIN_TIMEOUT_S: Final = 1.0
-# An election takes up to 1.4 s and may fail once.
-LONELY_S: Final = 3.0
-BELONGS: Final = b"belongs to a cluster"
+# An election takes up to 1.4 s and may have to be repeated once.
+NO_LEADER_S: Final = 3.0
+IN_CLUSTER: Final = b"belongs to a cluster"
 
 
 async def cluster_exists(
     mesh: PeerMesh, groups: LogGroups, controls: Sequence[str], vm: str
 ) -> bool:
-    """Tell whether any other control process belongs to a cluster."""
+    """Return whether one of the control processes is in a cluster.
+
+    A process that does not answer in `JOIN_TIMEOUT_S` is skipped.
+    """
     for address in controls:
         call_id = mesh.next_call_id()
         request = JoinRequest(call_id, groups.member_id, mesh.address, vm)
@@ -39,7 +42,7 @@
             reply = await mesh.call(address, call_id, request, JOIN_TIMEOUT_S)
         except PeerTimeout:
             continue
-        if reply.payload == BELONGS:
+        if reply.payload == IN_CLUSTER:
             return True
     return False
 
@@ -51,21 +54,22 @@
     vm: str,
     keep_asking: bool = False,
 ) -> None:
-    """Ask all other control processes until this one is a member.
+    """Ask all other control processes until this one votes in every log.
 
-    Every process is asked, as only the leader acts on it and a newcomer
-    cannot know who leads. With ``keep_asking`` it goes on for good: a
-    voter that was replaced while it was away finds no leader, and its own
-    log does not tell it why.
+    Every process is asked, because only the leader acts on a request and a
+    joining process does not know which one leads. With ``keep_asking`` the
+    loop never ends: a voter that was replaced while it was cut off finds no
+    leader, and its own log does not show the replacement. It asks again
+    when it has had no leader for `NO_LEADER_S`.
     """
-    led_s = boottime_s()
+    leader_seen_s = boottime_s()
     while True:
-        if not _is_lonely(groups):
-            led_s = boottime_s()
-        voter = _is_member_everywhere(groups)
-        if voter and not keep_asking:
+        if not _is_leader_missing(groups):
+            leader_seen_s = boottime_s()
+        votes_everywhere = _is_voter_everywhere(groups)
+        if votes_everywhere and not keep_asking:
             return
-        if not voter or boottime_s() - led_s > LONELY_S:
+        if not votes_everywhere or boottime_s() - leader_seen_s > NO_LEADER_S:
             async with anyio.create_task_group() as tasks:
                 for address in controls():
                     tasks.start_soon(_ask_one, mesh, groups, address, vm)
@@ -80,28 +84,28 @@
     try:
         await mesh.call(address, call_id, request, JOIN_TIMEOUT_S)
     except PeerTimeout:
-        LOG.debug("no answer to join", extra={"peer": address})
+        LOG.debug("no answer to join request", extra={"peer": address})
 
 
-def _is_lonely(groups: LogGroups) -> bool:
+def _is_leader_missing(groups: LogGroups) -> bool:
     return any(
         not replica.status().leader_id for replica in groups.replicas.values()
     )
 
 
 def is_voter(replica: Replica, member_id: str) -> bool:
-    """Tell whether a member votes, as this process knows it."""
+    """Return whether a member votes, as far as this process knows."""
     return any(
         member.member_id == member_id and member.voter
         for member in replica.status().members
     )
 
 
-def _is_member_everywhere(groups: LogGroups) -> bool:
+def _is_voter_everywhere(groups: LogGroups) -> bool:
     return all(
         is_voter(replica, groups.member_id)
         for replica in groups.replicas.values()
     )
 
 
-__all__ = ["ask_to_join", "BELONGS", "cluster_exists", "is_voter"]
+__all__ = ["ask_to_join", "IN_CLUSTER", "cluster_exists", "is_voter"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/rows.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rows.py
@@ -1,4 +1,4 @@
-"""Shared tables as the rows that operators read."""
+"""Build the rows of operators' listings from the shared tables."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
     from sycamorestand_peer.mesh import PeerMesh
     from sycamorestand_state.nodes import NodeRecord
 
-# A peer that was never heard of has been silent for infinitely long, which
-# no column shows.
+# The silence of a peer that was never heard is infinite; listings show this
+# many seconds at most.
 MAX_SILENT_S: Final = 86_400.0
 
 
 def node_rows(
     tables: SharedTables, draining_vms: Collection[str], own_vm: str
 ) -> tuple[NodeRow, ...]:
-    """Return the entries; lease and revision only of those served here."""
+    """Return a row for each known entry.
+
+    Only entries attached to this process have a lease and a revision.
+    """
     now_s = boottime_s()
     rows = []
     for node in sorted(tables.entries().values()):
         state = tables.entry_state(node.vm)
-        left_s = max(0.0, state.lease_ends_s - now_s) if state else 0.0
+        lease_left_s = max(0.0, state.lease_ends_s - now_s) if state else 0.0
         rows.append(
             NodeRow(
                 node.vm,
@@ -42,7 +45,7 @@
                 f"{node.host}:{node.port}",
                 _node_state(node, draining_vms),
                 state.acked_revision if state else 0,
-                int(left_s * 1_000),
+                int(lease_left_s * 1_000),
                 own_vm if state else "",
             )
         )
@@ -52,22 +55,22 @@
 def merge_node_rows(
     tables: Iterable[Iterable[NodeRow]],
 ) -> tuple[NodeRow, ...]:
-    """Return one row an entry: that of the process with its lease.
+    """Return one row per entry, from the process that granted its lease.
 
-    An entry that has moved is still known to the process that it left,
-    so the longest lease decides.
+    An entry that moved to another process is still known to the previous
+    one, so the row with the longest remaining lease is used.
     """
     best: dict[str, NodeRow] = {}
     for rows in tables:
         for row in rows:
             known = best.get(row.vm)
-            if known is None or _knows_more(row, known):
+            if known is None or _is_fresher(row, known):
                 best[row.vm] = row
     return tuple(best[vm] for vm in sorted(best))
 
 
 def backend_rows(tables: SharedTables) -> tuple[BackendRow, ...]:
-    """Return the backend servers with the load last heard of them."""
+    """Return the backend servers with their last reported load."""
     rows = []
     for name, server in sorted(tables.servers().items()):
         load = tables.load(name)
@@ -93,19 +96,19 @@
 ) -> tuple[VoterRow, ...]:
     """Return the members of a log as this process sees them.
 
-    Only the leader knows how far the others have come.
+    Only the leader knows the log index that the other members have reached.
     """
     rows = []
     for member in status.members:
-        own = member.member_id == status.member_id
-        silent_s = 0.0 if own else mesh.unheard_s(member.address)
+        is_own = member.member_id == status.member_id
+        silent_s = 0.0 if is_own else mesh.unheard_s(member.address)
         rows.append(
             VoterRow(
                 member.member_id,
                 *tables.control_name(member.address),
                 member.address,
                 _voter_role(member, status.leader_id),
-                status.applied_index if own else member.match_index,
+                status.applied_index if is_own else member.match_index,
                 int(min(silent_s, MAX_SILENT_S) * 1_000),
             )
         )
@@ -120,7 +123,7 @@
     return "follower" if member.voter else "learner"
 
 
-def _knows_more(row: NodeRow, other: NodeRow) -> bool:
+def _is_fresher(row: NodeRow, other: NodeRow) -> bool:
     return (bool(row.control), row.lease_left_ms) > (
         bool(other.control),
         other.lease_left_ms,
