--- a/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
@@ -12,9 +12,9 @@
 from sycamorestand_bench.fakes.ordered_engine import FakeOrderedEngine
 from sycamorestand_bench.fakes.weight_store import FakeWeightStore
 from sycamorestand_control.orders.planner import Inputs
-from sycamorestand_control.orders.planner import LEARN_S
 from sycamorestand_control.orders.planner import LoadPlanner
 from sycamorestand_control.orders.planner import PLAN_INTERVAL_S
+from sycamorestand_control.orders.planner import WARM_UP_S
 from sycamorestand_control.orders.weight_store import WeightStore
 from sycamorestand_model.backend_servers import LoadReport
 from sycamorestand_model.in_force import InForce
@@ -68,7 +68,7 @@
     async def lead(self) -> None:
         self.cluster.now_s = 5_000.0
         await self.leader.elect()
-        self.cluster.now_s += LEARN_S
+        self.cluster.now_s += WARM_UP_S
 
     async def rounds(self, count: int = 1) -> list[Any]:
         """Plan so often, with announcements between, and return all."""
@@ -177,7 +177,7 @@
         world.announce()
         await world.leader.elect()
         assert world.planner.plan() == []
-        world.cluster.now_s += LEARN_S
+        world.cluster.now_s += WARM_UP_S
         assert world.planner.plan() != []
         world.leader.term = None
         assert world.planner.plan() == []
--- a/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture(autouse=True)
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(f"{PLANNER}.LEARN_S", 0.5)
+    monkeypatch.setattr(f"{PLANNER}.WARM_UP_S", 0.5)
     monkeypatch.setattr(f"{PLANNER}.PLAN_INTERVAL_S", 0.1)
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_backend.py
@@ -169,7 +169,7 @@
             while self._parts.configuration.revision < revision:
                 await anyio.sleep(CATCH_UP_PAUSE_S)
 
-    async def settle(self) -> None:
+    async def catch_up_with_leader(self) -> None:
         """Wait until this voter has applied every acknowledged change.
 
         The newest revision comes from the leader, which confirms its quorum
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
@@ -41,7 +41,7 @@
 PLAN_INTERVAL_S: Final = 3.0
 # A new leader has not heard of all servers and loads yet. What it does
 # not know of looks like a lack, and it would load elsewhere in its place.
-LEARN_S: Final = 15.0
+WARM_UP_S: Final = 15.0
 
 
 class Inputs(NamedTuple):
@@ -90,7 +90,7 @@
 
     def plan(self) -> list[Order]:
         """Return the orders to give now, at most one a server."""
-        if self._channel.leading_s() < LEARN_S:
+        if self._channel.leading_s() < WARM_UP_S:
             # What was averaged is of another time when it leads again.
             self._average = AverageDemand()
             return []
@@ -142,4 +142,4 @@
         )
 
 
-__all__ = ["Inputs", "LEARN_S", "LoadPlanner", "PLAN_INTERVAL_S"]
+__all__ = ["Inputs", "WARM_UP_S", "LoadPlanner", "PLAN_INTERVAL_S"]
