--- a/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
@@ -55,7 +55,7 @@
     settings = context.settings
     key = bearer_key(request.headers)
     if not (
-        _is_one_of(key, settings.backend_keys())
+        _matches_any(key, settings.backend_keys())
         or key_matches(key.decode("latin-1"), settings.backend_key_hash)
     ):
         context.metrics.announcements.inc({"result": "unauthorised"})
@@ -80,7 +80,7 @@
     return announcement
 
 
-def _is_one_of(key: bytes, keys: tuple[bytes, ...]) -> bool:
+def _matches_any(key: bytes, keys: tuple[bytes, ...]) -> bool:
     matches = [hmac.compare_digest(key, valid) for valid in keys]
     return any(matches)
 
@@ -103,10 +103,10 @@
 
 def _as_rows(content: dict[str, Any]) -> list[Any]:
     row = _as_row(content, Announcement)
-    place = Announcement._fields.index("load")
-    load = row[place]
+    load_index = Announcement._fields.index("load")
+    load = row[load_index]
     if isinstance(load, dict):
-        row[place] = _as_row(load, LoadReport)
+        row[load_index] = _as_row(load, LoadReport)
     elif "load" in content:
         raise msgspec.ValidationError("'load' must be an object")
     return row
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
@@ -27,7 +27,7 @@
 TOKENS_PER_PRICE: Final = 1_000_000
 LEDGER_RETRY_S: Final = 1.0
 # ``expired``: the key was charged so long ago that only that is known.
-CHARGED: Final = ("created", "exists", "expired")
+CHARGED_STATES: Final = ("created", "exists", "expired")
 RESEND_PAUSE_S: Final = 0.05
 
 
@@ -66,7 +66,7 @@
     A full shard, or a charge that it refuses, has charged nothing: the
     answer would go out unbilled. The caller asks again with its key.
     """
-    if result.state not in CHARGED:
+    if result.state not in CHARGED_STATES:
         raise LedgerFailed(
             f"the ledger took no charge ({result.state}); ask again with"
             " this key",
@@ -122,11 +122,11 @@
         cost_micros,
         0,
         0,
-        now_s(),
+        wall_now_s(),
     )
 
 
-def now_s() -> float:
+def wall_now_s() -> float:
     """Return the wall-clock time that records carry."""
     return time.time()
 
@@ -134,7 +134,7 @@
 __all__ = [
     "charge_once",
     "cost_micros",
-    "now_s",
+    "wall_now_s",
     "require_charged",
     "service_charge",
     "write_ledger",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/cache_events.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/cache_events.py
@@ -47,9 +47,9 @@
     if events.name not in context.control.backend_servers():
         raise BadRequest("'name' is no known backend server")
     now_s = time.monotonic()
-    cache_event = context.servers.cache_event
-    cache_event(events.name, events.stored, True, now_s)
-    cache_event(events.name, events.dropped, False, now_s)
+    record_cache_event = context.servers.record_cache_event
+    record_cache_event(events.name, events.stored, True, now_s)
+    record_cache_event(events.name, events.dropped, False, now_s)
     await responder.answer(200, JSON, b"{}")
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
@@ -10,10 +10,10 @@
 
 from sycamorestand_entry.callers import remaining_s
 from sycamorestand_entry.chat_request import engine_work
-from sycamorestand_entry.delivery import collect
+from sycamorestand_entry.delivery import collect_events
 from sycamorestand_entry.delivery import Delivery
-from sycamorestand_entry.delivery import give_collected
-from sycamorestand_entry.delivery import stream_directly
+from sycamorestand_entry.delivery import send_collected
+from sycamorestand_entry.delivery import stream_events
 from sycamorestand_entry.engine_run import EngineRun
 from sycamorestand_entry.engine_wire import EngineWork
 from sycamorestand_entry.errors import BadRequest
@@ -25,8 +25,8 @@
 from sycamorestand_entry.samples import rate_and_report
 from sycamorestand_entry.samples import rate_answer
 from sycamorestand_entry.samples import report
-from sycamorestand_entry.samples import Shown
-from sycamorestand_entry.samples import wants_rating
+from sycamorestand_entry.samples import RunSummary
+from sycamorestand_entry.samples import should_rate
 
 if TYPE_CHECKING:
     from sycamorestand_entry.chat_request import ChatRequest
@@ -53,13 +53,13 @@
     responder: Responder,
 ) -> None:
     """Run the steps that the learner asks for and give one answer."""
-    begin = first_step(context, chat, plan)
+    first = first_step(context, chat, plan)
     budget_s = chat.profile.max_added_latency_ms / 1000
     until_s = min(time.monotonic() + budget_s, chat.deadline_at_s)
     last = len(plan.versions) - 1
     spent_micros = 0
     escalated = False
-    for index in range(begin, last):
+    for index in range(first, last):
         step = Step(
             context,
             chat,
@@ -94,64 +94,71 @@
 async def _run_early_step(step: Step, until_s: float) -> int | None:
     """Return what the step cost, None where its answer went out."""
     context = step.context
-    run = EngineRun(context, _work(step))
+    run = EngineRun(context, _make_engine_work(step))
     begin_s = time.monotonic()
     rating = None
     accepted = False
     try:
-        events = await _collect(run, until_s)
+        events = await _collect_until(run, until_s)
         if events is not None:
-            rating, accepted = await _judge(step, run, events, until_s)
+            rating, accepted = await _rate_and_decide(
+                step, run, events, until_s
+            )
         if accepted:
-            await give_collected(_delivery(step, run), events or b"")
+            await send_collected(_make_delivery(step, run), events or b"")
             return None
         return run.cost_micros()
     finally:
         run.close()
         if run.done or run.failed:
-            shown = _shown(step, run, begin_s)
-            report(context, step.chat, shown, rating)
+            summary = _summarise_run(step, run, begin_s)
+            report(context, step.chat, summary, rating)
         result = "accepted" if accepted else "sent_on"
         context.metrics.cascade.inc({"result": result})
 
 
 async def _run_last_step(step: Step) -> None:
     context = step.context
-    run = EngineRun(context, _work(step))
-    rated = wants_rating(context, step.escalated)
-    kept: list[bytes] | None = [] if rated else None
-    run.kept = kept
+    run = EngineRun(context, _make_engine_work(step))
+    is_rated = should_rate(context, step.escalated)
+    events_copy: list[bytes] | None = [] if is_rated else None
+    run.events_copy = events_copy
     begin_s = time.monotonic()
     try:
         await run.start()
         if step.chat.stream:
-            await stream_directly(_delivery(step, run))
+            await stream_events(_make_delivery(step, run))
         else:
-            events = await collect(run)
-            await give_collected(_delivery(step, run), events)
+            events = await collect_events(run)
+            await send_collected(_make_delivery(step, run), events)
     finally:
         run.close()
-        _report_last(step, run, begin_s, kept)
+        _report_last_step(step, run, begin_s, events_copy)
 
 
-def _report_last(
-    step: Step, run: EngineRun, begin_s: float, kept: list[bytes] | None
+def _report_last_step(
+    step: Step, run: EngineRun, begin_s: float, events_copy: list[bytes] | None
 ) -> None:
     context = step.context
-    shown = _shown(step, run, begin_s)
-    if run.done and kept is not None:
+    summary = _summarise_run(step, run, begin_s)
+    if run.done and events_copy is not None:
         context.start_background(
-            rate_and_report, context, step.chat, run, shown, b"".join(kept)
+            rate_and_report,
+            context,
+            step.chat,
+            run,
+            summary,
+            b"".join(events_copy),
         )
     elif run.done or run.failed:
-        report(context, step.chat, shown, None)
+        report(context, step.chat, summary, None)
 
 
-async def _collect(run: EngineRun, until_s: float) -> bytes | None:
+async def _collect_until(run: EngineRun, until_s: float) -> bytes | None:
     try:
         with anyio.move_on_after(max(0.0, remaining_s(until_s))):
             await run.start()
-            return await collect(run)
+            return await collect_events(run)
     except BadRequest:
         raise
     except RequestError:
@@ -160,7 +167,7 @@
     return None
 
 
-async def _judge(
+async def _rate_and_decide(
     step: Step, run: EngineRun, events: bytes, until_s: float
 ) -> tuple[float | None, bool]:
     rating = None
@@ -172,12 +179,12 @@
     return rating, accepted
 
 
-def _work(step: Step) -> EngineWork:
+def _make_engine_work(step: Step) -> EngineWork:
     session_name = step.plan.session_name if step.plan.in_session else ""
     return engine_work(step.chat, step.version, session_name)
 
 
-def _delivery(step: Step, run: EngineRun) -> Delivery:
+def _make_delivery(step: Step, run: EngineRun) -> Delivery:
     return Delivery(
         step.context,
         step.chat,
@@ -189,8 +196,8 @@
     )
 
 
-def _shown(step: Step, run: EngineRun, begin_s: float) -> Shown:
-    return Shown(
+def _summarise_run(step: Step, run: EngineRun, begin_s: float) -> RunSummary:
+    return RunSummary(
         step.version,
         run.failed,
         run.first_byte_ms,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/chat_request.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/chat_request.py
@@ -126,8 +126,8 @@
     if not isinstance(content.get("stream", False), bool):
         findings.append("'stream' must be true or false")
     tokens = content.get("max_tokens")
-    sound = isinstance(tokens, int) and not isinstance(tokens, bool)
-    if tokens is not None and not (sound and 0 < tokens <= MAX_TOKENS):
+    is_integer = isinstance(tokens, int) and not isinstance(tokens, bool)
+    if tokens is not None and not (is_integer and 0 < tokens <= MAX_TOKENS):
         findings.append(f"'max_tokens' must be 1 to {MAX_TOKENS}")
     if findings:
         raise BadRequest("; ".join(findings))
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -55,7 +55,7 @@
 _LOG = logging.getLogger(__name__)
 MAX_ATTEMPTS: Final = 3
 SERVER_RETRY_S: Final = 1.0
-SETTLE_PAUSE_S: Final = 0.5
+RESEND_PAUSE_S: Final = 0.5
 
 
 class ClaimedCall:
@@ -77,7 +77,7 @@
         self._call = call
         self._service = service
         self._owner = _new_owner()
-        self._owner_spent = False
+        self._owner_used = False
         self._abandoned = False
 
     def abandon(self) -> None:
@@ -107,7 +107,7 @@
         except LedgerFailed:
             # The claim may be there all the same and would keep the key
             # from ever running.
-            self._settle_later([self._outcome("not_run")])
+            self._record_in_background([self._outcome("not_run")])
             raise
         if recorded is not None:
             await self._charge_recorded(recorded)
@@ -116,14 +116,14 @@
         try:
             answer = await self._dispatch_in_slot()
         except CallFailed as error:
-            self._settle_later([self._outcome("unknown")])
+            self._record_in_background([self._outcome("unknown")])
             raise BackendFailed(
                 f"the service gave no whole answer: {error}", run="unknown"
             ) from error
         except RequestError:
-            self._settle_later([self._outcome("not_run")])
+            self._record_in_background([self._outcome("not_run")])
             raise
-        await self._record(answer)
+        await self._record_answer(answer)
 
     async def _dispatch_in_slot(self) -> ServiceAnswer:
         slot = await acquire_slot(self._context, self._call)
@@ -155,7 +155,7 @@
             if not answer.not_run:
                 return answer
             self.run_state = "not_run"
-            self._owner_spent = True
+            self._owner_used = True
         raise Overloaded(
             "no backend server of the service took the call", SERVER_RETRY_S
         )
@@ -169,7 +169,7 @@
             server.address, context.settings.silent_idle_s
         )
         try:
-            held = await self._mark_dispatch(server)
+            held = await self._record_dispatch(server)
         except BaseException:
             connection.close()
             raise
@@ -177,7 +177,7 @@
         limit_s += context.settings.late_answer_s
         return await self._write(server, connection, limit_s, held)
 
-    async def _mark_dispatch(self, server: Announcement) -> bool:
+    async def _record_dispatch(self, server: Announcement) -> bool:
         call = self._call
         records = self._renewed_claim()
         records.append(
@@ -193,12 +193,12 @@
         dispatch from a late first one. Outcome, claim and dispatch go in
         one batch, so that no other attempt comes in between.
         """
-        if not self._owner_spent:
+        if not self._owner_used:
             return []
         call = self._call
         outcome = self._outcome("not_run")
         self._owner = _new_owner()
-        self._owner_spent = False
+        self._owner_used = False
         content = fingerprint(call.method.encode(), call.target, call.body)
         claim = make_claim(
             call.customer, call.request_key, content, self._owner
@@ -236,7 +236,7 @@
             self.run_state = "not_run"
             raise
 
-    async def _record(self, answer: ServiceAnswer) -> None:
+    async def _record_answer(self, answer: ServiceAnswer) -> None:
         recorded = RecordedAnswer(
             answer.status, answer.content_type, answer.body
         )
@@ -248,7 +248,7 @@
         try:
             results = await write_ledger(self._context, records, run="ran")
         except LedgerFailed:
-            self._settle_later(records)
+            self._record_in_background(records)
             raise
         if charged:
             self._context.metrics.charges.inc({"state": results[1].state})
@@ -281,15 +281,19 @@
             answer=answer.body,
         )
 
-    def _settle_later(self, records: list[LedgerRecord]) -> None:
-        self._context.start_background(_settle, self._context, records)
+    def _record_in_background(self, records: list[LedgerRecord]) -> None:
+        self._context.start_background(
+            _record_until_durable, self._context, records
+        )
 
 
 def _new_owner() -> str:
     return secrets.token_hex(8)
 
 
-async def _settle(context: EntryContext, records: list[LedgerRecord]) -> None:
+async def _record_until_durable(
+    context: EntryContext, records: list[LedgerRecord]
+) -> None:
     with anyio.move_on_after(context.settings.late_answer_s):
         while True:
             try:
@@ -297,7 +301,7 @@
                 return
             except LedgerUnavailable:
                 context.metrics.ledger_failures.inc({})
-                await anyio.sleep(SETTLE_PAUSE_S)
+                await anyio.sleep(RESEND_PAUSE_S)
     _LOG.error("outcome not recorded", extra={"records": len(records)})
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from typing import TYPE_CHECKING
 
-from sycamorestand_entry.billing import now_s
+from sycamorestand_entry.billing import wall_now_s
 from sycamorestand_entry.billing import write_ledger
 from sycamorestand_entry.errors import AnswerNotKept
 from sycamorestand_entry.errors import KeyReused
@@ -72,7 +72,7 @@
     customer: str, request_key: str, content: str, owner: str
 ) -> Claim:
     """Return the claim of one attempt."""
-    return Claim(customer, request_key, content, owner, now_s())
+    return Claim(customer, request_key, content, owner, wall_now_s())
 
 
 def _read_result(result: LedgerResult) -> RecordedAnswer:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -74,15 +74,15 @@
         self.answer_times = AnswerTimes()
         self.prefill_rates = PrefillRates()
         self.cascade = CascadeLearner()
-        control.add_listener(SharedRatings, self._ratings_told)
+        control.add_listener(SharedRatings, self._on_ratings)
         self.staying = RetainedSessions(settings.session_idle_s)
-        control.add_listener(SessionsStay, self._sessions_told)
-        self._delays: dict[tuple[str, bool], QueueDelay] = {}
-        self._pauses: dict[str, QueueDelay] = {}
+        control.add_listener(SessionsStay, self._on_sessions)
+        self._queue_delays: dict[tuple[str, bool], QueueDelay] = {}
+        self._event_gaps: dict[str, QueueDelay] = {}
         self.start_hold = StartHold()
         self.pins: dict[tuple[str, str], str] = {}
         self.stopping = False
-        self._ends_at_s = math.inf
+        self._stop_deadline_s = math.inf
 
     def now_s(self) -> float:
         """Return the time of the monotonic clock."""
@@ -93,11 +93,11 @@
         self.stopping = True
         limit_s = self.settings.stop_limit_s
         if limit_s:
-            self._ends_at_s = self.now_s() + limit_s - STOP_MARGIN_S
+            self._stop_deadline_s = self.now_s() + limit_s - STOP_MARGIN_S
 
     def stop_deadline_s(self) -> float:
         """Return by when answers must be whole, infinity if none must."""
-        return self._ends_at_s
+        return self._stop_deadline_s
 
     def has_other_serving_entry(self) -> bool:
         """Tell whether another entry that does not stop is known."""
@@ -106,21 +106,23 @@
             for address in self.control.addresses()
         )
 
-    def queue_delay(self, service: str, quick: bool) -> QueueDelay:
+    def queue_delay(self, service: str, short_prefill: bool) -> QueueDelay:
         """Return the wait at a service's servers, by length of reading.
 
         ``quick`` readings are read before the others.
         """
-        return self._delays.setdefault((service, quick), QueueDelay())
+        return self._queue_delays.setdefault(
+            (service, short_prefill), QueueDelay()
+        )
 
     def event_gap(self, service: str) -> QueueDelay:
         """Return the wait for the next event of a service's streams."""
-        return self._pauses.setdefault(service, QueueDelay())
+        return self._event_gaps.setdefault(service, QueueDelay())
 
-    def _ratings_told(self, message: SharedRatings) -> None:
+    def _on_ratings(self, message: SharedRatings) -> None:
         self.cascade.observe_ratings(message.ratings)
 
-    def _sessions_told(self, message: SessionsStay) -> None:
+    def _on_sessions(self, message: SessionsStay) -> None:
         step = Step(message.service, message.version, message.step)
         self.staying.retain(step, message.places)
 
@@ -132,10 +134,10 @@
         A fault in it is logged and ends nothing else: in a task group it
         would end the process with all of its requests.
         """
-        self._background.start_soon(_guard, function, arguments)
+        self._background.start_soon(_run_logged, function, arguments)
 
 
-async def _guard(
+async def _run_logged(
     function: Callable[..., Awaitable[None]], arguments: tuple[Any, ...]
 ) -> None:
     try:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/delivery.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/delivery.py
@@ -10,7 +10,7 @@
 
 from sycamorestand_entry.answers import assemble
 from sycamorestand_entry.billing import charge_once
-from sycamorestand_entry.billing import now_s
+from sycamorestand_entry.billing import wall_now_s
 from sycamorestand_entry.errors import BackendFailed
 from sycamorestand_entry.errors import RequestError
 from sycamorestand_entry.http_messages import error_content
@@ -42,7 +42,7 @@
     cost_micros: int
 
 
-async def collect(run: EngineRun) -> bytes:
+async def collect_events(run: EngineRun) -> bytes:
     """Return all events of a run, none of an attempt that was dropped."""
     parts: list[bytes] = []
     attempt = run.attempt
@@ -54,7 +54,7 @@
     return b"".join(parts)
 
 
-async def stream_directly(delivery: Delivery) -> None:
+async def stream_events(delivery: Delivery) -> None:
     """Forward events as they come; what fails then is told as an event."""
     run = delivery.run
     responder = delivery.responder
@@ -65,10 +65,10 @@
                 run.write_now = responder.write_now
                 await responder.start(200, _headers(delivery, EVENT_STREAM))
             await responder.write(events)
-        ending = await _charge(delivery)
+        final_event = await _charge(delivery)
         if not run.released:
             await responder.start(200, _headers(delivery, EVENT_STREAM))
-        await responder.finish(encode_event(ending) + DONE)
+        await responder.finish(encode_event(final_event) + DONE)
     except RequestError as error:
         if not responder.started:
             raise
@@ -77,24 +77,24 @@
         raise
 
 
-async def give_collected(delivery: Delivery, events: bytes) -> None:
+async def send_collected(delivery: Delivery, events: bytes) -> None:
     """Give an answer that is whole already, in the form asked for."""
     responder = delivery.responder
     if delivery.chat.stream:
-        ending = await _charge(delivery)
+        final_event = await _charge(delivery)
         await responder.start(200, _headers(delivery, EVENT_STREAM))
-        await responder.finish(events + encode_event(ending) + DONE)
+        await responder.finish(events + encode_event(final_event) + DONE)
         return
     try:
         answer = assemble(events)
     except MalformedStream as error:
         # Found before the charge: what can't be given isn't billed.
         raise BackendFailed(f"the answer is malformed: {error}") from None
-    ending = await _charge(delivery)
-    answer["usage"] = ending.get("usage")
-    answer["sycamorestand"] = ending["sycamorestand"]
+    final_event = await _charge(delivery)
+    answer["usage"] = final_event.get("usage")
+    answer["sycamorestand"] = final_event["sycamorestand"]
     body = msgspec.json.encode(answer)
-    cost = ending["sycamorestand"]["cost_micros"]
+    cost = final_event["sycamorestand"]["cost_micros"]
     headers = _headers(delivery, JSON)
     headers.append((b"content-length", b"%d" % len(body)))
     headers.append((b"x-cost-micros", b"%d" % cost))
@@ -116,10 +116,10 @@
             delivery.cost_micros + run.cost_micros(),
             usage.input_tokens,
             usage.output_tokens,
-            now_s(),
+            wall_now_s(),
         ),
     )
-    ending = run.ending or {
+    final_event = run.final_event or {
         "choices": [],
         "usage": {
             "prompt_tokens": usage.input_tokens,
@@ -127,13 +127,13 @@
             "total_tokens": sum(usage),
         },
     }
-    ending["sycamorestand"] = {
+    final_event["sycamorestand"] = {
         "cost_micros": cost,
         "version": delivery.version,
         "request_key": chat.request_key,
         "session_token": _session_token(delivery),
     }
-    return ending
+    return final_event
 
 
 def _session_token(delivery: Delivery) -> str:
@@ -144,13 +144,15 @@
     return sign_session(session, key)
 
 
-def _headers(delivery: Delivery, kind: bytes) -> list[tuple[bytes, bytes]]:
+def _headers(
+    delivery: Delivery, content_type: bytes
+) -> list[tuple[bytes, bytes]]:
     return [
-        (b"content-type", kind),
+        (b"content-type", content_type),
         (b"x-request-key", delivery.chat.request_key.encode()),
         (b"x-session-token", _session_token(delivery).encode()),
         (b"x-version", delivery.version.encode()),
     ]
 
 
-__all__ = ["collect", "Delivery", "give_collected", "stream_directly"]
+__all__ = ["collect_events", "Delivery", "send_collected", "stream_events"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -50,7 +50,7 @@
     ``attempt`` grows with each start from the beginning, so that a
     consumer that collects the answer drops what it has. ``write_now``
     may be set with the first release; events then go through it. A list
-    in ``kept`` gets a copy of the answer's events. ``failed`` is only
+    in ``events_copy`` gets a copy of the answer's events. ``failed`` is only
     set where backend servers are at fault, for those who judge versions.
     """
 
@@ -59,7 +59,7 @@
         self.released = False
         self.done = False
         self.failed = False
-        self.kept: list[bytes] | None = None
+        self.events_copy: list[bytes] | None = None
         self.write_now: Sink | None = None
         self.attempt = 0
         self.first_byte_ms = 0.0
@@ -82,9 +82,9 @@
         return self._reader.usage
 
     @property
-    def ending(self) -> dict[str, Any]:
+    def final_event(self) -> dict[str, Any]:
         """The engine's last event, empty where it sent none."""
-        return self._reader.ending
+        return self._reader.final_event
 
     async def start(self) -> None:
         """Wait for a slot and dispatch the request, or refuse."""
@@ -110,8 +110,8 @@
         while not self.done:
             try:
                 if events := await self._read_events():
-                    if self.kept is not None:
-                        self.kept.append(events)
+                    if self.events_copy is not None:
+                        self.events_copy.append(events)
                     return events
             except (UpstreamError, MalformedStream) as error:
                 await self._recover(error)
@@ -119,8 +119,8 @@
 
     def close(self) -> None:
         """Give server and slot back; a run that goes on is cancelled."""
-        self._leave_server("ok" if self.done else "cancelled")
-        self._give_slot_back()
+        self._release_server("ok" if self.done else "cancelled")
+        self._release_slot()
 
     def cost_micros(self) -> int:
         """Return the price of the tokens of a whole answer."""
@@ -135,8 +135,8 @@
         # may have gone silent while new ones work.
         idle_s = settings.pool_idle_s if self._attempts == 0 else 0.0
         self._attempts += 1
-        server, connection = await self._pass_gate(resume, idle_s)
-        self._enter_server(server, connection)
+        server, connection = await self._acquire_server(resume, idle_s)
+        self._record_dispatch(server, connection)
         if not resume:
             self._run_id = secrets.token_hex(8)
         connection.send(
@@ -145,16 +145,16 @@
             )
         )
         head = await connection.read_head(
-            self._limit_s(settings.first_byte_timeout_s)
+            self._limit_to_deadline_s(settings.first_byte_timeout_s)
         )
-        self._note_first_byte(server)
+        self._record_first_byte(server)
         try:
             check_head(head, self._reader.events if resume else None)
         except Overloaded:
-            self._leave_server("overloaded")
+            self._release_server("overloaded")
             raise
 
-    async def _pass_gate(
+    async def _acquire_server(
         self, resume: bool, idle_s: float
     ) -> tuple[Announcement, UpstreamConnection]:
         while True:
@@ -177,7 +177,7 @@
             # It left while the connection was made; nothing was sent.
             self._failed_servers.add(server.name)
 
-    def _note_first_byte(self, server: Announcement) -> None:
+    def _record_first_byte(self, server: Announcement) -> None:
         now_s = time.monotonic()
         latency_s = now_s - self._dispatched_s
         if not self.first_byte_ms:
@@ -188,9 +188,9 @@
 
     async def _read_events(self) -> bytes:
         assert self._connection is not None
-        self._reader.check()
+        self._reader.raise_failure()
         data = await self._connection.read_body(
-            self._limit_s(self._context.settings.chunk_gap_s),
+            self._limit_to_deadline_s(self._context.settings.chunk_gap_s),
             remaining_s(self._work.deadline_at_s),
             self._forward if self.write_now is not None else None,
         )
@@ -207,9 +207,9 @@
         assert self.write_now is not None
         if not self.write_now(data):
             return False
-        if self.kept is not None:
-            self.kept.append(data)
-        self._reader.count(data)
+        if self.events_copy is not None:
+            self.events_copy.append(data)
+        self._reader.count_forwarded(data)
         return True
 
     def _finish(self) -> None:
@@ -221,14 +221,14 @@
         while True:
             sent = self._connection is not None
             self._may_have_run = self._may_have_run or sent
-            resume = self._may_resume()
-            self._leave_server(_outcome_of(error))
-            self._check_attempts(error, resume, sent)
+            resume = self._can_resume()
+            self._release_server(_outcome_of(error))
+            self._check_recovery_allowed(error, resume, sent)
             if not resume:
-                self._forget_attempt()
+                self._reset_attempt()
             kind = "resumed" if resume else "restarted"
             self._context.metrics.recoveries.inc({"kind": kind})
-            self._reader.go_on()
+            self._reader.expect_rest()
             try:
                 await self._dispatch(resume)
                 return
@@ -237,7 +237,7 @@
             except RequestError as refusal:
                 raise correct_run_state(refusal, self._may_have_run) from None
 
-    def _may_resume(self) -> bool:
+    def _can_resume(self) -> bool:
         server = self._server
         return (
             server is not None
@@ -245,20 +245,22 @@
             and self._reader.events > 0
         )
 
-    def _check_attempts(
+    def _check_recovery_allowed(
         self, error: Exception, resume: bool, sent: bool
     ) -> None:
-        late = remaining_s(self._work.deadline_at_s) <= 0
+        past_deadline = remaining_s(self._work.deadline_at_s) <= 0
         # After a part of the answer has been released, another run would
         # put the rest of a different answer behind it.
         unsafe = self.released and not resume
-        allowed = not late and not unsafe and self._attempts < MAX_ATTEMPTS
+        allowed = (
+            not past_deadline and not unsafe and self._attempts < MAX_ATTEMPTS
+        )
         if allowed and (resume or not sent or self._spend_retry(error)):
             return
         self.failed = self._may_have_run
         self._context.metrics.recoveries.inc({"kind": "broken"})
         run: Run = "unknown" if self._may_have_run else "not_run"
-        if late:
+        if past_deadline:
             raise DeadlineExceeded("the deadline passed", run=run) from error
         raise BackendFailed(
             f"the backend server failed: {error}", SERVER_RETRY_S, run
@@ -275,14 +277,14 @@
         self._context.metrics.retries.inc({"result": result})
         return granted
 
-    def _forget_attempt(self) -> None:
+    def _reset_attempt(self) -> None:
         if self._server is not None:
             self._failed_servers.add(self._server.name)
         self._server = None
-        self._reader.begin_again()
+        self._reader.restart()
         self.attempt += 1
-        if self.kept is not None:
-            self.kept.clear()
+        if self.events_copy is not None:
+            self.events_copy.clear()
 
     def _choose_server(self) -> Announcement:
         return self._context.servers.choose(
@@ -293,7 +295,7 @@
             again=True,
         )
 
-    def _enter_server(
+    def _record_dispatch(
         self, server: Announcement, connection: UpstreamConnection
     ) -> None:
         self._connection = connection
@@ -304,7 +306,7 @@
         )
         self._context.metrics.dispatches.inc({"version": version})
 
-    def _leave_server(self, outcome: Outcome) -> None:
+    def _release_server(self, outcome: Outcome) -> None:
         if self._server is None or self._connection is None:
             return
         now_s = time.monotonic()
@@ -321,7 +323,7 @@
             self._connection.close()
         self._connection = None
 
-    def _give_slot_back(self) -> None:
+    def _release_slot(self) -> None:
         if self._slot is None:
             return
         if self.done:
@@ -343,7 +345,7 @@
             in_session=work.in_session,
         )
 
-    def _limit_s(self, limit_s: float) -> float:
+    def _limit_to_deadline_s(self, limit_s: float) -> float:
         return max(0.0, min(limit_s, remaining_s(self._work.deadline_at_s)))
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
@@ -42,7 +42,11 @@
 
 
 def encode_engine_request(
-    work: EngineWork, server: Announcement, run_id: str, resume: bool, at: int
+    work: EngineWork,
+    server: Announcement,
+    run_id: str,
+    resume: bool,
+    resume_from: int,
 ) -> bytes:
     """Return the bytes of a request, or of one for the rest of a run."""
     lines = [
@@ -60,7 +64,7 @@
         lines.append(f"X-Prefix-Key: {work.affinity_key}")
     if resume:
         lines.append(f"X-Resume-Run: {run_id}")
-        lines.append(f"X-Resume-From: {at}")
+        lines.append(f"X-Resume-From: {resume_from}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + work.body
 
 
@@ -73,11 +77,11 @@
     """
     if head.status == 200:
         if resumed_at is not None:
-            told = head.headers.get(RESUMED_HEADER, b"")
-            if told != b"%d" % resumed_at:
+            resumed_from = head.headers.get(RESUMED_HEADER, b"")
+            if resumed_from != b"%d" % resumed_at:
                 raise MalformedAnswer("it resumed from another event")
-        kind = head.headers.get(b"content-type", b"")
-        if kind.startswith(b"text/event-stream"):
+        content_type = head.headers.get(b"content-type", b"")
+        if content_type.startswith(b"text/event-stream"):
             return
         raise MalformedAnswer("its answer is no event stream")
     if head.status in (429, 503):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
@@ -8,7 +8,7 @@
 from sycamorestand_entry.sse import decode_event
 from sycamorestand_entry.sse import DONE
 from sycamorestand_entry.sse import EVENT_END
-from sycamorestand_entry.sse import EventCutter
+from sycamorestand_entry.sse import EventBuffer
 from sycamorestand_entry.sse import is_plain
 from sycamorestand_entry.sse import MalformedStream
 from sycamorestand_entry.sse import read_usage
@@ -30,11 +30,11 @@
         self.done = False
         self.events = 0
         self.usage: Usage | None = None
-        self.ending: dict[str, Any] = {}
-        self._cutter = EventCutter()
+        self.final_event: dict[str, Any] = {}
+        self._buffer = EventBuffer()
         self._failure: MalformedStream | None = None
 
-    def check(self) -> None:
+    def raise_failure(self) -> None:
         """Raise what was found behind the events returned last."""
         if self._failure is not None:
             raise self._failure
@@ -43,33 +43,33 @@
         """Return the whole events to pass on."""
         if not data:
             raise MalformedStream("the stream ended without its last event")
-        events = self._cutter.feed(data)
+        events = self._buffer.feed(data)
         if not events:
             return b""
         if is_plain(events):
             self.events += events.count(EVENT_END)
             return events
-        return self._read_each(events)
+        return self._read_events(events)
 
     def is_forwardable(self, data: bytes) -> bool:
         """Tell whether a read is whole events of plain text."""
-        return self._cutter.is_whole(data) and is_plain(data)
+        return self._buffer.is_whole(data) and is_plain(data)
 
-    def count(self, data: bytes) -> None:
+    def count_forwarded(self, data: bytes) -> None:
         """Count events that were passed on without `feed`."""
         self.events += data.count(EVENT_END)
 
-    def go_on(self) -> None:
+    def expect_rest(self) -> None:
         """Expect the rest of the answer on another connection."""
-        self._cutter = EventCutter()
+        self._buffer = EventBuffer()
         self._failure = None
 
-    def begin_again(self) -> None:
+    def restart(self) -> None:
         """Expect another answer from its beginning."""
-        self.go_on()
+        self.expect_rest()
         self.events = 0
         self.usage = None
-        self.ending = {}
+        self.final_event = {}
 
     def estimate_usage(self, sent_bytes: int) -> bool:
         """Fill in a missing usage; tell whether it was missing."""
@@ -80,11 +80,11 @@
         self.usage = Usage(sent_bytes // BYTES_PER_TOKEN, self.events)
         return True
 
-    def _read_each(self, events: bytes) -> bytes:
+    def _read_events(self, events: bytes) -> bytes:
         plain: list[bytes] = []
         try:
             for event in split_events(events):
-                self._read(event, plain)
+                self._read_event(event, plain)
         except MalformedStream as error:
             # What came whole before it has been counted, so it must go
             # out before the run is resumed behind it.
@@ -93,7 +93,7 @@
                 raise
         return b"".join(plain)
 
-    def _read(self, event: bytes, plain: list[bytes]) -> None:
+    def _read_event(self, event: bytes, plain: list[bytes]) -> None:
         if self.done or event.startswith(b":"):
             return
         if event == DONE:
@@ -107,7 +107,7 @@
             self.usage = usage
             # Some engines count in events that carry text as well.
             if not content.get("choices"):
-                self.ending = content
+                self.final_event = content
                 return
         self.events += 1
         plain.append(event)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
@@ -107,11 +107,11 @@
         headers: list[tuple[bytes, bytes]] | None = None,
     ) -> None:
         """Send a whole answer."""
-        whole = [
+        all_headers = [
             (b"content-type", content_type),
             (b"content-length", b"%d" % len(body)),
         ]
-        await self.start(status, whole + (headers or []))
+        await self.start(status, all_headers + (headers or []))
         await self.finish(body)
 
     async def refuse(self, error: RequestError) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
@@ -52,7 +52,7 @@
         self, transport: asyncio.Transport
     ) -> None:
         super().connection_made(transport)
-        self._await_head()
+        self._begin_head()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._end_head()
@@ -70,7 +70,7 @@
         return (self._in_head and self._head_bytes > 0) or super().has_unread()
 
     def on_message_begin(self) -> None:
-        self._await_head()
+        self._begin_head()
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
@@ -95,12 +95,12 @@
         # A caller that does not read would keep it open for good.
         self.loop.call_later(ABORT_S, transport.abort)
 
-    def _await_head(self) -> None:
+    def _begin_head(self) -> None:
         self._end_head()
         self._in_head = True
         self._head_bytes = 0
         self._head_timer = self.loop.call_later(
-            self.head_timeout_s, self._give_up_head
+            self.head_timeout_s, self._time_out_head
         )
 
     def _end_head(self) -> None:
@@ -109,7 +109,7 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _give_up_head(self) -> None:
+    def _time_out_head(self) -> None:
         self._refuse(RequestTimeout("the request's head did not come"))
 
     def send_400_response(self, msg: str) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/repeatable.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
@@ -27,7 +27,7 @@
 SERVER_RETRY_S: Final = 1.0
 
 
-async def call_repeatable(
+async def call_idempotent(
     context: EntryContext, call: ServiceCall
 ) -> ServiceAnswer:
     """Return the service's answer, or refuse."""
@@ -100,4 +100,4 @@
     return granted
 
 
-__all__ = ["call_repeatable"]
+__all__ = ["call_idempotent"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
@@ -129,8 +129,8 @@
 def _rank(
     context: EntryContext, address: EntryAddress
 ) -> tuple[bool, float, str]:
-    elsewhere = address.data_centre != context.settings.data_centre
-    return (elsewhere, round(address.load, 1), address.vm)
+    other_data_centre = address.data_centre != context.settings.data_centre
+    return (other_data_centre, round(address.load, 1), address.vm)
 
 
 async def _answer_json(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
@@ -34,7 +34,7 @@
         self._control = control
         self._now_s = now_s
         self._answered = anyio.Event()
-        control.add_listener(ArrivalsLent, self._lent)
+        control.add_listener(ArrivalsLent, self._on_lent)
 
     def trade(self, needed: str = "") -> None:
         """Send the control process a trade, where one is due.
@@ -54,7 +54,7 @@
             with anyio.move_on_after(ANSWER_WAIT_S):
                 await self._answered.wait()
 
-    def _lent(self, message: ArrivalsLent) -> None:
+    def _on_lent(self, message: ArrivalsLent) -> None:
         self._budget.close_trade(message.number, message.lent)
         self._answered.set()
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
@@ -93,7 +93,7 @@
         )
 
     def count_routed_request(
-        self, kind: str, result: str, took_s: float, first_byte_s: float
+        self, kind: str, result: str, duration_s: float, first_byte_s: float
     ) -> None:
         """Count a routed request and its times.
 
@@ -101,7 +101,7 @@
         label with its buckets is kept for good.
         """
         self.requests.inc({"interface": "routed", "result": result})
-        self._duration.add({"kind": kind}, took_s)
+        self._duration.add({"kind": kind}, duration_s)
         if first_byte_s >= 0:
             self._first_byte.add({"kind": kind}, first_byte_s)
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
@@ -10,7 +10,7 @@
 from sycamorestand_decisions.cascade import StepPrice
 from sycamorestand_decisions.versions import choose_version
 from sycamorestand_entry.billing import cost_micros
-from sycamorestand_entry.billing import now_s
+from sycamorestand_entry.billing import wall_now_s
 from sycamorestand_entry.billing import write_ledger
 from sycamorestand_entry.claims import FULL_RETRY_S
 from sycamorestand_entry.errors import NotAllowed
@@ -33,9 +33,9 @@
 
 # A pin never changes, so it may be remembered; the bound keeps callers
 # that invent session names from filling the memory.
-MAX_REMEMBERED_PINS: Final = 10_000
+MAX_CACHED_PINS: Final = 10_000
 VERSION_RETRY_S: Final = 5.0
-UNIT: Final = 2.0**32
+HASH_RANGE: Final = 2.0**32
 
 
 class Plan(NamedTuple):
@@ -66,7 +66,7 @@
     else:
         name = options.session_name
         version = await _pinned_version(context, chat)
-    refusal = _refusal(context, chat, version, in_session=True)
+    refusal = _find_refusal(context, chat, version, in_session=True)
     if refusal is not None:
         raise refusal
     return Plan((version,), (len(chat.profile.steps) - 1,), name, True)
@@ -78,31 +78,31 @@
     # Without a rating service nothing could accept an earlier step.
     if plan.in_session or not last or not context.rating.configured:
         return last
-    begin = context.cascade.first_step(
+    begin_step = context.cascade.first_step(
         chat.profile,
         chat.request_class,
         _step_prices(context, chat, plan),
         0.0,
         context.random,
     )
-    later = [i for i, step in enumerate(plan.steps) if step >= begin]
-    return later[0] if later else last
+    remaining = [i for i, step in enumerate(plan.steps) if step >= begin_step]
+    return remaining[0] if remaining else last
 
 
 async def _pinned_version(context: EntryContext, chat: ChatRequest) -> str:
     key = (chat.customer.name, chat.options.session_name)
-    known = context.pins.get(key)
-    if known is not None:
-        return known
+    cached = context.pins.get(key)
+    if cached is not None:
+        return cached
     # Two entries may see the first request of a session at once. The
     # ledger keeps one version and tells it to both.
     plan = _plan_steps(context, chat)
     offered = plan.versions[_session_step(context, chat, plan)]
-    pin = Pin(*key, offered, now_s())
+    pin = Pin(*key, offered, wall_now_s())
     result = (await write_ledger(context, [pin], run="not_run"))[0]
     if not result.version:
         raise Overloaded("the ledger takes no new sessions now", FULL_RETRY_S)
-    if len(context.pins) >= MAX_REMEMBERED_PINS:
+    if len(context.pins) >= MAX_CACHED_PINS:
         context.pins.clear()
     context.pins[key] = result.version
     return result.version
@@ -111,7 +111,7 @@
 def _session_step(context: EntryContext, chat: ChatRequest, plan: Plan) -> int:
     # A session can't escalate later, so its version must meet the
     # quality target by itself: a call of exactly one step.
-    begin = context.cascade.first_step(
+    begin_step = context.cascade.first_step(
         chat.profile,
         chat.request_class,
         _step_prices(context, chat, plan),
@@ -119,20 +119,20 @@
         context.random,
         idempotent=False,
     )
-    later = [i for i, step in enumerate(plan.steps) if step >= begin]
-    return later[0] if later else len(plan.versions) - 1
+    remaining = [i for i, step in enumerate(plan.steps) if step >= begin_step]
+    return remaining[0] if remaining else len(plan.versions) - 1
 
 
 def _plan_steps(context: EntryContext, chat: ChatRequest) -> Plan:
-    found = [
+    step_versions = [
         (_step_version(context, chat, step), index)
         for index, step in enumerate(chat.profile.steps)
     ]
-    usable = [(version, index) for version, index in found if version]
+    usable = [(version, index) for version, index in step_versions if version]
     if usable:
         versions, steps = zip(*usable, strict=True)
         return Plan(versions, steps, "")
-    if not _any_allowed(chat):
+    if not _has_allowed_version(chat):
         raise NotAllowed("you may use no version of this profile")
     raise NoVersion(
         "every version that you may use is withdrawn", VERSION_RETRY_S
@@ -149,19 +149,21 @@
     allowed = [
         identity
         for identity in (version_id(model.name, n) for n in model.versions)
-        if _refusal(context, chat, identity, in_session=False) is None
+        if _find_refusal(context, chat, identity, in_session=False) is None
     ]
-    chosen = choose_version(model, in_force, _unit(chat, model), allowed)
+    chosen = choose_version(
+        model, in_force, _rollout_position(chat, model), allowed
+    )
     if chosen is not None:
         return chosen
     # The stable version is withdrawn or not this customer's. Another one
     # that the customer may use serves, but none that a roll-out holds.
-    held = _rolled_out(in_force, model)
-    others = [identity for identity in allowed if identity not in held]
+    in_rollout = _rollout_versions(in_force, model)
+    others = [identity for identity in allowed if identity not in in_rollout]
     return others[0] if others else ""
 
 
-def _rolled_out(in_force: InForce, model: Model) -> set[str]:
+def _rollout_versions(in_force: InForce, model: Model) -> set[str]:
     """Return the versions that only a roll-out may give work to.
 
     Also the one whose roll-out is declared and has not begun: with the
@@ -177,11 +179,11 @@
     return {version_id(model.name, name) for name in names}
 
 
-def _unit(chat: ChatRequest, model: Model) -> float:
+def _rollout_position(chat: ChatRequest, model: Model) -> float:
     # A request that is sent again with its key meets the same version.
     name = chat.options.session_name or chat.request_key
     text = f"{chat.customer.name}/{name}/{model.name}"
-    return crc32(text.encode()) / UNIT
+    return crc32(text.encode()) / HASH_RANGE
 
 
 def _step_prices(
@@ -198,7 +200,7 @@
     return prices
 
 
-def _any_allowed(chat: ChatRequest) -> bool:
+def _has_allowed_version(chat: ChatRequest) -> bool:
     models = {step.model for step in chat.profile.steps}
     return any(
         identity.partition("@")[0] in models
@@ -206,7 +208,7 @@
     )
 
 
-def _refusal(
+def _find_refusal(
     context: EntryContext,
     chat: ChatRequest,
     identity: str,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
@@ -23,7 +23,7 @@
 RATED_SHARE: Final = 0.2
 
 
-class Shown(NamedTuple):
+class RunSummary(NamedTuple):
     """One run as it ended."""
 
     version: str
@@ -34,7 +34,7 @@
     escalated: bool
 
 
-def wants_rating(context: EntryContext, escalated: bool) -> bool:
+def should_rate(context: EntryContext, escalated: bool) -> bool:
     """Tell whether an answer that goes out unrated is rated later.
 
     Those that an earlier step failed on are rare and are all rated.
@@ -65,30 +65,30 @@
 def report(
     context: EntryContext,
     chat: ChatRequest,
-    shown: Shown,
+    summary: RunSummary,
     rating: float | None,
 ) -> None:
     """Tell the cascade, and the control process, what a run showed."""
-    if not shown.failed:
+    if not summary.failed:
         context.cascade.observe(
             chat.profile.name,
-            shown.version,
+            summary.version,
             chat.request_class,
             None if rating is None else rating >= PASS_RATING,
-            shown.cost_micros,
-            shown.total_ms,
-            shown.escalated,
+            summary.cost_micros,
+            summary.total_ms,
+            summary.escalated,
         )
     context.control.report(
         VersionSample(
-            shown.version,
+            summary.version,
             chat.request_class,
-            shown.failed,
-            shown.first_token_ms,
-            shown.total_ms,
+            summary.failed,
+            summary.first_token_ms,
+            summary.total_ms,
             rating,
-            shown.cost_micros,
-            shown.escalated,
+            summary.cost_micros,
+            summary.escalated,
         )
     )
 
@@ -97,18 +97,18 @@
     context: EntryContext,
     chat: ChatRequest,
     run: EngineRun,
-    shown: Shown,
+    summary: RunSummary,
     events: bytes,
 ) -> None:
     """Rate an answer that has gone out, and report it with the rating."""
     rating = await rate_answer(context, chat, run, events)
-    report(context, chat, shown, rating)
+    report(context, chat, summary, rating)
 
 
 __all__ = [
     "rate_and_report",
     "rate_answer",
     "report",
-    "Shown",
-    "wants_rating",
+    "RunSummary",
+    "should_rate",
 ]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
@@ -54,10 +54,10 @@
     async def wait_for_stop(self) -> None:
         """Return when new connections need not be accepted any more."""
         await self._stop.wait()
-        await anyio.sleep(accepting_s(self.context.settings))
+        await anyio.sleep(accept_period_s(self.context.settings))
 
 
-def accepting_s(settings: EntrySettings) -> float:
+def accept_period_s(settings: EntrySettings) -> float:
     """Return how long a stopping entry still takes new connections.
 
     Other entries go on handing out its address until they hear of the
@@ -71,7 +71,7 @@
     settings: EntrySettings,
     control: ControlPort,
     random: Random | None = None,
-    make: Callable[[EntryContext], Any] = make_application,
+    application_factory: Callable[[EntryContext], Any] = make_application,
     *,
     task_status: TaskStatus[RunningEntry] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
@@ -82,21 +82,21 @@
     ``random`` is what its decisions draw from, ``make`` what makes the
     application that answers callers.
     """
-    listener = _listen(settings)
+    listener = _make_listener(settings)
     host, port = listener.getsockname()[:2]
     async with anyio.create_task_group() as background:
         context = EntryContext(settings, control, background, random)
         entry = RunningEntry(context, host, port)
-        config = _uvicorn_config(context, make(context))
+        config = _uvicorn_config(context, application_factory(context))
         server = _Server(config, [listener])
         if settings.stop_limit_s:
-            left_s = settings.stop_limit_s - accepting_s(settings)
+            left_s = settings.stop_limit_s - accept_period_s(settings)
             server.stop_limit_s = max(TICK_S, left_s)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(context.slots.keep_ticking)
+                group.start_soon(context.slots.run_clock)
                 group.start_soon(log_changes, context)
-                group.start_soon(_stop_later, entry, server)
+                group.start_soon(_exit_after_stop, entry, server)
                 task_status.started(entry)
                 await server.serve(sockets=[listener])
                 group.cancel_scope.cancel()
@@ -117,13 +117,13 @@
         # without an answer. They are left to their keep-alive timer
         # instead, while no new ones come.
         if self.stop_limit_s:
-            await self._end_by(self.stop_limit_s)
+            await self._drain_within(self.stop_limit_s)
         grace_s = self.config.timeout_keep_alive + TICK_S
         with anyio.move_on_after(grace_s):
             while self.server_state.connections:
                 await anyio.sleep(TICK_S)
 
-    async def _end_by(self, limit_s: float) -> None:
+    async def _drain_within(self, limit_s: float) -> None:
         """Wait for what runs, no longer than the process may live.
 
         The keep-alive timers may run far beyond that. Callers have been
@@ -137,12 +137,12 @@
             connection.transport.abort()
 
 
-async def _stop_later(entry: RunningEntry, server: _Server) -> None:
+async def _exit_after_stop(entry: RunningEntry, server: _Server) -> None:
     await entry.wait_for_stop()
     server.should_exit = True
 
 
-def _listen(settings: EntrySettings) -> socket.socket:
+def _make_listener(settings: EntrySettings) -> socket.socket:
     # Without the protocol's number asyncio leaves Nagle's algorithm on:
     # the first token then waits 40 ms for the client's delayed ACK.
     family = socket.AF_INET6 if ":" in settings.host else socket.AF_INET
@@ -174,7 +174,7 @@
 
 
 __all__ = [
-    "accepting_s",
+    "accept_period_s",
     "RunningEntry",
     "serve_entry",
 ]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -20,7 +20,7 @@
     from sycamorestand_model.backend_servers import Announcement
 
 SERVER_RETRY_S: Final = 1.0
-SEPARATOR: Final = "@"
+VERSION_SEPARATOR: Final = "@"
 
 
 class Servers:
@@ -36,7 +36,7 @@
         self._random = random
         self._selectors: dict[str, ServerSelector] = {}
         self._counts: dict[str, int] = {}
-        self._seen: dict[str, tuple[int, int, float]] = {}
+        self._first_seen: dict[str, tuple[int, int, float]] = {}
 
     def candidates(self, target: str, now_s: float) -> list[Candidate]:
         """Return the servers that hold the version or service now.
@@ -48,7 +48,7 @@
             for server in self._control.backend_servers().values()
             if target in server.versions and not server.leaving
         ]
-        share = self._share(target)
+        share = self._rollout_share(target)
         if share < 1.0:
             first = canary_servers([s.name for s in holders], share)
             holders = [s for s in holders if s.name in first]
@@ -125,7 +125,7 @@
 
     def report_age_s(self, server: Announcement, now_s: float) -> float:
         """Return how old the server's report of its load is."""
-        return server.load.age_s + self._age_s(server, now_s)
+        return server.load.age_s + self._held_for_s(server, now_s)
 
     def capacity(self, target: str, now_s: float) -> int:
         """Return how many requests may run on the target's servers."""
@@ -153,22 +153,22 @@
         """Learn from the end of an attempt."""
         self._selector(target).record_finish(name, now_s, latency_s, outcome)
 
-    def cache_event(
+    def record_cache_event(
         self, name: str, prefix_keys: list[str], stored: bool, now_s: float
     ) -> None:
         """Take in what an engine says of its prefix cache."""
         for selector in self._selectors.values():
             selector.cache_event(name, prefix_keys, stored, now_s)
 
-    def forget_gone(self, now_s: float) -> None:
+    def forget_removed(self, now_s: float) -> None:
         """Drop what is known of servers that are gone and idle."""
         known = self._control.backend_servers()
         for selector in self._selectors.values():
             for name, state in selector.metrics(now_s).items():
                 if name not in known and not state.in_flight:
                     selector.forget(name)
-        for name in [name for name in self._seen if name not in known]:
-            del self._seen[name]
+        for name in [name for name in self._first_seen if name not in known]:
+            del self._first_seen[name]
 
     def metrics(self, now_s: float) -> dict[str, dict[str, ServerMetrics]]:
         """Return what each group's selector knows of its servers."""
@@ -177,29 +177,29 @@
             for group, selector in self._selectors.items()
         }
 
-    def _share(self, target: str) -> float:
+    def _rollout_share(self, target: str) -> float:
         """Return the share of the work that a version gets by a roll-out."""
-        model, _, version = target.partition(SEPARATOR)
+        model, _, version = target.partition(VERSION_SEPARATOR)
         rollout = self._control.in_force().shares.get(model)
         if rollout is None or rollout.version != version:
             return 1.0
         return rollout.share or 1.0
 
     def _selector(self, target: str) -> ServerSelector:
-        group = target.partition(SEPARATOR)[0]
+        group = target.partition(VERSION_SEPARATOR)[0]
         selector = self._selectors.get(group)
         if selector is None:
             selector = ServerSelector(self._random)
             self._selectors[group] = selector
         return selector
 
-    def _age_s(self, server: Announcement, now_s: float) -> float:
+    def _held_for_s(self, server: Announcement, now_s: float) -> float:
         # The port shows announcements without the time they came at, so
         # a report is as old as this entry has known it.
-        seen = self._seen.get(server.name)
+        seen = self._first_seen.get(server.name)
         if seen is None or seen[:2] != (server.incarnation, server.sequence):
             seen = (server.incarnation, server.sequence, now_s)
-            self._seen[server.name] = seen
+            self._first_seen[server.name] = seen
         return now_s - seen[2]
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
@@ -108,9 +108,9 @@
         if size > context.settings.max_answer_bytes:
             connection.close()
             raise MalformedAnswer("its answer is too large")
-    kind = head.headers.get(b"content-type", b"").decode("latin-1")
+    content_type = head.headers.get(b"content-type", b"").decode("latin-1")
     not_run = head.status in (429, 503) and b"x-not-run" in head.headers
-    return ServiceAnswer(head.status, kind, b"".join(parts), not_run)
+    return ServiceAnswer(head.status, content_type, b"".join(parts), not_run)
 
 
 async def acquire_slot(context: EntryContext, call: ServiceCall) -> int:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
@@ -21,7 +21,7 @@
 from sycamorestand_entry.errors import RequestKeyMissing
 from sycamorestand_entry.errors import UnknownService
 from sycamorestand_entry.http_messages import read_body
-from sycamorestand_entry.repeatable import call_repeatable
+from sycamorestand_entry.idempotent_call import call_idempotent
 from sycamorestand_entry.service_call import ServiceCall
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         deadline_after(options.deadline_ms, service.default_deadline_ms),
     )
     if idempotent:
-        await _answer_repeatable(context, call, service, responder)
+        await _answer_idempotent(context, call, service, responder)
     else:
         await _answer_once(context, call, service, responder)
 
@@ -81,13 +81,13 @@
     return name.decode("latin-1"), target
 
 
-async def _answer_repeatable(
+async def _answer_idempotent(
     context: EntryContext,
     call: ServiceCall,
     service: Service,
     responder: Responder,
 ) -> None:
-    answer = await call_repeatable(context, call)
+    answer = await call_idempotent(context, call)
     cost = 0
     if answer.status < 500:
         cost = await charge_once(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/sessions.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/sessions.py
@@ -45,8 +45,8 @@
         raise BadRequest("the session token is malformed") from None
     digest = raw[:DIGEST_BYTES]
     content = raw[DIGEST_BYTES:]
-    valid = [_digest(content, key) for key in keys if key]
-    if not any(hmac.compare_digest(digest, one) for one in valid):
+    expected = [_digest(content, key) for key in keys if key]
+    if not any(hmac.compare_digest(digest, one) for one in expected):
         raise BadRequest("the session token was not made by this system")
     parts = content.decode().split(SEPARATOR.decode())
     session = Session(*parts)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
@@ -40,7 +40,7 @@
 DEFAULT_TOKENS: Final = 256
 # Callers send limits that they never expect to reach; taken as they are,
 # every such request would be refused as impossible by its deadline.
-LIKELY_TOKENS: Final = 1024
+MAX_EXPECTED_TOKENS: Final = 1024
 
 
 class SlotRequest(NamedTuple):
@@ -73,7 +73,7 @@
         ticket = Ticket(next(self._ids), *request)
         result = self._admission.offer(ticket, begin_s)
         if isinstance(result, Refused):
-            raise self._refusal(result)
+            raise self._make_refusal(result)
         if not isinstance(result, Started):
             await self._wait(ticket.ticket_id)
             self._metrics.queue_wait.add({}, time.monotonic() - begin_s)
@@ -84,19 +84,19 @@
         """Give a slot back and learn from the time it was held."""
         now_s = time.monotonic()
         self._admission.finish(slot, now_s, latency_s, failed)
-        self._wake(now_s)
+        self._start_ready(now_s)
 
     def cancel(self, slot: int) -> None:
         """Give a slot back, or leave the queue, without learning."""
         now_s = time.monotonic()
         self._admission.cancel(slot, now_s)
-        self._wake(now_s)
+        self._start_ready(now_s)
 
     def metrics(self) -> dict[str, PoolMetrics]:
         """Return the admission's counters by version or service."""
         return self._admission.metrics()
 
-    async def keep_ticking(self) -> None:
+    async def run_clock(self) -> None:
         """Follow the servers' capacity and refuse what became hopeless."""
         while True:
             await anyio.sleep(TICK_S)
@@ -109,10 +109,10 @@
     def _tick(self, now_s: float) -> None:
         for target in self._refreshed_s:
             self._set_capacity(target, now_s)
-        self._servers.forget_gone(now_s)
-        self._wake(now_s)
+        self._servers.forget_removed(now_s)
+        self._start_ready(now_s)
         for ticket, refused in self._admission.expire(now_s):
-            self._answer(ticket.ticket_id, refused)
+            self._resolve(ticket.ticket_id, refused)
 
     async def _wait(self, ticket_id: int) -> None:
         future = asyncio.get_running_loop().create_future()
@@ -124,13 +124,13 @@
             self.cancel(ticket_id)
             raise
         if refused is not None:
-            raise self._refusal(refused)
+            raise self._make_refusal(refused)
 
-    def _wake(self, now_s: float) -> None:
+    def _start_ready(self, now_s: float) -> None:
         for ticket in self._admission.start_ready(now_s):
-            self._answer(ticket.ticket_id, None)
+            self._resolve(ticket.ticket_id, None)
 
-    def _answer(self, ticket_id: int, refused: Refused | None) -> None:
+    def _resolve(self, ticket_id: int, refused: Refused | None) -> None:
         future = self._waiting.pop(ticket_id, None)
         if future is not None and not future.done():
             future.set_result(refused)
@@ -152,7 +152,7 @@
             self._without_slots.add(target)
         self._admission.set_capacity(target, capacity)
 
-    def _refusal(self, refused: Refused) -> Overloaded | NoBackendServer:
+    def _make_refusal(self, refused: Refused) -> Overloaded | NoBackendServer:
         self._metrics.admissions.inc({"result": refused.reason})
         if refused.reason.startswith("no backend server"):
             return NoBackendServer(refused.reason, refused.retry_after_s)
@@ -161,7 +161,7 @@
 
 def expected_chat_s(max_tokens: int) -> float:
     """Return the expected time of an answer of at most so many tokens."""
-    return FIRST_TOKEN_S + TOKEN_S * min(max_tokens, LIKELY_TOKENS)
+    return FIRST_TOKEN_S + TOKEN_S * min(max_tokens, MAX_EXPECTED_TOKENS)
 
 
 __all__ = [
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
@@ -18,7 +18,7 @@
 DONE: Final = b"data: [DONE]\n\n"
 # Inside of generated text quotes are escaped, so these byte strings can
 # only be members of the event itself.
-_MARKS: Final = (b'"usage":{', b'"usage": {', b'"error":', b"[DONE]")
+_MARKERS: Final = (b'"usage":{', b'"usage": {', b'"error":', b"[DONE]")
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
@@ -33,29 +33,29 @@
     output_tokens: int
 
 
-class EventCutter:
+class EventBuffer:
     """Keeps the beginning of an event until its end has arrived."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def is_whole(self, data: bytes) -> bool:
         """Tell whether the data begins and ends with whole events."""
-        return not self._rest and data.endswith(EVENT_END)
+        return not self._incomplete and data.endswith(EVENT_END)
 
     def feed(self, data: bytes) -> bytes:
         """Return all whole events, those of one read in one piece."""
-        if self._rest:
-            data = self._rest + data
+        if self._incomplete:
+            data = self._incomplete + data
         if b"\r\n" in data:
             data = data.replace(b"\r\n", b"\n")
-        cut = data.rfind(EVENT_END) + len(EVENT_END)
-        if cut < len(EVENT_END):
-            cut = 0
-        self._rest = data[cut:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        end = data.rfind(EVENT_END) + len(EVENT_END)
+        if end < len(EVENT_END):
+            end = 0
+        self._incomplete = data[end:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise MalformedStream("an event has no end")
-        return data[:cut]
+        return data[:end]
 
 
 def is_plain(events: bytes) -> bool:
@@ -65,7 +65,7 @@
         return False
     if count > 1 and events.count(_NEXT_DATA) != count - 1:
         return False
-    return not any(mark in events for mark in _MARKS)
+    return not any(mark in events for mark in _MARKERS)
 
 
 def split_events(events: bytes) -> list[bytes]:
@@ -111,7 +111,7 @@
     "DONE",
     "encode_event",
     "EVENT_END",
-    "EventCutter",
+    "EventBuffer",
     "is_plain",
     "MalformedStream",
     "read_usage",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
@@ -20,7 +20,7 @@
 
 # A fortieth of a second is little beside the wait. With all 256 that may
 # wait it costs 0.17 of a core, for a second at most.
-LOOK_S: Final = 0.025
+POLL_S: Final = 0.025
 
 
 class StartHold:
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self._started_s = time.monotonic()
-        self._held = 0
+        self._waiting = 0
 
     def is_starting(self) -> bool:
         """Tell whether requests may still wait for what is missing."""
@@ -44,15 +44,15 @@
         if ready():
             return True
         since_start_s = time.monotonic() - self._started_s
-        self._held += 1
+        self._waiting += 1
         try:
             with anyio.move_on_after(
-                hold_s(since_start_s, left_s, self._held - 1)
+                hold_s(since_start_s, left_s, self._waiting - 1)
             ):
                 while not ready():
-                    await anyio.sleep(LOOK_S)
+                    await anyio.sleep(POLL_S)
         finally:
-            self._held -= 1
+            self._waiting -= 1
         return ready()
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/state_log.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/state_log.py
@@ -13,10 +13,10 @@
     from sycamorestand_entry.context import EntryContext
 
 _LOG = logging.getLogger(__name__)
-LOOK_EVERY_S: Final = 0.25
+POLL_S: Final = 0.25
 
 
-class SeenState:
+class LoggedState:
     """What was logged last, so that only changes are logged."""
 
     def __init__(self) -> None:
@@ -28,26 +28,26 @@
 
 async def log_changes(context: EntryContext) -> None:
     """Log changes until cancelled."""
-    seen = SeenState()
+    logged = LoggedState()
     while True:
-        log_new(context, seen)
-        await anyio.sleep(LOOK_EVERY_S)
+        log_differences(context, logged)
+        await anyio.sleep(POLL_S)
 
 
-def log_new(context: EntryContext, seen: SeenState) -> None:
+def log_differences(context: EntryContext, logged: LoggedState) -> None:
     """Log what differs from what was seen, and remember it."""
     revision = context.control.in_force().revision
-    if revision != seen.revision:
-        seen.revision = revision
+    if revision != logged.revision:
+        logged.revision = revision
         _LOG.info("configuration in force", extra={"revision": revision})
     entries = context.control.entry_count()
-    if entries != seen.entries:
-        seen.entries = entries
+    if entries != logged.entries:
+        logged.entries = entries
         _LOG.info("entries counted", extra={"entries": entries})
-    _log_servers(context, seen)
+    _log_servers(context, logged)
 
 
-def _log_servers(context: EntryContext, seen: SeenState) -> None:
+def _log_servers(context: EntryContext, logged: LoggedState) -> None:
     servers = context.servers.metrics(time.monotonic())
     ejected = {
         name
@@ -60,11 +60,11 @@
         for name, server in context.control.backend_servers().items()
         if server.leaving
     }
-    _log_names("backend server ejected", ejected - seen.ejected)
-    _log_names("backend server back", seen.ejected - ejected)
-    _log_names("backend server leaving", leaving - seen.leaving)
-    seen.ejected = ejected
-    seen.leaving = leaving
+    _log_names("backend server ejected", ejected - logged.ejected)
+    _log_names("backend server back", logged.ejected - ejected)
+    _log_names("backend server leaving", leaving - logged.leaving)
+    logged.ejected = ejected
+    logged.leaving = leaving
 
 
 def _log_names(message: str, names: set[str]) -> None:
@@ -72,4 +72,4 @@
         _LOG.info(message, extra={"backend_server": name})
 
 
-__all__ = ["log_changes", "log_new", "SeenState"]
+__all__ = ["log_changes", "log_differences", "LoggedState"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
@@ -20,7 +20,7 @@
 from sycamorestand_entry.upstream_answer import ConnectFailed
 from sycamorestand_entry.upstream_answer import Echo
 from sycamorestand_entry.upstream_answer import is_framed
-from sycamorestand_entry.upstream_answer import kept_open_s
+from sycamorestand_entry.upstream_answer import keep_alive_s
 from sycamorestand_entry.upstream_answer import MalformedAnswer
 from sycamorestand_entry.upstream_answer import ResponseHead
 from sycamorestand_entry.upstream_answer import SilentConnection
@@ -41,7 +41,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.reusable = False
         self.idle_since_s = 0.0
-        self.kept_open_s = math.inf
+        self.keep_alive_s = math.inf
         self._loop = loop
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
@@ -53,17 +53,17 @@
         self._paused = False
         self._complete = False
         self._bodiless = False
-        self._surplus = False
+        self._unexpected = False
         self._echo: Echo | None = None
-        self._stray = False
-        self._ended = False
+        self._skipping = False
+        self._at_eof = False
         self._soft = False
         self._error: UpstreamError | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._give_up_at_s = 0.0
+        self._timeout_at_s = 0.0
         self._limit_s = 0.0
-        self._total_until_s = 0.0
+        self._total_deadline_s = 0.0
         self._sink: Sink | None = None
 
     @property
@@ -96,7 +96,7 @@
         assert self._transport is not None
         self._bodiless = bodiless
         self._echo = echo
-        self._stray = False
+        self._skipping = False
         self._headers = {}
         self._head = None
         self._head_bytes = 0
@@ -174,26 +174,26 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail(MalformedAnswer("its answer is no HTTP"))
             return
-        if self._head is None and not self._stray:
+        if self._head is None and not self._skipping:
             # Counted after parsing: one read may hold a head and a part
             # of the body that is larger than the limit.
             self._head_bytes += len(data)
             if self._head_bytes > MAX_HEAD_BYTES:
                 self._fail(MalformedAnswer("its headers are too large"))
-        elif self._surplus:
+        elif self._unexpected:
             self._fail(MalformedAnswer("bytes after the answer's end"))
         elif self._sink is None or not self._forward():
             self._wake()
 
     def eof_received(self) -> bool:
-        self._ended = True
+        self._at_eof = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         # A reset, or our own end of the connection, comes without the
         # server's: what was cut by it must not pass for a whole answer.
-        whole = self._ended and exc is None and self._ends_at_eof()
-        if whole and self._error is None:
+        complete = self._at_eof and exc is None and self._ends_at_eof()
+        if complete and self._error is None:
             self._complete = True
         self._fail(BrokenConnection("it closed the connection"))
 
@@ -201,7 +201,7 @@
         # An answer that nobody asked for must not be taken for a part of
         # this one, or for the answer to the next request.
         if self._complete:
-            self._surplus = True
+            self._unexpected = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers[name.lower()] = value.strip()
@@ -209,19 +209,19 @@
     def on_headers_complete(self) -> None:
         status = self._parser.get_status_code()
         echo = self._echo
-        if status < 200 or self._surplus:
+        if status < 200 or self._unexpected:
             pass
-        elif echo is not None and echo.names_another(self._headers):
+        elif echo is not None and echo.names_other_request(self._headers):
             # A late second answer to an earlier request. To close the
             # connection for it would lose a request that has just run.
-            self._stray = True
+            self._skipping = True
         else:
             self._head = ResponseHead(status, self._headers)
             self._complete = self._bodiless
         self._headers = {}
 
     def on_body(self, body: bytes) -> None:
-        if self._surplus or self._stray:
+        if self._unexpected or self._skipping:
             return
         self._body.append(body)
         self._body_bytes += len(body)
@@ -231,13 +231,13 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        if self._stray:
-            self._stray = False
+        if self._skipping:
+            self._skipping = False
             return
-        if self._head is None or self._surplus:
+        if self._head is None or self._unexpected:
             return
         self._complete = True
-        self.kept_open_s = kept_open_s(self._head.headers)
+        self.keep_alive_s = keep_alive_s(self._head.headers)
         self.reusable = self._parser.should_keep_alive()
 
     def _forward(self) -> bool:
@@ -251,8 +251,8 @@
             return False
         body.clear()
         self._body_bytes = 0
-        self._give_up_at_s = min(
-            self._loop.time() + self._limit_s, self._total_until_s
+        self._timeout_at_s = min(
+            self._loop.time() + self._limit_s, self._total_deadline_s
         )
         return True
 
@@ -282,8 +282,8 @@
     ) -> None:
         now_s = self._loop.time()
         self._limit_s = limit_s
-        self._total_until_s = now_s + max(limit_s, total_s)
-        self._give_up_at_s = now_s + limit_s
+        self._total_deadline_s = now_s + max(limit_s, total_s)
+        self._timeout_at_s = now_s + limit_s
         self._soft = soft
         self._set_timer()
         self._waiter = self._loop.create_future()
@@ -297,18 +297,18 @@
         # One timer for the connection moves on lazily; a timer for each
         # chunk would cost more than the parsing of the chunk.
         if self._timer is not None:
-            if self._timer.when() <= self._give_up_at_s:
+            if self._timer.when() <= self._timeout_at_s:
                 return
             self._timer.cancel()
         self._timer = self._loop.call_at(
-            self._give_up_at_s, self._check_silence
+            self._timeout_at_s, self._check_timeout
         )
 
-    def _check_silence(self) -> None:
+    def _check_timeout(self) -> None:
         self._timer = None
         if self._waiter is None:
             return
-        if self._loop.time() >= self._give_up_at_s:
+        if self._loop.time() >= self._timeout_at_s:
             if self._soft:
                 if not self._waiter.done():
                     self._waiter.set_exception(SlowAnswer("no byte yet"))
@@ -316,7 +316,7 @@
             self._fail(SilentConnection("it sent nothing for too long"))
             return
         self._timer = self._loop.call_at(
-            self._give_up_at_s, self._check_silence
+            self._timeout_at_s, self._check_timeout
         )
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
@@ -49,12 +49,12 @@
     name: bytes
     value: bytes
 
-    def names_another(self, headers: dict[bytes, bytes]) -> bool:
+    def names_other_request(self, headers: dict[bytes, bytes]) -> bool:
         """Tell whether the answer says that it is to another request."""
         return headers.get(self.name, self.value) != self.value
 
 
-def kept_open_s(headers: dict[bytes, bytes]) -> float:
+def keep_alive_s(headers: dict[bytes, bytes]) -> float:
     """Return how long the server says that it keeps the connection idle.
 
     Example: ``kept_open_s({b"keep-alive": b"timeout=5"})`` is 5.0.
@@ -73,7 +73,7 @@
     "ConnectFailed",
     "Echo",
     "is_framed",
-    "kept_open_s",
+    "keep_alive_s",
     "MalformedAnswer",
     "ResponseHead",
     "SilentConnection",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_pool.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_pool.py
@@ -14,7 +14,7 @@
 MAX_IDLE: Final = 16
 # Of the time that a server says it keeps an idle connection: what is sent
 # near its end crosses the server's close and may or may not have run.
-KEPT_SHARE: Final = 0.6
+KEEP_ALIVE_SHARE: Final = 0.6
 
 
 class UpstreamPool:
@@ -42,8 +42,8 @@
                 # them, a bound of zero must not close them all.
                 break
             connection = idle.pop()
-            kept_s = connection.kept_open_s * KEPT_SHARE
-            if connection.usable and age_s < kept_s:
+            usable_s = connection.keep_alive_s * KEEP_ALIVE_SHARE
+            if connection.usable and age_s < usable_s:
                 return connection
             connection.close()
         return await self._connect(address, loop)
@@ -92,8 +92,8 @@
 def _is_stale(
     connection: UpstreamConnection, now_s: float, idle_s: float
 ) -> bool:
-    old = now_s - connection.idle_since_s > idle_s
-    return old or not connection.usable
+    expired = now_s - connection.idle_since_s > idle_s
+    return expired or not connection.usable
 
 
 __all__ = ["MAX_IDLE", "UpstreamPool"]
--- a/packages/sycamorestand-entry/tests/test_event_reader.py
+++ b/packages/sycamorestand-entry/tests/test_event_reader.py
@@ -74,7 +74,7 @@
         with pytest.raises(MalformedStream):
             for read in reads_of(stream, at):
                 passed += reader.feed(read)
-                reader.check()
+                reader.raise_failure()
             reader.feed(b"")
         assert passed == b"".join(events)
 
--- a/packages/sycamorestand-entry/tests/test_stop.py
+++ b/packages/sycamorestand-entry/tests/test_stop.py
@@ -22,7 +22,7 @@
 from sycamorestand_entry.http_protocol import EntryProtocol
 from sycamorestand_entry.ports import EntryAddress
 from sycamorestand_entry.server import _Server
-from sycamorestand_entry.server import accepting_s
+from sycamorestand_entry.server import accept_period_s
 
 pytestmark = pytest.mark.anyio
 
@@ -88,7 +88,7 @@
         the time-to-live counted from the stop alone is too short.
         """
         settings = SETTINGS._replace(address_spread_s=2.0, address_ttl_s=5.0)
-        assert accepting_s(settings) >= 7.0
+        assert accept_period_s(settings) >= 7.0
 
 
 class TestPlannedStop:
