--- a/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/cascade.py
@@ -1,4 +1,4 @@
-"""From cheaper to stronger steps, until an answer may go out."""
+"""Runs the steps of a cascade until the answer of one is accepted."""
 
 from __future__ import annotations
 
@@ -34,7 +34,11 @@
 
 
 class Step(NamedTuple):
-    """One step of a cascade and what the steps before it cost."""
+    """One step of a cascade.
+
+    ``place`` is its index in the profile, ``spent_micros`` the cost of the
+    steps before it.
+    """
 
     context: EntryContext
     chat: ChatRequest
@@ -52,7 +56,11 @@
     plan: Plan,
     responder: Responder,
 ) -> None:
-    """Run the steps that the learner asks for and give one answer."""
+    """Run the steps that the learner chooses and send one answer.
+
+    Earlier steps share the profile's budget of added latency; once it is
+    used up, the last step runs.
+    """
     first = first_step(context, chat, plan)
     budget_s = chat.profile.max_added_latency_ms / 1000
     until_s = min(time.monotonic() + budget_s, chat.deadline_at_s)
@@ -92,7 +100,7 @@
 
 
 async def _run_early_step(step: Step, until_s: float) -> int | None:
-    """Return what the step cost, None where its answer went out."""
+    """Return the cost of the step, None if its answer was sent."""
     context = step.context
     run = EngineRun(context, _make_engine_work(step))
     begin_s = time.monotonic()
@@ -162,7 +170,7 @@
     except BadRequest:
         raise
     except RequestError:
-        # The next step may well answer what this one could not.
+        # The next step may still succeed.
         return None
     return None
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
@@ -1,10 +1,10 @@
-"""The one place that decides that a request may be dispatched.
+"""The gate: the only place that allows a request to be dispatched.
 
-It runs synchronously right before the first byte is written. Whatever
-was true when the request came may have changed while it waited in a
-queue, for a connection or for the ledger: a version was withdrawn, the
-lease ran out while the process was suspended, the server left. Retries,
-later cascade steps and resumed streams pass it again for the same cause.
+Each check runs synchronously, right before the first byte of a request
+is written. While a request waits in a queue, for a connection or for the
+ledger, a version may be withdrawn, the lease may expire while the process
+is suspended, or the backend server may leave. Retries, later cascade steps
+and resumed streams pass the gate again for the same reason.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class DispatchIntent(NamedTuple):
-    """What is about to be written, and to which backend server.
+    """A request that is about to be written to a backend server.
 
     ``target`` is a version identity or the name of a plain service.
-    ``claim_held`` is None where the request needs no claim.
+    ``claim_held`` is None if the request needs no claim.
     """
 
     customer: str
@@ -49,7 +49,7 @@
 class RoutedIntent(NamedTuple):
     """A routed request that is about to be written to a backend server.
 
-    ``route`` is the one that the request was let in by.
+    ``route`` is the route that admitted the request.
     """
 
     route: Route
@@ -60,10 +60,10 @@
 def check_routed_dispatch(
     control: ControlPort, intent: RoutedIntent
 ) -> RequestError | None:
-    """Return why a routed request may not be dispatched now.
+    """Return why a routed request may not be dispatched, None if it may.
 
-    The route is looked up again: while the request waited it may have been
-    removed, or moved to another service, and the server may have left.
+    The route is looked up again, because it may have been removed or moved
+    to another service while the request waited.
     """
     if control.lease_remaining_s() <= 0:
         return NoLease(
@@ -93,7 +93,7 @@
 def check_dispatch(
     control: ControlPort, intent: DispatchIntent
 ) -> RequestError | None:
-    """Return why the request may not be dispatched now, None if it may."""
+    """Return why the request may not be dispatched, None if it may."""
     if control.lease_remaining_s() <= 0:
         return NoLease(
             "this entry's configuration may be out of date", LEASE_RETRY_S
@@ -111,7 +111,7 @@
 def check_version(
     in_force: InForce, intent: DispatchIntent
 ) -> RequestError | None:
-    """Return why the customer may not use the version now."""
+    """Return why the customer may not use the version, None if it may."""
     customer = in_force.declarations.customers.get(intent.customer)
     if customer is None or intent.profile not in customer.profiles:
         return NotAllowed("the customer may not use this profile")
@@ -134,11 +134,11 @@
 def version_is_offered(
     in_force: InForce, identity: str, in_session: bool = False
 ) -> bool:
-    """Tell whether work may go to the version at all.
+    """Return whether the version may receive work.
 
-    A quarantine keeps new sessions and requests away. It is the system's
-    own guess, so a running session keeps its version; to end sessions too
-    is an operator's word, a withdrawal.
+    A quarantine blocks new sessions and requests. The system quarantines a
+    version on its own evidence, so running sessions keep the version; only
+    an operator's withdrawal ends them too.
     """
     if identity in in_force.withdrawn:
         return False
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
@@ -1,4 +1,4 @@
-"""Which versions a chat request may run on, in their order."""
+"""Choice of the versions that a chat request may run on, in order."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
     from sycamorestand_model.declarations import Model
     from sycamorestand_model.in_force import InForce
 
-# A pin never changes, so it may be remembered; the bound keeps callers
-# that invent session names from filling the memory.
+# A pin never changes, so each entry caches the pins it has read. The limit
+# keeps callers that invent session names from exhausting the memory.
 MAX_CACHED_PINS: Final = 10_000
 VERSION_RETRY_S: Final = 5.0
 HASH_RANGE: Final = 2.0**32
 
 
 class Plan(NamedTuple):
-    """The version of each step that may run, from cheap to strong.
+    """The versions of the usable steps, from the cheapest to the strongest.
 
-    A step that has no version now is left out; ``steps`` holds the
-    places in the profile. A session has one version and never cascades.
+    Steps without a usable version are left out; ``steps`` holds the index
+    of each remaining step in the profile. A session has one version and
+    never cascades.
     """
 
     versions: tuple[str, ...]
@@ -52,7 +53,10 @@
 
 
 async def plan_chat(context: EntryContext, chat: ChatRequest) -> Plan:
-    """Return the versions for the request, or refuse."""
+    """Return the versions for the request.
+
+    Raises a `RequestError` if the customer may use none of them now.
+    """
     options = chat.options
     if not options.session_token and not options.session_name:
         return _plan_steps(context, chat)
@@ -73,9 +77,9 @@
 
 
 def first_step(context: EntryContext, chat: ChatRequest, plan: Plan) -> int:
-    """Return the index into the plan at which the cascade begins."""
+    """Return the index into the plan of the first step to run."""
     last = len(plan.versions) - 1
-    # Without a rating service nothing could accept an earlier step.
+    # Only a rating can accept the answer of an earlier step.
     if plan.in_session or not last or not context.rating.configured:
         return last
     begin_step = context.cascade.first_step(
@@ -94,8 +98,8 @@
     cached = context.pins.get(key)
     if cached is not None:
         return cached
-    # Two entries may see the first request of a session at once. The
-    # ledger keeps one version and tells it to both.
+    # Two entries may receive requests of a new session at the same time.
+    # The ledger stores the first pin and returns its version to both.
     plan = _plan_steps(context, chat)
     offered = plan.versions[_session_step(context, chat, plan)]
     pin = Pin(*key, offered, wall_now_s())
@@ -109,8 +113,9 @@
 
 
 def _session_step(context: EntryContext, chat: ChatRequest, plan: Plan) -> int:
-    # A session can't escalate later, so its version must meet the
-    # quality target by itself: a call of exactly one step.
+    # A session never escalates, so its version must meet the quality
+    # target by itself. The learner treats that as a call that runs exactly
+    # one step (``idempotent=False``).
     begin_step = context.cascade.first_step(
         chat.profile,
         chat.request_class,
@@ -156,18 +161,20 @@
     )
     if chosen is not None:
         return chosen
-    # The stable version is withdrawn or not this customer's. Another one
-    # that the customer may use serves, but none that a roll-out holds.
+    # The stable version is withdrawn or not allowed for this customer. Any
+    # other version that the customer may use serves the request, except
+    # those that get their work from a roll-out.
     in_rollout = _rollout_versions(in_force, model)
     others = [identity for identity in allowed if identity not in in_rollout]
     return others[0] if others else ""
 
 
 def _rollout_versions(in_force: InForce, model: Model) -> set[str]:
-    """Return the versions that only a roll-out may give work to.
+    """Return the versions that receive work only through a roll-out.
 
-    Also the one whose roll-out is declared and has not begun: with the
-    stable version withdrawn it would get all the work at once, unseen.
+    This includes a version whose roll-out is declared but has not begun.
+    Otherwise it would receive all work at once, without any earlier step,
+    when the stable version is withdrawn.
     """
     names = []
     share = in_force.shares.get(model.name)
@@ -180,7 +187,8 @@
 
 
 def _rollout_position(chat: ChatRequest, model: Model) -> float:
-    # A request that is sent again with its key meets the same version.
+    # The hash covers the request key, so a request that is sent again with
+    # its key gets the same version.
     name = chat.options.session_name or chat.request_key
     text = f"{chat.customer.name}/{name}/{model.name}"
     return crc32(text.encode()) / HASH_RANGE
