--- a/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
@@ -1,8 +1,9 @@
-"""Admission at work: requests that wait, and the clock that serves them.
+"""Admission control for requests: the queue of waiting tasks.
 
-The decisions are `sycamorestand_decisions.admission`'s; here are the
-waiting tasks. A request that the admission gives up on hears it at once,
-with the time after which to come back.
+`sycamorestand_decisions.admission` decides which request starts; this
+module keeps the waiting tasks and the periodic update. A request that the
+admission refuses, on arrival or while queued, fails at once with the time
+after which to retry.
 """
 
 from __future__ import annotations
@@ -32,19 +33,25 @@
 _LOG = logging.getLogger(__name__)
 TICK_S: Final = 0.25
 SERVER_RETRY_S: Final = 1.0
-# What a request without a size of its own is expected to take; the
-# admission learns the real ratio within some hundred requests.
+# Expected duration of a call to a plain service, and below of the first
+# token and each further token of an answer. The admission learns the ratio
+# of real to expected duration within some hundred requests.
 SERVICE_CALL_S: Final = 0.05
 FIRST_TOKEN_S: Final = 0.05
 TOKEN_S: Final = 0.005
 DEFAULT_TOKENS: Final = 256
-# Callers send limits that they never expect to reach; taken as they are,
-# every such request would be refused as impossible by its deadline.
+# Callers set ``max_tokens`` far above what they expect to receive. Without
+# this limit on the estimate, the admission would refuse such requests as
+# unable to finish by their deadline.
 MAX_EXPECTED_TOKENS: Final = 1024
 
 
 class SlotRequest(NamedTuple):
-    """Who wants to run what, until when."""
+    """A request for a slot.
+
+    ``target`` is a version or a plain service, ``deadline_at_s`` is on the
+    monotonic clock, ``expected_s`` is the expected time in the slot.
+    """
 
     customer: str
     weight: float
@@ -55,7 +62,7 @@
 
 
 class Slots:
-    """Slots of all versions and services on this entry."""
+    """The slots of all versions and plain services, as one entry sees them."""
 
     def __init__(self, servers: Servers, metrics: Metrics) -> None:
         self._admission = Admission()
@@ -67,7 +74,11 @@
         self._without_slots: set[str] = set()
 
     async def acquire(self, request: SlotRequest) -> int:
-        """Wait for a slot and return its id, or refuse."""
+        """Wait for a slot and return its id.
+
+        Raises `Overloaded` or `NoBackendServer` if the admission refuses
+        the request.
+        """
         begin_s = time.monotonic()
         self._refresh(request.target, begin_s)
         ticket = Ticket(next(self._ids), *request)
@@ -81,30 +92,33 @@
         return ticket.ticket_id
 
     def finish(self, slot: int, latency_s: float, failed: bool) -> None:
-        """Give a slot back and learn from the time it was held."""
+        """Release a slot and record how long the request held it."""
         now_s = time.monotonic()
         self._admission.finish(slot, now_s, latency_s, failed)
         self._start_ready(now_s)
 
     def cancel(self, slot: int) -> None:
-        """Give a slot back, or leave the queue, without learning."""
+        """Release a slot or leave the queue without recording a duration."""
         now_s = time.monotonic()
         self._admission.cancel(slot, now_s)
         self._start_ready(now_s)
 
     def metrics(self) -> dict[str, PoolMetrics]:
-        """Return the admission's counters by version or service."""
+        """Return the admission's metrics by version or plain service."""
         return self._admission.metrics()
 
     async def run_clock(self) -> None:
-        """Follow the servers' capacity and refuse what became hopeless."""
+        """Update capacities and expire queued requests until cancelled.
+
+        Requests expire that can no longer start or finish in time.
+        """
         while True:
             await anyio.sleep(TICK_S)
             try:
                 self._tick(time.monotonic())
             except Exception:
-                # Without the clock every queue would stand still.
-                _LOG.exception("admission's clock failed")
+                # If this loop ended, no queue would be served any more.
+                _LOG.exception("periodic update of the admission failed")
 
     def _tick(self, now_s: float) -> None:
         for target in self._refreshed_s:
@@ -138,8 +152,9 @@
     def _refresh(self, target: str, now_s: float) -> None:
         refreshed_s = self._refreshed_s.get(target)
         stale = refreshed_s is None or now_s - refreshed_s > TICK_S
-        # With no slot each request is refused; servers that came since the
-        # last look must not wait for the next one.
+        # A target without slots refuses every request, so its capacity is
+        # read again at once: a server may have been announced since the
+        # last update.
         if stale or target in self._without_slots:
             self._set_capacity(target, now_s)
 
@@ -160,7 +175,7 @@
 
 
 def expected_chat_s(max_tokens: int) -> float:
-    """Return the expected time of an answer of at most so many tokens."""
+    """Return the expected duration of an answer with this token limit."""
     return FIRST_TOKEN_S + TOKEN_S * min(max_tokens, MAX_EXPECTED_TOKENS)
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
@@ -1,7 +1,7 @@
-"""Requests that wait for an entry that has just started.
+"""Holds requests while an entry that has just started gets ready.
 
-The decision is `sycamorestand_decisions.starting`'s; here are the waiting
-tasks.
+`sycamorestand_decisions.starting` decides how long; this module keeps the
+waiting tasks.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A fortieth of a second is little beside the wait. With all 256 that may
-# wait it costs 0.17 of a core, for a second at most.
+# A fortieth of a second adds little to the wait. Polling by all 256 requests
+# that may wait takes 0.17 of a core, for at most a second.
 POLL_S: Final = 0.025
 
 
 class StartHold:
-    """Lets requests wait while this entry is starting."""
+    """Holds requests until the entry is ready, shortly after its start."""
 
     def __init__(self) -> None:
         self._started_s = time.monotonic()
         self._waiting = 0
 
     def is_starting(self) -> bool:
-        """Tell whether requests may still wait for what is missing."""
+        """Return whether requests may still be held."""
         return time.monotonic() - self._started_s < STARTING_S
 
     async def wait_until(
         self, ready: Callable[[], bool], left_s: float
     ) -> bool:
-        """Wait until ``ready`` or for as long as it may; return which.
+        """Wait until ``ready()``, for the allowed time; return its result.
 
-        ``left_s`` is how long the caller waits.
+        ``left_s`` is the time left until the caller's deadline.
         """
         if ready():
             return True
