--- a/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/billing.py
@@ -1,4 +1,4 @@
-"""What a request costs, and its one charge in the ledger."""
+"""The price of a request and its single charge in the ledger."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 
 TOKENS_PER_PRICE: Final = 1_000_000
 LEDGER_RETRY_S: Final = 1.0
-# ``expired``: the key was charged so long ago that only that is known.
+# ``expired``: the key was charged so long ago that the ledger has dropped
+# the charge itself.
 CHARGED_STATES: Final = ("created", "exists", "expired")
 RESEND_PAUSE_S: Final = 0.05
 
@@ -34,7 +35,10 @@
 def cost_micros(
     declarations: Declarations, identity: str, usage: Usage
 ) -> int:
-    """Return the price of the tokens, rounded up to a whole micro-unit."""
+    """Return the price of the tokens, rounded up to a whole micro-unit.
+
+    It is 0 if the version is not declared.
+    """
     version = find_version(declarations, identity)
     if version is None:
         return 0
@@ -44,10 +48,10 @@
 
 
 async def charge_once(context: EntryContext, charge: Charge) -> int:
-    """Make the charge durable and return what the request cost.
+    """Store the charge durably and return the cost of the request.
 
-    Where the key has been charged before, by an earlier attempt or
-    another entry, that charge stands and its cost is returned.
+    If an earlier attempt or another entry has charged the key already,
+    that charge stands and its cost is returned.
     """
     result = (await write_ledger(context, [charge], run="ran"))[0]
     context.metrics.charges.inc({"state": result.state})
@@ -61,10 +65,10 @@
 
 
 def require_charged(result: LedgerResult) -> None:
-    """Raise where the ledger did not take the charge.
+    """Raise `LedgerFailed` if the ledger did not store the charge.
 
-    A full shard, or a charge that it refuses, has charged nothing: the
-    answer would go out unbilled. The caller asks again with its key.
+    If the shard is full or the charge is refused, the answer would be
+    released unbilled. The caller has to ask again with the same key.
     """
     if result.state not in CHARGED_STATES:
         raise LedgerFailed(
@@ -80,12 +84,12 @@
     records: Sequence[LedgerRecord],
     run: Run,
 ) -> list[LedgerResult]:
-    """Return the ledger's answer, resending while there is time.
+    """Write the records, resending them until the ledger answers.
 
-    Every record may be resent: a second one with the same content does
-    no harm, and is answered like the first but for a dispatch, whose
-    ``conflict`` names its own owner. ``run`` is what a refusal says of
-    the request where the ledger stays silent.
+    Records are idempotent: a repeated one gets the answer of the first,
+    except that a repeated dispatch gets ``conflict`` with its own owner.
+    Raises `LedgerFailed`, with ``run`` as the state of the request, if no
+    answer comes within ``ledger_timeout_s``.
     """
     begin_s = time.monotonic()
     try:
@@ -114,7 +118,7 @@
 
 
 def service_charge(call: ServiceCall, cost_micros: int) -> Charge:
-    """Return the charge of a service's call that was answered."""
+    """Return the charge of an answered call to a plain service."""
     return Charge(
         call.customer,
         call.request_key,
@@ -127,7 +131,7 @@
 
 
 def wall_now_s() -> float:
-    """Return the wall-clock time that records carry."""
+    """Return the wall-clock time for the timestamps of records."""
     return time.time()
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -1,9 +1,10 @@
-"""A call that must not be repeated, from its claim to its outcome.
+"""A non-idempotent call to a plain service, which runs at most once.
 
-The order is what makes it run at most once: the claim is durable, then
-the dispatch, then the first byte is written, then the outcome with the
-answer is durable, and only then is the answer released. Wherever that
-chain breaks, a second call with the key finds how far it came.
+The order of the steps guarantees that: the ledger stores the claim, then
+the dispatch; the entry writes the first byte; the ledger stores the
+outcome with the answer; only then does the entry release the answer.
+Whichever step fails, a later call with the same key reads from the ledger
+how far the first one got.
 """
 
 from __future__ import annotations
@@ -59,10 +60,11 @@
 
 
 class ClaimedCall:
-    """State of one call; `run` goes on when the caller has left.
+    """One call with a claim; `run` continues after the caller has left.
 
-    ``run_state`` is what is known at any moment. Before the claim is
-    held it is ``unknown``, as an earlier call with the key may have run.
+    ``run_state`` is what is known about the execution so far. It is
+    ``unknown`` until the claim is held, because an earlier call with the
+    same key may have run.
     """
 
     def __init__(
@@ -81,11 +83,14 @@
         self._abandoned = False
 
     def abandon(self) -> None:
-        """Give up at the deadline; what was not written never will be."""
+        """Mark the call as past its deadline, so that it is not written."""
         self._abandoned = True
 
     async def run(self) -> None:
-        """Run the call to its outcome; never raises a `RequestError`."""
+        """Run the call to its outcome and set ``finished``.
+
+        A `RequestError` is stored in ``refusal`` and not raised.
+        """
         try:
             await self._run()
         except RequestError as error:
@@ -105,8 +110,8 @@
         try:
             recorded = await take_claim(self._context, claim)
         except LedgerFailed:
-            # The claim may be there all the same and would keep the key
-            # from ever running.
+            # The ledger may have stored the claim although its answer is
+            # missing. Without an outcome it would block the key for ever.
             self._record_in_background([self._outcome("not_run")])
             raise
         if recorded is not None:
@@ -163,8 +168,8 @@
     async def _attempt(self, server: Announcement) -> ServiceAnswer:
         context = self._context
         call = self._call
-        # A connection that has been idle may have gone silent without an
-        # error. Whether a call written into it ran could not be told.
+        # A connection that has been idle may be dead without an error. The
+        # entry could not know whether a call written to it has run.
         connection = await context.pool.acquire(
             server.address, context.settings.silent_idle_s
         )
@@ -187,11 +192,13 @@
         return self._holds(results[-1])
 
     def _renewed_claim(self) -> list[LedgerRecord]:
-        """Return what claims the key anew after a server did not run it.
+        """Return the records that claim the key again for another server.
 
-        An owner dispatches once: the ledger could not tell a second
-        dispatch from a late first one. Outcome, claim and dispatch go in
-        one batch, so that no other attempt comes in between.
+        They are needed after a server has answered that it did not run the
+        call. An owner dispatches only once, because the ledger cannot
+        distinguish a second dispatch from a delayed first one. Outcome,
+        claim and dispatch are written in one batch, so that no other
+        attempt can claim the key in between.
         """
         if not self._owner_used:
             return []
@@ -208,9 +215,9 @@
     def _holds(self, result: LedgerResult) -> bool:
         if result.state == "ok":
             return True
-        # The first send of this very dispatch was applied and its answer
-        # was lost. Nothing has been written under this owner yet, and
-        # nobody else knows it, so the call may go.
+        # The ledger applied an earlier send of this dispatch and the answer
+        # was lost. Only this call uses the owner and has written nothing
+        # under it yet, so the call may be sent.
         own = result.owner == self._owner
         return own and result.claim_state == "dispatched"
 
@@ -257,7 +264,7 @@
         self.answer = recorded
 
     async def _charge_recorded(self, recorded: RecordedAnswer) -> None:
-        # The entry that ran the call may have died before its charge.
+        # The entry that ran the call may have crashed before the charge.
         if recorded.status < 500:
             charge = service_charge(self._call, self._service.call_micros)
             results = await write_ledger(self._context, [charge], run="ran")
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
@@ -1,9 +1,9 @@
-"""Claims of calls that must not be repeated, and what they answer.
+"""Claims of non-idempotent calls, and the answers recorded under them.
 
-A claim is durable before the first byte of the call is written, so a
-second call with the key, at whatever entry, finds it: it gets the
-recorded answer or is told that the first one runs or that its outcome
-is unknown, and never causes a second run.
+The claim is durable before the first byte of the call is written, so any
+entry that gets a second call with the key finds it. That call receives the
+recorded answer, or an error which says that the first call is still
+running or that its outcome is unknown. It never runs the call again.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """The answer of an earlier run with the same key."""
+    """The recorded answer of an earlier call with the same key."""
 
     status: int
     content_type: str
@@ -43,7 +43,11 @@
 
 
 def fingerprint(*parts: bytes) -> str:
-    """Return a hash that tells requests of different content apart."""
+    """Return a hash of the parts and their lengths.
+
+    The ledger compares it to detect a key that is reused for a different
+    request.
+    """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -54,14 +58,17 @@
 async def take_claim(
     context: EntryContext, claim: Claim
 ) -> RecordedAnswer | None:
-    """Hold the claim, or return the recorded answer, or refuse."""
-    # Until the ledger has answered, an earlier call with the key may have
-    # run; "not run" would make the caller send it under another key.
+    """Acquire the claim and return None, or return the recorded answer.
+
+    Raises a `RequestError` if another call holds the claim.
+    """
+    # Until the ledger answers, an earlier call with the key may have run.
+    # On "not_run" the caller would send the call under another key.
     result = (await write_ledger(context, [claim], run="unknown"))[0]
     if result.state == "created":
         return None
-    # The first send of this claim may have been applied and its answer
-    # lost; the claim is held all the same.
+    # The ledger may have applied an earlier send of this claim whose answer
+    # was lost. This attempt then holds the claim.
     claimed = result.state == "exists" and result.claim_state == "claimed"
     if claimed and result.owner == claim.owner:
         return None
@@ -71,7 +78,7 @@
 def make_claim(
     customer: str, request_key: str, content: str, owner: str
 ) -> Claim:
-    """Return the claim of one attempt."""
+    """Return the claim record of one attempt, with the current time."""
     return Claim(customer, request_key, content, owner, wall_now_s())
 
 
