--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -1,4 +1,4 @@
-"""One version's answer to a request, over as many attempts as it takes."""
+"""One run of a chat request on one version, with retries and resumption."""
 
 from __future__ import annotations
 
@@ -36,22 +36,23 @@
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
-# Attempts on one version, resumed streams included. More would only add
-# load where many servers fail at once.
+# Attempts on one version, resumed streams included. More attempts would
+# only add load when many servers fail at once.
 MAX_ATTEMPTS: Final = 3
 SERVER_RETRY_S: Final = 1.0
 
 
 class EngineRun:
-    """Reads one answer as whole events, recovering where it is safe.
-
-    The consumer sets ``released`` as soon as a part of the answer has
-    gone to the caller; from then on only a resumed stream may follow.
-    ``attempt`` grows with each start from the beginning, so that a
-    consumer that collects the answer drops what it has. ``write_now``
-    may be set with the first release; events then go through it. A list
-    in ``events_copy`` gets a copy of the answer's events. ``failed`` is only
-    set where backend servers are at fault, for those who judge versions.
+    """Reads one answer as whole events and recovers where that is safe.
+
+    The consumer sets ``released`` when it sends the first part of the
+    answer to the caller; afterwards a failed attempt can only be resumed,
+    not restarted. ``attempt`` increases with each restart, which tells a
+    consumer that collects the answer to drop the events it has. The
+    consumer may set ``write_now`` on the first release; later reads are
+    then written through it. If ``events_copy`` is a list, the run appends
+    the answer's events to it. ``failed`` is set only when backend servers
+    are at fault, because the comparison of versions counts it.
     """
 
     def __init__(self, context: EntryContext, work: EngineWork) -> None:
@@ -78,16 +79,19 @@
 
     @property
     def usage(self) -> Usage | None:
-        """The tokens of a whole answer."""
+        """Token counts of a complete answer, None before its end."""
         return self._reader.usage
 
     @property
     def final_event(self) -> dict[str, Any]:
-        """The engine's last event, empty where it sent none."""
+        """The engine's event with the usage, empty if it sent none."""
         return self._reader.final_event
 
     async def start(self) -> None:
-        """Wait for a slot and dispatch the request, or refuse."""
+        """Wait for a slot and dispatch the request.
+
+        Raises a `RequestError` if the request is refused or fails.
+        """
         work = self._work
         self._slot = await self._context.slots.acquire(
             SlotRequest(
@@ -106,7 +110,7 @@
             await self._recover(error)
 
     async def next_events(self) -> bytes:
-        """Return whole events, none at the end of a whole answer."""
+        """Return the next whole events, ``b""`` after a complete answer."""
         while not self.done:
             try:
                 if events := await self._read_events():
@@ -118,12 +122,12 @@
         return b""
 
     def close(self) -> None:
-        """Give server and slot back; a run that goes on is cancelled."""
+        """Release server and slot; cancel the run if it is not done."""
         self._release_server("ok" if self.done else "cancelled")
         self._release_slot()
 
     def cost_micros(self) -> int:
-        """Return the price of the tokens of a whole answer."""
+        """Return the price of the answer's tokens, 0 before its end."""
         if self.usage is None:
             return 0
         declarations = self._context.control.in_force().declarations
@@ -131,8 +135,8 @@
 
     async def _dispatch(self, resume: bool = False) -> None:
         settings = self._context.settings
-        # An attempt after a failure takes a new connection: the old one
-        # may have gone silent while new ones work.
+        # A retry opens a new connection: pooled connections to the server
+        # may be dead while new ones work.
         idle_s = settings.pool_idle_s if self._attempts == 0 else 0.0
         self._attempts += 1
         server, connection = await self._acquire_server(resume, idle_s)
@@ -174,7 +178,8 @@
             self._context.metrics.refused_dispatches.inc({"code": code})
             if resume or not isinstance(refusal, NoBackendServer):
                 raise refusal
-            # It left while the connection was made; nothing was sent.
+            # The server left while the connection was opened. No byte was
+            # sent, so another server may be chosen.
             self._failed_servers.add(server.name)
 
     def _record_first_byte(self, server: Announcement) -> None:
@@ -200,8 +205,8 @@
         return events
 
     def _forward(self, data: bytes) -> bool:
-        # Whatever is not the plain middle of a stream is left to the
-        # task, which waits in `_read_events`.
+        # Only whole text events are forwarded here. Every other read goes
+        # to the task that waits in `_read_events`.
         if not self._reader.is_forwardable(data):
             return False
         assert self.write_now is not None
@@ -249,8 +254,8 @@
         self, error: Exception, resume: bool, sent: bool
     ) -> None:
         past_deadline = remaining_s(self._work.deadline_at_s) <= 0
-        # After a part of the answer has been released, another run would
-        # put the rest of a different answer behind it.
+        # After the release of a part of the answer, a restarted run would
+        # append the rest of a different answer to it.
         unsafe = self.released and not resume
         allowed = (
             not past_deadline and not unsafe and self._attempts < MAX_ATTEMPTS
@@ -267,8 +272,8 @@
         ) from error
 
     def _spend_retry(self, error: Exception) -> bool:
-        # A connection that was refused put no load on the server and
-        # needs no budget; a run that is done again does.
+        # Only a request that was sent spends the retry budget when it runs
+        # again. A refused connection put no load on the server.
         now_s = time.monotonic()
         cause = _outcome_of(error)
         customer = self._work.customer
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
@@ -1,4 +1,4 @@
-"""Calls to plain services that may be repeated: two attempts at most."""
+"""Idempotent calls to plain services, with at most two attempts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from sycamorestand_entry.context import EntryContext
 
-# The first try and one on a new connection, as with engines.
+# The first attempt and one retry on a new connection.
 MAX_ATTEMPTS: Final = 2
 SERVER_RETRY_S: Final = 1.0
 
@@ -30,7 +30,7 @@
 async def call_idempotent(
     context: EntryContext, call: ServiceCall
 ) -> ServiceAnswer:
-    """Return the service's answer, or refuse."""
+    """Return the service's answer; raise a `RequestError` if none came."""
     slot = await acquire_slot(context, call)
     begin_s = time.monotonic()
     failed = True
@@ -75,8 +75,8 @@
     limit_s = remaining_s(call.deadline_at_s)
     if limit_s <= 0:
         raise DeadlineExceeded("the deadline passed", run="not_run")
-    # The first byte has a budget of its own while another attempt is
-    # left: the connection may have gone silent while new ones work.
+    # Unless this is the last attempt, a shorter timeout applies, because
+    # the pooled connection may be dead while new ones work.
     if attempt + 1 < MAX_ATTEMPTS:
         limit_s = min(limit_s, settings.first_byte_timeout_s)
     server = context.servers.choose(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that may take work, and the choice among them."""
+"""Selection among the backend servers that hold a version or service."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class Servers:
-    """One selector for each model or service.
+    """Selects servers, with one `ServerSelector` for each model or service.
 
-    What is slow or failing is judged against the servers of the same
-    group: the medians of a small model's servers would make every server
-    of a large one look like an outlier.
+    Outlier ejection compares a server with the other servers of its group.
+    With one group for all, the median latency of a small model's servers
+    would make every server of a large model an outlier.
     """
 
     def __init__(self, control: ControlPort, random: Random) -> None:
@@ -39,9 +39,10 @@
         self._first_seen: dict[str, tuple[int, int, float]] = {}
 
     def candidates(self, target: str, now_s: float) -> list[Candidate]:
-        """Return the servers that hold the version or service now.
+        """Return the servers that hold the version or service.
 
-        While a version is rolled out, only those that its share needs.
+        During a roll-out of the version, only as many of them as its share
+        of the work needs.
         """
         holders = [
             server
@@ -73,11 +74,12 @@
         again: bool = False,
         among: Collection[str] | None = None,
     ) -> Announcement:
-        """Return the server for one attempt, or refuse.
+        """Return the server for one attempt.
 
-        With ``again`` an excluded one is taken where there is no other:
-        it may have failed on a connection that had gone silent. With
-        ``among`` only servers named there are taken.
+        With ``again`` an excluded server is chosen if there is no other,
+        because its earlier attempt may have failed on a dead connection
+        only. ``among`` limits the choice to the servers that it names.
+        Raises `NoBackendServer` if no server can be chosen.
         """
         candidates = self.candidates(target, now_s)
         if among is not None:
@@ -97,7 +99,10 @@
     def has_available_server(
         self, target: str, now_s: float, among: Collection[str] | None = None
     ) -> bool:
-        """Tell whether a server of the target, or one of these, is not out."""
+        """Return whether the target has a server that is not ejected.
+
+        ``among`` limits the question to the servers that it names.
+        """
         selector = self._selector(target)
         return any(
             not selector.is_ejected(candidate.name, now_s)
@@ -108,7 +113,7 @@
     def find_available(
         self, target: str, name: str, now_s: float
     ) -> Announcement | None:
-        """Return the named server where it may take work now."""
+        """Return the named server, None if it may not take work now."""
         if not name or self._selector(target).is_ejected(name, now_s):
             return None
         if not any(c.name == name for c in self.candidates(target, now_s)):
@@ -116,19 +121,19 @@
         return self._control.backend_servers().get(name)
 
     def candidate_count(self, target: str) -> int:
-        """Return how many candidates there were at the last look."""
+        """Return the number of candidates at the last selection."""
         return self._counts.get(target, 0)
 
     def in_flight(self, target: str, name: str) -> int:
-        """Return how many requests this entry has running on a server."""
+        """Return how many requests of this entry run on the server."""
         return self._selector(target).in_flight(name)
 
     def report_age_s(self, server: Announcement, now_s: float) -> float:
-        """Return how old the server's report of its load is."""
+        """Return the age of the server's load report."""
         return server.load.age_s + self._held_for_s(server, now_s)
 
     def capacity(self, target: str, now_s: float) -> int:
-        """Return how many requests may run on the target's servers."""
+        """Return how many requests the target's servers can run at once."""
         candidates = self.candidates(target, now_s)
         return self._selector(target).capacity(candidates, now_s)
 
@@ -139,7 +144,7 @@
     def record_first_byte(
         self, target: str, name: str, now_s: float, latency_s: float
     ) -> None:
-        """Learn from the time to the first byte."""
+        """Record the time to the first byte of an answer."""
         self._selector(target).record_first_byte(name, now_s, latency_s)
 
     def record_finish(
@@ -150,18 +155,18 @@
         latency_s: float,
         outcome: Outcome,
     ) -> None:
-        """Learn from the end of an attempt."""
+        """Record the end of an attempt, its duration and its outcome."""
         self._selector(target).record_finish(name, now_s, latency_s, outcome)
 
     def record_cache_event(
         self, name: str, prefix_keys: list[str], stored: bool, now_s: float
     ) -> None:
-        """Take in what an engine says of its prefix cache."""
+        """Record prefixes that an engine has cached or evicted."""
         for selector in self._selectors.values():
             selector.cache_event(name, prefix_keys, stored, now_s)
 
     def forget_removed(self, now_s: float) -> None:
-        """Drop what is known of servers that are gone and idle."""
+        """Drop the state of servers that have left and run no request."""
         known = self._control.backend_servers()
         for selector in self._selectors.values():
             for name, state in selector.metrics(now_s).items():
@@ -171,14 +176,14 @@
             del self._first_seen[name]
 
     def metrics(self, now_s: float) -> dict[str, dict[str, ServerMetrics]]:
-        """Return what each group's selector knows of its servers."""
+        """Return the metrics of all servers by group and name."""
         return {
             group: selector.metrics(now_s)
             for group, selector in self._selectors.items()
         }
 
     def _rollout_share(self, target: str) -> float:
-        """Return the share of the work that a version gets by a roll-out."""
+        """Return the version's roll-out share, 1.0 without a roll-out."""
         model, _, version = target.partition(VERSION_SEPARATOR)
         rollout = self._control.in_force().shares.get(model)
         if rollout is None or rollout.version != version:
@@ -194,8 +199,8 @@
         return selector
 
     def _held_for_s(self, server: Announcement, now_s: float) -> float:
-        # The port shows announcements without the time they came at, so
-        # a report is as old as this entry has known it.
+        # Announcements carry no time of arrival, so the age of a report
+        # counts from when this entry first saw it.
         seen = self._first_seen.get(server.name)
         if seen is None or seen[:2] != (server.incarnation, server.sequence):
             seen = (server.incarnation, server.sequence, now_s)
