--- a/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
@@ -1,4 +1,4 @@
-"""Who calls, and what the request's headers ask for."""
+"""Authentication of callers, and the options in request headers."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 BEARER: Final = b"bearer "
 MAX_KEY_CHARACTERS: Final = 256
 MAX_DEADLINE_MS: Final = 3_600_000
-# Known and unknown keys are remembered alike, so that neither a caller's
-# own key nor a flood of wrong ones costs a hash for each customer twice.
+# Valid and invalid keys are cached alike, so that neither a caller's own
+# key nor a flood of wrong ones is hashed for each customer again.
 MAX_REMEMBERED_KEYS: Final = 4096
 _NAME: Final = re.compile(r"[\x21-\x7e]{1,256}")
 
 
 class CallerOptions(NamedTuple):
-    """What a request's headers ask for; empty where they are absent."""
+    """Options from a request's headers; empty or 0 if the header is absent."""
 
     request_key: str
     session_name: str
@@ -41,7 +41,7 @@
 
 
 class Authenticator:
-    """Finds the customer that a key belongs to."""
+    """Finds the customer of a bearer key and caches the result."""
 
     def __init__(self) -> None:
         self._revision = -1
@@ -50,7 +50,10 @@
     def customer(
         self, headers: dict[bytes, bytes], in_force: InForce
     ) -> Customer:
-        """Return the customer of the bearer key, or refuse."""
+        """Return the customer of the bearer key.
+
+        Raises `Unauthorised` if the key belongs to no customer.
+        """
         key = bearer_key(headers)
         if self._revision != in_force.revision:
             self._revision = in_force.revision
@@ -68,7 +71,10 @@
 
 
 def bearer_key(headers: dict[bytes, bytes]) -> bytes:
-    """Return the key of the ``Authorization`` header, or refuse."""
+    """Return the key of the ``Authorization`` header.
+
+    Raises `Unauthorised` if it is missing, empty or too long.
+    """
     value = headers.get(b"authorization", b"")
     if value[: len(BEARER)].lower() != BEARER:
         raise Unauthorised("send your key as 'Authorization: Bearer KEY'")
@@ -79,7 +85,7 @@
 
 
 def read_options(headers: dict[bytes, bytes]) -> CallerOptions:
-    """Check and return the headers that steer a request."""
+    """Return the options in the headers; raise `BadRequest` for bad ones."""
     token = headers.get(b"x-session-token", b"")
     if len(token) > MAX_TOKEN_CHARACTERS:
         raise BadRequest("x-session-token is too long")
@@ -96,12 +102,15 @@
 
 
 def remaining_s(deadline_at_s: float) -> float:
-    """Return what is left until a deadline of the monotonic clock."""
+    """Return the time left until a deadline on the monotonic clock."""
     return deadline_at_s - time.monotonic()
 
 
 def deadline_after(deadline_ms: int, default_ms: int) -> float:
-    """Return the deadline on the monotonic clock."""
+    """Return the deadline on the monotonic clock.
+
+    ``default_ms`` applies if the caller set no deadline (0).
+    """
     return time.monotonic() + (deadline_ms or default_ms) / 1000
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -1,4 +1,4 @@
-"""State that the requests of one entry process share."""
+"""State that all requests of one entry process share."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     from sycamorestand_entry.settings import EntrySettings
 
 _LOG = logging.getLogger(__name__)
-# For what a request's own end takes before the process is ended.
+# Time to finish a request's own bookkeeping before the process is ended.
 STOP_MARGIN_S: Final = 0.2
 
 
 class EntryContext:
-    """What handlers of requests need; made once for a process."""
+    """The objects that request handlers share, created once per process."""
 
     def __init__(
         self,
@@ -89,34 +89,38 @@
         return time.monotonic()
 
     def begin_stop(self) -> None:
-        """Note that the process ends, within the limit that it is set."""
+        """Start stopping; with a stop limit, set the stop deadline."""
         self.stopping = True
         limit_s = self.settings.stop_limit_s
         if limit_s:
             self._stop_deadline_s = self.now_s() + limit_s - STOP_MARGIN_S
 
     def stop_deadline_s(self) -> float:
-        """Return by when answers must be whole, infinity if none must."""
+        """Return when answers must be complete, infinity without a limit.
+
+        The time is on the monotonic clock.
+        """
         return self._stop_deadline_s
 
     def has_other_serving_entry(self) -> bool:
-        """Tell whether another entry that does not stop is known."""
+        """Return whether another entry is known that is not stopping."""
         return any(
             address.vm != self.settings.vm and not address.stopping
             for address in self.control.addresses()
         )
 
     def queue_delay(self, service: str, short_prefill: bool) -> QueueDelay:
-        """Return the wait at a service's servers, by length of reading.
+        """Return the mean queue delay at the servers of a service.
 
-        ``quick`` readings are read before the others.
+        Requests with a ``short_prefill`` have a delay of their own, because
+        engines serve them before the others.
         """
         return self._queue_delays.setdefault(
             (service, short_prefill), QueueDelay()
         )
 
     def event_gap(self, service: str) -> QueueDelay:
-        """Return the wait for the next event of a service's streams."""
+        """Return the mean gap between events of a service's streams."""
         return self._event_gaps.setdefault(service, QueueDelay())
 
     def _on_ratings(self, message: SharedRatings) -> None:
@@ -129,10 +133,11 @@
     def start_background(
         self, function: Callable[..., Awaitable[None]], *arguments: Any
     ) -> None:
-        """Run what must outlive its request; a planned stop waits for it.
+        """Run a function that outlives its request.
 
-        A fault in it is logged and ends nothing else: in a task group it
-        would end the process with all of its requests.
+        A planned stop waits for it. An exception in it is logged and not
+        raised, because in the task group it would end the whole process
+        with all running requests.
         """
         self._background.start_soon(_run_logged, function, arguments)
 
@@ -143,7 +148,7 @@
     try:
         await function(*arguments)
     except Exception:
-        _LOG.exception("background work failed")
+        _LOG.exception("background task failed")
 
 
 __all__ = ["EntryContext"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
@@ -1,4 +1,4 @@
-"""Trading further arrivals with the pool of the control process."""
+"""Exchange of budgeted further arrivals with the control process's pool."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
     from sycamorestand_decisions.arrivals import ArrivalBudget
     from sycamorestand_entry.ports import ControlPort
 
-# The way to a control process and back, between data centres, with some time
-# for its turn. A request waits no longer for what it may not get.
+# A round trip to a control process in another data centre, with some time
+# for its turn. A request waits no longer, as the pool may have nothing to
+# lend.
 ANSWER_WAIT_S: Final = 0.05
 
 
 class Loans:
-    """Gives what the entry's budget would lose, and borrows what it lacks."""
+    """Lends the entry's unused budget to the pool and borrows from it."""
 
     def __init__(
         self,
@@ -37,9 +38,9 @@
         control.add_listener(ArrivalsLent, self._on_lent)
 
     def trade(self, needed: str = "") -> None:
-        """Send the control process a trade, where one is due.
+        """Send the control process a trade if one is due.
 
-        ``needed`` is a service that has too little left now.
+        ``needed`` is a service whose budget is too small now.
         """
         entries = self._control.entry_count()
         trade = self._budget.open_trade(entries, self._now_s(), needed)
@@ -48,7 +49,7 @@
             self._control.send(ArrivalTrade(*trade))
 
     async def borrow(self, service: str) -> None:
-        """Ask for what a service lacks, and wait a moment for the answer."""
+        """Request budget for a service and wait briefly for the answer."""
         self.trade(service)
         if self._budget.expects_quick_reply:
             with anyio.move_on_after(ANSWER_WAIT_S):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
@@ -1,4 +1,4 @@
-"""What the answers show: ratings, and samples for those who decide."""
+"""Ratings of answers, and the samples on which versions are compared."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.engine_run import EngineRun
 
-# Answers of the last step go out unrated. The cascade must know how good
-# they are all the same; one in five is enough for a class within minutes
-# and spares the rating service the rest.
+# Share of the last step's answers that is rated. They go out unrated, but
+# the cascade has to know their quality. One in five is enough for a request
+# class within minutes and limits the load on the rating service.
 RATED_SHARE: Final = 0.2
 
 
 class RunSummary(NamedTuple):
-    """One run as it ended."""
+    """The outcome, latency and cost of one run."""
 
     version: str
     failed: bool
@@ -35,9 +35,9 @@
 
 
 def should_rate(context: EntryContext, escalated: bool) -> bool:
-    """Tell whether an answer that goes out unrated is rated later.
+    """Return whether to rate an answer after it has been sent.
 
-    Those that an earlier step failed on are rare and are all rated.
+    Escalated requests are rare and are all rated.
     """
     if not context.rating.configured:
         return False
@@ -47,7 +47,7 @@
 async def rate_answer(
     context: EntryContext, chat: ChatRequest, run: EngineRun, events: bytes
 ) -> float | None:
-    """Return the rating of a whole answer, None where none came."""
+    """Return the rating of a complete answer, None if there is none."""
     try:
         text = answer_text(events)
     except MalformedStream:
@@ -68,7 +68,10 @@
     summary: RunSummary,
     rating: float | None,
 ) -> None:
-    """Tell the cascade, and the control process, what a run showed."""
+    """Report a run to the cascade's learner and the control process.
+
+    The learner ignores failed runs.
+    """
     if not summary.failed:
         context.cascade.observe(
             chat.profile.name,
@@ -100,7 +103,7 @@
     summary: RunSummary,
     events: bytes,
 ) -> None:
-    """Rate an answer that has gone out, and report it with the rating."""
+    """Rate an answer that has been sent, and report it with the rating."""
     rating = await rate_answer(context, chat, run, events)
     report(context, chat, summary, rating)
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/sessions.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/sessions.py
@@ -1,4 +1,4 @@
-"""Signed session tokens: any entry can go on with a session."""
+"""Signed session tokens, with which any entry can continue a session."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Session(NamedTuple):
-    """A session of a customer and the version that it keeps."""
+    """A session of a customer and the version that it is pinned to."""
 
     customer: str
     name: str
@@ -25,7 +25,7 @@
 
 
 def sign_session(session: Session, key: bytes) -> str:
-    """Return the token that holds the session."""
+    """Return the session as a token that is signed with the key."""
     content = SEPARATOR.join(part.encode() for part in session)
     return base64.urlsafe_b64encode(_digest(content, key) + content).decode()
 
@@ -35,9 +35,10 @@
 ) -> Session:
     """Return the session of a token that was signed for this customer.
 
-    ``keys`` are those that are valid now; an empty one is none. A token
-    that was handed out before a rotation must go on, as its session
-    would otherwise end with it.
+    ``keys`` are the keys that are valid now; empty ones are ignored. The
+    previous key is among them, because a rotation must not end sessions
+    whose tokens were issued before it. Raises `BadRequest` if the token is
+    malformed, was signed with another key or is another customer's.
     """
     try:
         raw = base64.b64decode(token.encode(), altchars=b"-_", validate=True)
