--- a/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/service_call.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a plain service, after passing the gate."""
+"""One HTTP exchange with a plain service, after a check by the gate."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ServiceCall(NamedTuple):
-    """What is asked of a plain service; ``target`` has the query."""
+    """A call to a plain service; ``target`` is path and query."""
 
     customer: str
     weight: float
@@ -39,9 +39,9 @@
 
 
 class ServiceAnswer(NamedTuple):
-    """A whole answer of a plain service.
+    """A complete answer of a plain service.
 
-    ``not_run`` is set where the service itself said so.
+    ``not_run`` is set if the service states that it did not run the call.
     """
 
     status: int
@@ -51,7 +51,7 @@
 
 
 class CallFailed(UpstreamError):
-    """The call was written and no whole answer came."""
+    """The call was written, but no complete answer came."""
 
 
 async def exchange(
@@ -64,8 +64,8 @@
 ) -> ServiceAnswer:
     """Write the call and return its answer.
 
-    Raises a `RequestError` where the gate refuses, before any byte, and
-    `CallFailed` where the call may have run.
+    Raises a `RequestError` if the gate refuses the call, before any byte
+    is written, and `CallFailed` if the call may have run.
     """
     intent = DispatchIntent(
         call.customer, "", call.service, server.name, claim_held=claim_held
@@ -114,7 +114,7 @@
 
 
 async def acquire_slot(context: EntryContext, call: ServiceCall) -> int:
-    """Wait until the call may start, or refuse."""
+    """Wait for a slot; raise a `RequestError` if the call is refused."""
     return await context.slots.acquire(
         SlotRequest(
             call.customer,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
@@ -37,7 +37,7 @@
 async def answer_service(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Answer one call; what may be repeated is, the rest runs once."""
+    """Answer one call; only idempotent calls may be sent twice."""
     in_force = context.control.in_force()
     customer = context.authenticator.customer(request.headers, in_force)
     name, target = _split_target(request)
@@ -104,8 +104,8 @@
     responder: Responder,
 ) -> None:
     claimed = ClaimedCall(context, call, service)
-    # The call goes on in a task of the entry when the caller has left or
-    # its deadline has passed, so that a late answer is still recorded.
+    # The call runs in a background task, which continues after the caller
+    # has left or its deadline has passed. So a late answer is recorded too.
     context.start_background(claimed.run)
     with anyio.move_on_after(remaining_s(call.deadline_at_s)):
         await claimed.finished.wait()
