--- a/packages/sycamorestand-entry/src/sycamorestand_entry/answers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/answers.py
@@ -1,4 +1,4 @@
-"""A whole chat completion, put together from its streamed events."""
+"""Assembly of a complete chat completion from its streamed events."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def assemble(events: bytes) -> dict[str, Any]:
-    """Return the answer as an engine gives it to a plain request.
+    """Return the answer in the form of a response without streaming.
 
-    Raises `MalformedStream` where the events make no answer; their JSON
-    has not been looked at before.
+    Raises `MalformedStream` if an event has bad JSON or choices. Until here
+    the entry has forwarded the events without parsing them.
     """
     answer: dict[str, Any] = {}
     choices: dict[int, dict[str, Any]] = {}
@@ -38,7 +38,7 @@
 
 
 def answer_text(events: bytes) -> str:
-    """Return the text of the first choice, as a rating sees it."""
+    """Return the text of the first choice, which the rating is based on."""
     choices = assemble(events)["choices"]
     return (choices[0]["message"].get("content") or "") if choices else ""
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/chat.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/chat.py
@@ -1,4 +1,4 @@
-"""``POST /v1/chat/completions``: from a request to a billed answer."""
+"""Handler of ``POST /v1/chat/completions``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 async def answer_chat(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Answer one request; the caller's leaving cancels the work."""
+    """Answer one request; cancel it when the caller disconnects."""
     chat = await read_chat(context, request)
     failure: RequestError | None = None
     finished = False
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/chat_request.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/chat_request.py
@@ -1,4 +1,4 @@
-"""A request for a chat completion, checked."""
+"""Parsing and validation of requests for chat completions."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class ChatRequest(NamedTuple):
-    """What a caller asks for, and who it is.
+    """A validated request and its customer.
 
-    ``prefix_key`` stands for the beginning that the request shares with
-    others; ``input_tokens`` is an estimate from the body's size.
+    ``prefix_key`` identifies the prompt prefix that the request shares with
+    others; ``input_tokens`` is an estimate from the size of the body.
     """
 
     customer: Customer
@@ -56,7 +56,7 @@
 
 
 async def read_chat(context: EntryContext, request: Request) -> ChatRequest:
-    """Return the checked request, or refuse."""
+    """Return the validated request; raise a `RequestError` if it is bad."""
     in_force = context.control.in_force()
     customer = context.authenticator.customer(request.headers, in_force)
     options = read_options(request.headers)
@@ -87,9 +87,9 @@
 def engine_work(
     chat: ChatRequest, version: str, session_name: str
 ) -> EngineWork:
-    """Return what is asked of an engine of this version.
+    """Return the request to an engine of this version.
 
-    ``session_name`` is empty where the request belongs to no session.
+    ``session_name`` is empty if the request belongs to no session.
     """
     content = dict(chat.content)
     content["model"] = version
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/delivery.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/delivery.py
@@ -1,4 +1,4 @@
-"""Gives an answer to its caller: charged before its last bytes go out."""
+"""Delivery of answers; the charge is durable before the last bytes go out."""
 
 from __future__ import annotations
 
@@ -31,7 +31,10 @@
 
 
 class Delivery(NamedTuple):
-    """What every way to give the answer needs."""
+    """One answer to deliver.
+
+    ``cost_micros`` is the cost of the earlier steps of the cascade.
+    """
 
     context: EntryContext
     chat: ChatRequest
@@ -43,7 +46,7 @@
 
 
 async def collect_events(run: EngineRun) -> bytes:
-    """Return all events of a run, none of an attempt that was dropped."""
+    """Return all events of a run, without those of restarted attempts."""
     parts: list[bytes] = []
     attempt = run.attempt
     while events := await run.next_events():
@@ -55,7 +58,7 @@
 
 
 async def stream_events(delivery: Delivery) -> None:
-    """Forward events as they come; what fails then is told as an event."""
+    """Forward events as they come; report a later failure as an event."""
     run = delivery.run
     responder = delivery.responder
     try:
@@ -72,13 +75,14 @@
     except RequestError as error:
         if not responder.started:
             raise
-        # Without this event the caller could take what it has for whole.
+        # Without this event the caller could take the part that it has for
+        # a complete answer.
         await responder.finish(encode_event(error_content(error)))
         raise
 
 
 async def send_collected(delivery: Delivery, events: bytes) -> None:
-    """Give an answer that is whole already, in the form asked for."""
+    """Send a complete answer, as a stream or as JSON, as requested."""
     responder = delivery.responder
     if delivery.chat.stream:
         final_event = await _charge(delivery)
@@ -88,7 +92,7 @@
     try:
         answer = assemble(events)
     except MalformedStream as error:
-        # Found before the charge: what can't be given isn't billed.
+        # This precedes the charge: a malformed answer isn't billed.
         raise BackendFailed(f"the answer is malformed: {error}") from None
     final_event = await _charge(delivery)
     answer["usage"] = final_event.get("usage")
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
@@ -1,4 +1,4 @@
-"""What an engine is sent, and what its answer's head tells."""
+"""The HTTP request to an engine, and the check of its response head."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from sycamorestand_model.backend_servers import Announcement
 
 OVERLOADED_RETRY_S: Final = 1.0
-# The server itself says with this header that it did not run a request.
+# With this header a server states that it did not run the request.
 NOT_RUN_HEADER: Final = b"x-not-run"
 RESUMED_HEADER: Final = b"x-resume-from"
 
 
 class EngineWork(NamedTuple):
-    """What is asked of an engine; ``body`` always asks for a stream.
+    """A request to an engine; its ``body`` always requests a stream.
 
-    ``affinity_key`` leads to the server that may hold the state of the
-    session or prefix; it is empty where there is none.
+    ``affinity_key`` selects the server that may have cached the state of
+    the session or prefix; it is empty if the request has neither.
     """
 
     customer: str
@@ -48,7 +48,11 @@
     resume: bool,
     resume_from: int,
 ) -> bytes:
-    """Return the bytes of a request, or of one for the rest of a run."""
+    """Return the bytes of a request.
+
+    With ``resume`` it requests the rest of the run ``run_id``, from the
+    event with index ``resume_from``.
+    """
     lines = [
         "POST /v1/chat/completions HTTP/1.1",
         f"Host: {server.address}",
@@ -69,11 +73,11 @@
 
 
 def check_head(head: ResponseHead, resumed_at: int | None = None) -> None:
-    """Raise where the answer is not the stream that was asked for.
+    """Raise an error if the response is not the requested stream.
 
-    A resumed stream must say from which event it goes on. An engine that
-    knows nothing of resuming would begin again, and the caller would get
-    the first tokens twice.
+    A resumed stream must name the event that it continues from. An engine
+    that does not support resuming would start from the beginning, and the
+    caller would get the first tokens twice.
     """
     if head.status == 200:
         if resumed_at is not None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/rating.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/rating.py
@@ -1,4 +1,4 @@
-"""Ratings of answers, asked for with a bounded wait."""
+"""Client of the rating service, with a timeout for each rating."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from sycamorestand_entry.metrics import Metrics
 
-# More at once than this means that the rating service does not keep up;
-# waiting for a connection then counts as an absent rating.
+# More concurrent requests mean that the rating service does not keep up.
+# The wait for a connection counts towards the timeout of the rating.
 MAX_CONNECTIONS: Final = 32
 MAX_REPLY_BYTES: Final = 4096
 
 
 class RatedAnswer(NamedTuple):
-    """What the rating service sees of a request and its answer."""
+    """The request and the answer as they are sent to the rating service."""
 
     customer: str
     version: str
@@ -31,7 +31,7 @@
 
 
 class RatingClient:
-    """Asks the rating service; an absent rating is None, never an error."""
+    """Requests ratings; a failure gives None instead of an exception."""
 
     def __init__(self, url: str, timeout_s: float, metrics: Metrics) -> None:
         self.configured = bool(url)
@@ -43,7 +43,7 @@
         )
 
     async def rate(self, rated: RatedAnswer) -> float | None:
-        """Return a rating from 0 to 1, or None where none came in time."""
+        """Return a rating from 0 to 1, None if no valid one came in time."""
         result = "garbage"
         rating = None
         try:
