--- a/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads an engine's stream: passes text on, takes out what ends it."""
+"""Reader of an engine's stream, which holds back usage and end events."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class EventReader:
-    """How far one answer has come, over all connections that carried it.
+    """Tracks the progress of one answer over all of its connections.
 
-    ``events`` counts the whole events passed on, which is where a run
-    is resumed. ``usage`` and ``ending`` are the engine's own account; they
-    are held back until the answer is charged.
+    ``events`` counts the whole events returned so far; a run is resumed
+    from there. ``usage`` and ``final_event`` come from the engine and are
+    held back until the answer is charged.
     """
 
     def __init__(self) -> None:
@@ -35,12 +35,16 @@
         self._failure: MalformedStream | None = None
 
     def raise_failure(self) -> None:
-        """Raise what was found behind the events returned last."""
+        """Raise the error found after the events that were returned last."""
         if self._failure is not None:
             raise self._failure
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events to pass on."""
+        """Return the whole events to forward.
+
+        Raises `MalformedStream` for bad events and at a premature end,
+        which is ``b""``.
+        """
         if not data:
             raise MalformedStream("the stream ended without its last event")
         events = self._buffer.feed(data)
@@ -52,31 +56,31 @@
         return self._read_events(events)
 
     def is_forwardable(self, data: bytes) -> bool:
-        """Tell whether a read is whole events of plain text."""
+        """Return whether a read consists of whole text events only."""
         return self._buffer.is_whole(data) and is_plain(data)
 
     def count_forwarded(self, data: bytes) -> None:
-        """Count events that were passed on without `feed`."""
+        """Count events that were forwarded without `feed`."""
         self.events += data.count(EVENT_END)
 
     def expect_rest(self) -> None:
-        """Expect the rest of the answer on another connection."""
+        """Prepare for the rest of the answer on another connection."""
         self._buffer = EventBuffer()
         self._failure = None
 
     def restart(self) -> None:
-        """Expect another answer from its beginning."""
+        """Prepare for a new answer from its beginning."""
         self.expect_rest()
         self.events = 0
         self.usage = None
         self.final_event = {}
 
     def estimate_usage(self, sent_bytes: int) -> bool:
-        """Fill in a missing usage; tell whether it was missing."""
+        """Estimate a missing usage; return whether it was missing."""
         if self.usage is not None:
             return False
-        # The answer is whole, so it is billed; without the engine's
-        # count one event stands for one token.
+        # The answer is complete, so it is billed. Without a count from the
+        # engine, each event counts as one token.
         self.usage = Usage(sent_bytes // BYTES_PER_TOKEN, self.events)
         return True
 
@@ -86,8 +90,8 @@
             for event in split_events(events):
                 self._read_event(event, plain)
         except MalformedStream as error:
-            # What came whole before it has been counted, so it must go
-            # out before the run is resumed behind it.
+            # The valid events before it are counted already, so they must
+            # be returned before the run is resumed after them.
             self._failure = error
             if not plain:
                 raise
@@ -105,7 +109,7 @@
         usage = read_usage(content)
         if usage is not None:
             self.usage = usage
-            # Some engines count in events that carry text as well.
+            # Some engines also report usage in events that carry text.
             if not content.get("choices"):
                 self.final_event = content
                 return
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events of engines, cut at event boundaries only.
+"""Server-sent events of engines, split at event boundaries.
 
-A token's event is forwarded as the bytes that came; JSON is parsed only
-for the events that end an answer or carry an error.
+The event of a token is forwarded as the received bytes. Only events that
+end an answer or report an error are parsed as JSON.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 DATA: Final = b"data:"
 _NEXT_DATA: Final = EVENT_END + DATA
 DONE: Final = b"data: [DONE]\n\n"
-# Inside of generated text quotes are escaped, so these byte strings can
+# Quotes in generated text are escaped, so the byte strings with quotes can
 # only be members of the event itself.
 _MARKERS: Final = (b'"usage":{', b'"usage": {', b'"error":', b"[DONE]")
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
 class MalformedStream(ValueError):
-    """The bytes are no event stream of the expected form."""
+    """The bytes are not an event stream of the expected form."""
 
 
 class Usage(NamedTuple):
-    """Tokens as the engine counted them."""
+    """Token counts as reported by the engine."""
 
     input_tokens: int
     output_tokens: int
 
 
 class EventBuffer:
-    """Keeps the beginning of an event until its end has arrived."""
+    """Buffers the beginning of an event until its end has arrived."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     def is_whole(self, data: bytes) -> bool:
-        """Tell whether the data begins and ends with whole events."""
+        """Return whether the data begins and ends at event boundaries."""
         return not self._incomplete and data.endswith(EVENT_END)
 
     def feed(self, data: bytes) -> bytes:
-        """Return all whole events, those of one read in one piece."""
+        """Return all events that are complete after this read."""
         if self._incomplete:
             data = self._incomplete + data
         if b"\r\n" in data:
@@ -59,7 +59,7 @@
 
 
 def is_plain(events: bytes) -> bool:
-    """Tell whether all events are data that neither ends nor fails."""
+    """Return whether all are data events without usage, error or end."""
     count = events.count(EVENT_END)
     if not events.startswith(DATA):
         return False
@@ -69,13 +69,16 @@
 
 
 def split_events(events: bytes) -> list[bytes]:
-    """Return the events one by one, each with its end."""
+    """Return the events as a list, each with its terminating blank line."""
     parts = events.split(EVENT_END)
     return [part + EVENT_END for part in parts if part]
 
 
 def decode_event(event: bytes) -> dict[str, Any]:
-    """Return the JSON object of one event."""
+    """Return the JSON object of one event.
+
+    Raises `MalformedStream` if there is none.
+    """
     if not event.startswith(DATA):
         raise MalformedStream("an event has no data")
     try:
@@ -88,12 +91,12 @@
 
 
 def encode_event(content: dict[str, Any]) -> bytes:
-    """Return one event with this JSON."""
+    """Return an event with the content as JSON."""
     return b"data: " + msgspec.json.encode(content) + EVENT_END
 
 
 def read_usage(content: dict[str, Any]) -> Usage | None:
-    """Return the usage of an event, None where it has no sound one."""
+    """Return the usage of an event, None if it is missing or invalid."""
     usage = content.get("usage")
     if not isinstance(usage, dict):
         return None
