--- a/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
@@ -1,4 +1,4 @@
-"""``POST /backend/v1/announce``: backend servers tell of themselves."""
+"""Handler of ``POST /backend/v1/announce``: backend servers' heartbeats."""
 
 from __future__ import annotations
 
@@ -35,14 +35,15 @@
 async def answer_announcement(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Check an announcement and hand it to the control process."""
+    """Validate an announcement and pass it to the control process."""
     check_backend_key(context, request)
     body = await read_body(request, MAX_ANNOUNCEMENT_BYTES)
     announcement = decode_announcement(body)
     await context.control.announce(announcement)
     if context.control.lease_remaining_s() <= 0:
-        # Noted here, and heard by nobody else if this entry is cut off; the
-        # server would count itself known, and get no work.
+        # The announcement is stored here, but if this entry is partitioned
+        # from control, no other process learns of it. With a success answer
+        # the server would consider itself announced and get no work.
         context.metrics.announcements.inc({"result": NoLease.code})
         raise NoLease("announce at another entry, this one may be cut off")
     context.metrics.announcements.inc({"result": "ok"})
@@ -51,7 +52,7 @@
 
 
 def check_backend_key(context: EntryContext, request: Request) -> None:
-    """Refuse whoever does not hold the key of backend servers."""
+    """Raise `Unauthorised` unless the key is one of backend servers."""
     settings = context.settings
     key = bearer_key(request.headers)
     if not (
@@ -63,7 +64,10 @@
 
 
 def decode_announcement(body: bytes) -> Announcement:
-    """Return the announcement; raises with all findings together."""
+    """Return the announcement.
+
+    Raises `BadRequest` with all findings if it is not valid.
+    """
     try:
         content = msgspec.json.decode(body, type=dict[str, Any])
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/cache_events.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/cache_events.py
@@ -1,8 +1,8 @@
-"""``POST /backend/v1/cache-events``: what engines say of their caches.
+"""Handler of ``POST /backend/v1/cache-events``: engines' prefix caches.
 
-Keys are those that the entry sent as ``X-Prefix-Key``. Events come late
-and with gaps, so they are hints for the choice of a server and nothing
-that an answer depends on.
+The keys are those that the entry sent as ``X-Prefix-Key``. Events come late
+and some are lost, so they only serve as hints for the selection of a
+server; no answer depends on them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class CacheEvents(msgspec.Struct, forbid_unknown_fields=True):
-    """Prefixes that an engine has stored and dropped."""
+    """Prefixes that an engine has added to its cache or evicted from it."""
 
     name: str
     stored: list[str] = []
@@ -37,7 +37,7 @@
 async def answer_cache_events(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Take in the events of an engine that is known."""
+    """Record the cache events of a known engine."""
     check_backend_key(context, request)
     body = await read_body(request, MAX_EVENTS_BYTES)
     try:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
@@ -1,4 +1,4 @@
-"""Answers that only read: models, addresses, health and metrics."""
+"""Handlers of read-only requests: models, addresses, health, metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 async def answer_models(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """List the profiles of the customer, in the form of OpenAI's API."""
+    """List the customer's profiles in the format of the OpenAI API."""
     in_force = context.control.in_force()
     customer = context.authenticator.customer(request.headers, in_force)
     names = [
@@ -43,10 +43,10 @@
 async def answer_addresses(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """List the entry addresses to use, best first.
+    """List the entry addresses to use, the best one first.
 
-    VMs that are stopping or draining are left out, so that callers have
-    turned away from them when their time-to-live is over.
+    VMs that are stopping or draining are left out, so that callers no
+    longer use them once the time-to-live of earlier answers is over.
     """
     leaving = set(context.control.in_force().draining_vms)
     if context.stopping:
@@ -74,14 +74,14 @@
 async def answer_health(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Tell that the process answers."""
+    """Answer that the process is alive."""
     await _answer_json(responder, {"status": "ok"})
 
 
 async def answer_readiness(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Tell whether new work is accepted here."""
+    """Answer whether this entry accepts new work, else with status 503."""
     lease_s = context.control.lease_remaining_s()
     ready = lease_s > 0 and not context.stopping
     content = {
@@ -96,12 +96,12 @@
 async def answer_metrics(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Show all counters to Prometheus."""
+    """Answer with all metrics, for Prometheus."""
     await responder.answer(200, PROMETHEUS_TEXT, metrics_text(context))
 
 
 def metrics_text(context: EntryContext) -> bytes:
-    """Return all counters and gauges in the text format."""
+    """Return all metrics in the text format, with gauges updated."""
     _set_gauges(context)
     return context.metrics.render()
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of an entry, one for each promise and decision."""
+"""Prometheus metrics of an entry process."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from aioprometheus.renderer import render
 
 PREFIX: Final = "sycamorestand_entry_"
-# Bounds around the aims of calls (0.2 to 0.4 s) and streams (2 to 5 s); the
-# last ones tell a late answer from one that was cut.
+# Bounds around the latency objectives of calls (0.2 to 0.4 s) and streams
+# (2 to 5 s). The largest ones separate late answers from those that were cut.
 BUCKETS_S: Final = (
     *(0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 5.0, 10.0, 25.0),
     math.inf,
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """The collectors of one entry process in a registry of their own."""
+    """The metrics of one entry process, in a registry of their own."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -95,10 +95,11 @@
     def count_routed_request(
         self, kind: str, result: str, duration_s: float, first_byte_s: float
     ) -> None:
-        """Count a routed request and its times.
+        """Count a routed request and record its durations.
 
-        By kind of route, as there may be thousands of routes, and each
-        label with its buckets is kept for good.
+        A negative ``first_byte_s`` means that no byte came. The label is
+        the kind of route, because there may be thousands of routes and the
+        buckets of each label value stay in memory for ever.
         """
         self.requests.inc({"interface": "routed", "result": result})
         self._duration.add({"kind": kind}, duration_s)
@@ -106,7 +107,7 @@
             self._first_byte.add({"kind": kind}, first_byte_s)
 
     def render(self) -> bytes:
-        """Return the text format that Prometheus reads."""
+        """Return all metrics in the text format of Prometheus."""
         body, _ = render(self._registry, [])
         return body
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/state_log.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/state_log.py
@@ -1,4 +1,4 @@
-"""Log lines for changes of state, which counters can't show in order."""
+"""Log lines for changes of state, whose order counters do not show."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LoggedState:
-    """What was logged last, so that only changes are logged."""
+    """The state at the last log lines; only differences are logged."""
 
     def __init__(self) -> None:
         self.revision = -1
@@ -27,7 +27,7 @@
 
 
 async def log_changes(context: EntryContext) -> None:
-    """Log changes until cancelled."""
+    """Log changes of state until cancelled."""
     logged = LoggedState()
     while True:
         log_differences(context, logged)
@@ -35,7 +35,7 @@
 
 
 def log_differences(context: EntryContext, logged: LoggedState) -> None:
-    """Log what differs from what was seen, and remember it."""
+    """Log the differences from the logged state, and update it."""
     revision = context.control.in_force().revision
     if revision != logged.revision:
         logged.revision = revision
