--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
@@ -1,9 +1,9 @@
 """HTTP connections to backend servers, parsed by httptools.
 
-The relay is the hottest path of an entry. One asyncio protocol with the
-parser of httptools hands a whole read to the relay at once, without an
-event object, a lock or a trace context for each chunk; the figures are
-in ``docs/design/relay.md``.
+The relay is the hottest path of an entry. An asyncio protocol with the
+parser of httptools passes each read to the relay as a whole, without an
+event object, a lock or a trace context for each chunk; for figures see
+``docs/design/relay.md``.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 Sink = Callable[[bytes], bool]
 
-# One caller that reads slowly must not let its backend server's answer
-# pile up here: reading stops at this many buffered bytes.
+# Reading from the backend server pauses at this many buffered bytes, so
+# that a caller which reads slowly does not fill the memory of the entry.
 READ_AHEAD_BYTES: Final = 64 * 1024
 MAX_HEAD_BYTES: Final = 64 * 1024
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection, which carries one request at a time."""
+    """One HTTP/1.1 connection, which carries one request at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.reusable = False
@@ -68,17 +68,17 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether another request may be sent on this connection."""
+        """Return whether another request may be sent on this connection."""
         if not self.reusable or self._error is not None or self._paused:
             return False
-        # A server that answers before it has read a long body reads on
-        # later; the next request must not wait behind the rest of it.
+        # A server may answer before it has read all of a long body. The
+        # next request must not queue behind the unsent rest of that body.
         transport = self._transport
         return transport is not None and not transport.get_write_buffer_size()
 
     @property
     def has_body(self) -> bool:
-        """Tell whether bytes of the answer's body wait to be read."""
+        """Return whether unread bytes of the answer's body are buffered."""
         return bool(self._body)
 
     def send(
@@ -87,11 +87,11 @@
         bodiless: bool = False,
         echo: Echo | None = None,
     ) -> None:
-        """Write a whole request; from here on it may have run.
+        """Write a whole request, which may have run from then on.
 
-        ``bodiless`` tells that the answer has no body whatever its
-        headers say, as it is with ``HEAD``. Answers whose ``echo`` names
-        another request are skipped.
+        With ``bodiless`` the answer has no body regardless of its headers,
+        as for ``HEAD``. Answers in which ``echo`` names another request
+        are skipped.
         """
         assert self._transport is not None
         self._bodiless = bodiless
@@ -102,8 +102,8 @@
         self._head_bytes = 0
         self._complete = False
         self.reusable = False
-        # Of an answer that was dropped unread, short enough to be whole
-        # already: its bytes would begin the answer to this request.
+        # The body of an earlier answer that was complete but never read.
+        # Its bytes would come before the answer to this request.
         self._body.clear()
         self._body_bytes = 0
         self._transport.write(request)
@@ -113,8 +113,9 @@
     ) -> ResponseHead:
         """Wait for the answer's status and headers.
 
-        With ``soft`` the end of the limit raises `SlowAnswer` and gives
-        nothing up: one may go on to wait.
+        Raises `SilentConnection` after ``limit_s``. With ``soft`` it raises
+        `SlowAnswer` instead and keeps the connection, so that the caller
+        can wait again.
         """
         while self._head is None:
             if self._error is not None:
@@ -129,13 +130,13 @@
         sink: Sink | None = None,
         soft: bool = False,
     ) -> bytes:
-        """Return all bytes that are there, at the answer's end none.
+        """Return all buffered bytes, ``b""`` at the end of the answer.
 
-        While this waits, ``sink`` gets each read as it comes and tells
-        whether it took it. The waiting task is woken only for what the
-        sink did not take; a wake-up costs more than the rest of a token.
-        ``limit_s`` bounds the silence, ``total_s`` the whole wait;
-        ``soft`` is as with `read_head`.
+        While this waits, ``sink`` is called with each read and returns
+        whether it has consumed it. The waiting task is woken only for reads
+        that the sink did not consume, because a wake-up costs more than all
+        other work for a token. ``limit_s`` limits the time without a byte,
+        ``total_s`` the whole wait; ``soft`` works as in `read_head`.
         """
         while not self._body:
             if self._complete:
@@ -153,7 +154,7 @@
         return data
 
     def close(self) -> None:
-        """Close at once; an answer that still runs is cancelled by it."""
+        """Close the connection at once, which cancels a running answer."""
         self.reusable = False
         if self._timer is not None:
             self._timer.cancel()
@@ -175,8 +176,8 @@
             self._fail(MalformedAnswer("its answer is no HTTP"))
             return
         if self._head is None and not self._skipping:
-            # Counted after parsing: one read may hold a head and a part
-            # of the body that is larger than the limit.
+            # Counted after parsing, because one read may contain a short
+            # head and a part of the body beyond the limit.
             self._head_bytes += len(data)
             if self._head_bytes > MAX_HEAD_BYTES:
                 self._fail(MalformedAnswer("its headers are too large"))
@@ -190,16 +191,16 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # A reset, or our own end of the connection, comes without the
-        # server's: what was cut by it must not pass for a whole answer.
+        # An answer that is not framed is complete only if the server closed
+        # the connection. After a reset or a close by the entry it is cut.
         complete = self._at_eof and exc is None and self._ends_at_eof()
         if complete and self._error is None:
             self._complete = True
         self._fail(BrokenConnection("it closed the connection"))
 
     def on_message_begin(self) -> None:
-        # An answer that nobody asked for must not be taken for a part of
-        # this one, or for the answer to the next request.
+        # An unrequested answer must not be mistaken for a part of this one
+        # or for the answer to the next request.
         if self._complete:
             self._unexpected = True
 
@@ -212,8 +213,9 @@
         if status < 200 or self._unexpected:
             pass
         elif echo is not None and echo.names_other_request(self._headers):
-            # A late second answer to an earlier request. To close the
-            # connection for it would lose a request that has just run.
+            # A late second answer to an earlier request. Closing the
+            # connection because of it would lose the current request, which
+            # may have run.
             self._skipping = True
         else:
             self._head = ResponseHead(status, self._headers)
@@ -294,8 +296,8 @@
             self._sink = None
 
     def _set_timer(self) -> None:
-        # One timer for the connection moves on lazily; a timer for each
-        # chunk would cost more than the parsing of the chunk.
+        # A single timer per connection is moved lazily when it fires. A
+        # timer for each chunk would cost more than parsing the chunk.
         if self._timer is not None:
             if self._timer.when() <= self._timeout_at_s:
                 return
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
@@ -1,4 +1,4 @@
-"""What is known of an answer of a backend server, and how it can fail."""
+"""Response heads of backend servers, and the errors of an exchange."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class UpstreamError(SycamorestandError):
-    """The connection or the answer on it cannot be used any more."""
+    """The connection, or the answer on it, cannot be used any more."""
 
 
 class ConnectFailed(UpstreamError):
-    """No connection came about, so no byte was sent."""
+    """The connection could not be opened, so no byte was sent."""
 
 
 class SilentConnection(UpstreamError):
-    """No byte came within the time that was allowed."""
+    """No byte came within the timeout."""
 
 
 class BrokenConnection(UpstreamError):
-    """The connection ended before the answer did."""
+    """The connection ended before the answer was complete."""
 
 
 class MalformedAnswer(UpstreamError):
-    """The bytes received are no HTTP answer."""
+    """The received bytes are not a valid HTTP response."""
 
 
 class SlowAnswer(SycamorestandError):
-    """No byte came in the time that one would like; it may still come."""
+    """No byte came within a soft timeout; the answer may still come."""
 
 
 class ResponseHead(NamedTuple):
@@ -44,18 +44,18 @@
 
 
 class Echo(NamedTuple):
-    """The header by which an answer names the request that it is to."""
+    """The header and value with which an answer names its request."""
 
     name: bytes
     value: bytes
 
     def names_other_request(self, headers: dict[bytes, bytes]) -> bool:
-        """Tell whether the answer says that it is to another request."""
+        """Return whether the header is present and names another request."""
         return headers.get(self.name, self.value) != self.value
 
 
 def keep_alive_s(headers: dict[bytes, bytes]) -> float:
-    """Return how long the server says that it keeps the connection idle.
+    """Return the keep-alive timeout in the headers, infinity without one.
 
     Example: ``kept_open_s({b"keep-alive": b"timeout=5"})`` is 5.0.
     """
@@ -64,7 +64,7 @@
 
 
 def is_framed(headers: dict[bytes, bytes]) -> bool:
-    """Tell whether the answer's own bytes say where its body ends."""
+    """Return whether the headers determine where the body ends."""
     return b"content-length" in headers or b"transfer-encoding" in headers
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_pool.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to backend servers, kept for the next request."""
+"""Pool of idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 from sycamorestand_entry.upstream import ConnectFailed
 from sycamorestand_entry.upstream import UpstreamConnection
 
-# Servers bound the connections of all callers together and reset those
-# beyond; what many entries keep idle after a burst must stay below that.
+# Idle connections per address. Servers limit the connections of all clients
+# together and reset those beyond the limit, so the connections that many
+# entries keep after a burst must stay below it.
 MAX_IDLE: Final = 16
-# Of the time that a server says it keeps an idle connection: what is sent
-# near its end crosses the server's close and may or may not have run.
+# Share of the server's keep-alive timeout for which an idle connection is
+# used. A request sent near the end of the timeout may cross the server's
+# close, and then it is unknown whether it ran.
 KEEP_ALIVE_SHARE: Final = 0.6
 
 
 class UpstreamPool:
-    """Idle connections by address, used again while they are young."""
+    """Idle connections by address, reused for a limited time."""
 
     def __init__(self, connect_timeout_s: float, idle_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
@@ -28,9 +30,10 @@
     async def acquire(
         self, address: str, max_idle_s: float
     ) -> UpstreamConnection:
-        """Return a connection that was idle at most this long, or new.
+        """Return an idle connection, or a new one if there is none.
 
-        A bound of zero always gives a new one.
+        The connection was idle for less than ``max_idle_s``; zero always
+        gives a new one. Raises `ConnectFailed`.
         """
         loop = asyncio.get_running_loop()
         idle = self._idle.get(address)
@@ -38,8 +41,8 @@
         while idle:
             age_s = loop.time() - idle[-1].idle_since_s
             if age_s >= bound_s:
-                # The others are older still; some other request may use
-                # them, a bound of zero must not close them all.
+                # All other idle connections are older. They are kept,
+                # because a request with a higher limit may use them.
                 break
             connection = idle.pop()
             usable_s = connection.keep_alive_s * KEEP_ALIVE_SHARE
@@ -49,7 +52,7 @@
         return await self._connect(address, loop)
 
     def release(self, address: str, connection: UpstreamConnection) -> None:
-        """Keep the connection for another request, or close it."""
+        """Keep the connection for another request, or close it if unusable."""
         if not connection.usable:
             connection.close()
             return
@@ -57,13 +60,13 @@
         connection.idle_since_s = now_s
         idle = self._idle.setdefault(address, deque())
         idle.append(connection)
-        # Without this the connections of a burst would stay for good, as
-        # the youngest one is always used first.
+        # The youngest connection is always reused first, so the older ones
+        # of a burst would otherwise never be closed.
         while len(idle) > MAX_IDLE or _is_stale(idle[0], now_s, self._idle_s):
             idle.popleft().close()
 
     def idle_count(self, address: str) -> int:
-        """Return how many idle connections to the address are kept."""
+        """Return the number of idle connections to the address."""
         return len(self._idle.get(address, ()))
 
     def close(self) -> None:
