--- a/packages/sycamorestand-entry/src/sycamorestand_entry/__init__.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers, relay, dispatch, announcements."""
+"""The entry process: HTTP server, dispatch, relay and announcements."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the HTTP server, as the interfaces see them."""
+"""Requests and responses of the HTTP server, as handlers use them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
 
-# Long enough for a large body over a poor line.
+# Long enough for a large body over a slow line.
 BODY_TIMEOUT_S: Final = 30.0
 JSON: Final = b"application/json"
 EVENT_STREAM: Final = b"text/event-stream"
-# Headers that decide something; a second one would be ambiguous.
+# Headers that affect decisions; a repeated one would be ambiguous.
 SINGLE_HEADERS: Final = frozenset(
     {
         b"authorization",
@@ -40,11 +40,11 @@
 
 
 class CallerGone(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller disconnected before its request was complete."""
 
 
 class Request(NamedTuple):
-    """One request; its body is read later, with a limit."""
+    """One request; `read_body` reads its body later, up to a limit."""
 
     method: str
     path: str
@@ -55,10 +55,10 @@
 
 
 class Responder:
-    """Sends one answer and remembers whether it has begun.
+    """Sends one answer and records whether it has started.
 
-    ``write_now`` writes a part of a chunked body at once and tells
-    whether it could; see `sycamorestand_entry.http_protocol`.
+    ``write_now`` writes a part of a chunked body at once and returns
+    whether that was possible; see `sycamorestand_entry.http_protocol`.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
     async def start(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        """Send status and headers."""
+        """Send the status and headers."""
         self.started = True
         self.status = status
         if self._closing:
@@ -90,7 +90,7 @@
         )
 
     async def write(self, body: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body; wait while the caller reads slowly."""
         await self._send(
             {"type": "http.response.body", "body": body, "more_body": True}
         )
@@ -106,7 +106,7 @@
         body: bytes,
         headers: list[tuple[bytes, bytes]] | None = None,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         all_headers = [
             (b"content-type", content_type),
             (b"content-length", b"%d" % len(body)),
@@ -115,7 +115,7 @@
         await self.finish(body)
 
     async def refuse(self, error: RequestError) -> None:
-        """Send a refusal as JSON with its code and ``Retry-After``."""
+        """Send an error as JSON, with ``Retry-After`` if it is known."""
         headers = []
         if error.retry_after_s is not None:
             seconds = max(1, round(error.retry_after_s + 0.499))
@@ -127,7 +127,11 @@
 def read_headers(
     raw: list[tuple[bytes, bytes]], limit_bytes: int
 ) -> dict[bytes, bytes]:
-    """Return the headers by lower-case name, within the limit."""
+    """Return the headers by lower-case name.
+
+    Raises `HeadersTooLarge` beyond the limit, and `BadRequest` if one of
+    `SINGLE_HEADERS` is repeated.
+    """
     headers: dict[bytes, bytes] = {}
     size = 0
     for name, value in raw:
@@ -141,7 +145,11 @@
 
 
 async def read_body(request: Request, limit_bytes: int) -> bytes:
-    """Return the whole body, refusing one that is over the limit."""
+    """Return the whole body.
+
+    Raises `BodyTooLarge` beyond the limit, and `RequestTimeout` if the body
+    is not complete in time.
+    """
     declared = request.headers.get(b"content-length", b"0")
     if not declared.isdigit():
         raise BadRequest("content-length is no number")
@@ -171,7 +179,7 @@
 
 
 def error_content(error: RequestError) -> dict[str, Any]:
-    """Return the JSON content that tells of an error."""
+    """Return the JSON content that describes an error."""
     content: dict[str, Any] = {
         "code": error.code,
         "message": error.message,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
@@ -1,10 +1,11 @@
-"""The callers' side of a connection: uvicorn's protocol and its limits.
-
-uvicorn bounds neither the request line nor the headers and answers a
-malformed request as plain text. Both are mended here, and a stream gets
-a way to write a part of its body without the ASGI message, see
-``docs/design/relay.md``. It rests on the names that uvicorn's httptools
-protocol has in the pinned version; the tests of streams cover them.
+"""The server side of a connection: uvicorn's protocol with added limits.
+
+uvicorn limits neither the request line nor the headers and answers a
+malformed request with plain text. This protocol adds the limits and
+answers with JSON. It also lets a stream write a part of its body without
+an ASGI message, see ``docs/design/relay.md``. That depends on attributes
+of uvicorn's httptools protocol in the pinned version; the tests of streams
+cover them.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 from sycamorestand_peer.http_server import HttpProtocol
 
 WRITE_NOW: Final = "sycamorestand.write_now"
-# The request's path and query to the byte, as it was sent.
+# The request's path and query, exactly as sent.
 TARGET: Final = "sycamorestand.target"
-# Ends the connection without the answer's end, so that an answer that
-# broke off does not look complete.
+# Closes the connection without ending the answer, so that a truncated
+# answer does not look complete.
 ABORT: Final = "sycamorestand.abort"
-# Somewhat more than what `read_headers` takes, as this counts the bytes
-# of the request line and the separators too, and ends the connection.
+# More than `read_headers` accepts, because this limit also counts the
+# request line and separators, and exceeding it closes the connection.
 MAX_HEAD_BYTES: Final = 64 * 1024
 
 
-# uvicorn waits without end for the rest of a head; connections that
-# send half of one would use up the process's descriptors.
+# uvicorn has no timeout for the rest of a head, so connections that send
+# only a part of one would use up the process's file descriptors.
 HEAD_TIMEOUT_S: Final = 10.0
 ABORT_S: Final = 0.2
 
@@ -66,7 +67,7 @@
             self._refuse(HeadersTooLarge("the headers are too large"))
 
     def has_unread(self) -> bool:
-        """Tell whether a request has begun to arrive."""
+        """Return whether a request has begun to arrive."""
         return (self._in_head and self._head_bytes > 0) or super().has_unread()
 
     def on_message_begin(self) -> None:
@@ -77,8 +78,8 @@
         self._end_head()
         super().on_headers_complete()
         if self.parser.should_upgrade():
-            # The parser takes what follows such a request for another
-            # protocol; a further request would never be answered.
+            # The parser treats all bytes after such a request as another
+            # protocol, so a further request would never be answered.
             self.cycle.keep_alive = False
         extensions: dict[str, Any] = {
             WRITE_NOW: _make_write_now(self.cycle),
@@ -89,10 +90,10 @@
 
     def _abort(self) -> None:
         transport = self.transport
-        # Else uvicorn logs an answer without an end as a fault of ours.
+        # Otherwise uvicorn logs the missing end as an application error.
         self.cycle.disconnected = True
         transport.close()
-        # A caller that does not read would keep it open for good.
+        # A caller that does not read would keep the connection open.
         self.loop.call_later(ABORT_S, transport.abort)
 
     def _begin_head(self) -> None:
@@ -113,7 +114,7 @@
         self._refuse(RequestTimeout("the request's head did not come"))
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse bytes that are no HTTP request; uvicorn calls this."""
+        """Refuse bytes that are not an HTTP request; uvicorn calls this."""
         self._refuse(BadRequest("the bytes received are no HTTP request"))
 
     def _refuse(self, error: RequestError) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
@@ -1,4 +1,4 @@
-"""Runs an entry: the HTTP server, and its planned stop."""
+"""Runs an entry: its HTTP server and its planned stop."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RunningEntry:
-    """A started entry: where it listens, and how to stop it."""
+    """A started entry, with the address that it listens on."""
 
     def __init__(self, context: EntryContext, host: str, port: int) -> None:
         self.host = host
@@ -40,9 +40,9 @@
     def begin_stop(self) -> None:
         """Begin the planned stop; `serve_entry` returns at its end.
 
-        Callers keep the addresses that they were given for their
-        time-to-live, so the entry first leaves the address answers and
-        goes on accepting for that long.
+        Callers use an address for its time-to-live, so the entry first
+        removes itself from the address answers and continues to accept
+        connections for that time.
         """
         if self.context.stopping:
             return
@@ -52,17 +52,17 @@
         self._stop.set()
 
     async def wait_for_stop(self) -> None:
-        """Return when new connections need not be accepted any more."""
+        """Wait until new connections need not be accepted any more."""
         await self._stop.wait()
         await anyio.sleep(accept_period_s(self.context.settings))
 
 
 def accept_period_s(settings: EntrySettings) -> float:
-    """Return how long a stopping entry still takes new connections.
+    """Return how long a stopping entry still accepts new connections.
 
-    Other entries go on handing out its address until they hear of the
-    stop, and the last caller to get it keeps it for the time-to-live. With
-    less, that caller finds nobody at an address it was told to use.
+    Other entries hand out its address until they learn of the stop, and the
+    last caller to get it uses it for the time-to-live. After a shorter
+    period that caller's connection would be refused.
     """
     return settings.address_spread_s + settings.address_ttl_s
 
@@ -79,8 +79,8 @@
 
     Example: ``entry = await group.start(serve_entry, settings, control)``
     returns a `RunningEntry` as soon as the entry accepts connections.
-    ``random`` is what its decisions draw from, ``make`` what makes the
-    application that answers callers.
+    ``random`` is the source of randomness of its decisions, and
+    ``application_factory`` creates the application that answers callers.
     """
     listener = _make_listener(settings)
     host, port = listener.getsockname()[:2]
@@ -109,13 +109,13 @@
 
 
 class _Server(HttpServer):
-    # How long shutting down may take, zero for as long as it needs.
+    # Time limit for the shutdown, zero for no limit.
     stop_limit_s = 0.0
 
     async def drain(self) -> None:
-        # A request that is on its way on an idle connection would be cut
-        # without an answer. They are left to their keep-alive timer
-        # instead, while no new ones come.
+        # Closing an idle connection would lose a request that is on its way.
+        # Idle connections stay open until their keep-alive timers end; no
+        # new ones are accepted.
         if self.stop_limit_s:
             await self._drain_within(self.stop_limit_s)
         grace_s = self.config.timeout_keep_alive + TICK_S
@@ -124,12 +124,12 @@
                 await anyio.sleep(TICK_S)
 
     async def _drain_within(self, limit_s: float) -> None:
-        """Wait for what runs, no longer than the process may live.
+        """Wait for running requests up to the limit, then abort connections.
 
-        The keep-alive timers may run far beyond that. Callers have been
-        told of the end with each answer and have a new address by now, so
-        what is idle is closed; one that was about to use it sees a close
-        without an answer to a request that nobody has read.
+        Keep-alive timers may end long after the limit, so idle connections
+        are closed. Each answer has announced the close, and callers have
+        another address by now. A caller that uses the connection at this
+        moment sees it closed without an answer; its request was not read.
         """
         with anyio.move_on_after(limit_s):
             await self.end_connections()
@@ -143,8 +143,9 @@
 
 
 def _make_listener(settings: EntrySettings) -> socket.socket:
-    # Without the protocol's number asyncio leaves Nagle's algorithm on:
-    # the first token then waits 40 ms for the client's delayed ACK.
+    # asyncio disables Nagle's algorithm only if the socket has the protocol
+    # number of TCP. Otherwise the first token waits 40 ms for the client's
+    # delayed ACK.
     family = socket.AF_INET6 if ":" in settings.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -162,8 +163,8 @@
         lifespan="off",
         interface="asgi3",
         log_config=None,
-        # uvicorn warns of each malformed request; a caller that sends
-        # nothing else would fill the log.
+        # uvicorn logs a warning for each malformed request, so a caller
+        # that sends nothing else would fill the log.
         log_level="error",
         access_log=False,
         proxy_headers=False,
