--- a/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
@@ -1,4 +1,4 @@
-"""Handler of ``POST /backend/v1/announce``: backend servers' heartbeats."""
+"""Handler of ``POST /backend/v1/announce``: registers backend servers."""
 
 from __future__ import annotations
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/answers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/answers.py
@@ -15,8 +15,8 @@
 def assemble(events: bytes) -> dict[str, Any]:
     """Return the answer in the form of a response without streaming.
 
-    Raises `MalformedStream` if an event has bad JSON or choices. Until here
-    the entry has forwarded the events without parsing them.
+    Raises `MalformedStream` if an event has bad JSON or choices, because
+    the event reader passes on text events without parsing them.
     """
     answer: dict[str, Any] = {}
     choices: dict[int, dict[str, Any]] = {}
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
@@ -48,7 +48,7 @@
 
 
 class RequestKeyMissing(BadRequest):
-    """The call must not be repeated and has no request key."""
+    """A non-idempotent call has no request key."""
 
     code = "request_key_missing"
 
@@ -74,14 +74,14 @@
 
 
 class UnknownPath(RequestError):
-    """No interface has this path."""
+    """There is no interface at this path."""
 
     status = 404
     code = "unknown_path"
 
 
 class UnknownMethod(RequestError):
-    """The interface does not take this method."""
+    """The interface does not accept this method."""
 
     status = 405
     code = "method_not_allowed"
@@ -109,7 +109,7 @@
 
 
 class SessionWithdrawn(RequestError):
-    """The version that the session keeps has been withdrawn."""
+    """The version that the session is pinned to has been withdrawn."""
 
     status = 409
     code = "session_version_withdrawn"
@@ -147,7 +147,7 @@
 
 
 class RequestKeyExpired(RequestError):
-    """The key is older than the ledger's retention."""
+    """The request key is older than the ledger's retention period."""
 
     status = 409
     code = "request_key_expired"
@@ -155,14 +155,14 @@
 
 
 class BodyTooLarge(RequestError):
-    """The body is over the limit."""
+    """The body exceeds the size limit."""
 
     status = 413
     code = "body_too_large"
 
 
 class HeadersTooLarge(RequestError):
-    """The request line and headers are over the limit."""
+    """The request line and headers exceed the size limit."""
 
     status = 431
     code = "headers_too_large"
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -101,7 +101,7 @@
     ) -> bool:
         """Return whether the target has a server that is not ejected.
 
-        ``among`` limits the question to the servers that it names.
+        With ``among``, only the servers that it names count.
         """
         selector = self._selector(target)
         return any(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream_answer.py
@@ -57,7 +57,7 @@
 def keep_alive_s(headers: dict[bytes, bytes]) -> float:
     """Return the keep-alive timeout in the headers, infinity without one.
 
-    Example: ``kept_open_s({b"keep-alive": b"timeout=5"})`` is 5.0.
+    Example: ``keep_alive_s({b"keep-alive": b"timeout=5"})`` is 5.0.
     """
     found = _TIMEOUT.search(headers.get(b"keep-alive", b""))
     return float(found.group(1)) if found else math.inf
