--- a/packages/sycamorestand-entry/tests/test_billing.py
+++ b/packages/sycamorestand-entry/tests/test_billing.py
@@ -1,4 +1,4 @@
-"""Each request is billed exactly once."""
+"""Prices, and the single charge of each request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 class TestCost:
     @pytest.mark.parametrize(("version", "usage", "expected"), COSTS)
-    def test_rounds_up(
+    def test_cost_is_rounded_up(
         self, version: str, usage: Usage, expected: int
     ) -> None:
         declarations = guild_configuration().declarations
@@ -40,8 +40,8 @@
     async def test_two_entries_charge_one_key_once(self) -> None:
         """A caller sends one request to two entries at the same time.
 
-        Both answer it, as it may run twice; the ledger keeps one charge
-        and both tell its cost.
+        Both answer it, because a chat request may run twice. The ledger
+        keeps one charge, and both answers report its cost.
         """
         ledger = FakeLedger()
         async with start_loopback(ledger=ledger) as one:
@@ -64,11 +64,12 @@
             assert ledger.repeated_charges == 1
 
     @pytest.mark.parametrize("lost", [True, False])
-    async def test_failing_ledger_holds_the_end_back(self, lost: bool) -> None:
-        """The ledger fails when the answer is to be charged.
+    async def test_failing_ledger_withholds_the_end(self, lost: bool) -> None:
+        """The ledger fails at the charge of an answer.
 
         The caller gets the tokens and then an error event instead of the
-        end; asking again with the key gives a whole answer, one charge.
+        end. Asking again with the key gives a complete answer and leads to
+        a single charge.
         """
         settings = SETTINGS._replace(ledger_timeout_s=0.2)
         async with start_loopback(settings) as loopback:
@@ -84,7 +85,7 @@
             assert again.events()[-1] == "[DONE]"
             assert len(loopback.ledger.charges) == 1
 
-    async def test_short_failure_of_the_ledger_is_not_seen(self) -> None:
+    async def test_short_failure_of_the_ledger_is_retried(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             loopback.control.ledger_failures = 2
--- a/packages/sycamorestand-entry/tests/test_cascade.py
+++ b/packages/sycamorestand-entry/tests/test_cascade.py
@@ -1,4 +1,4 @@
-"""Cascades: an earlier step's answer goes out only when accepted."""
+"""Cascades: an earlier step's answer is sent only if it is accepted."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Exploring(Random):
-    """Makes the learner try the cheap step of an unknown class."""
+    """Makes the learner try the cheap step of an unknown request class."""
 
     def random(self) -> float:
         return 0.0
@@ -34,7 +34,7 @@
 async def start_cascade(
     rating: FakeRating,
 ) -> AsyncIterator[tuple[Loopback, FakeEngine, FakeEngine]]:
-    """Start an entry with a rating service and one engine a step."""
+    """Start an entry with a rating service and one engine per step."""
     async with serve_on_port(rating.application) as address:
         settings = SETTINGS._replace(
             rating_url=f"http://{address}", rating_timeout_s=0.3
@@ -49,7 +49,7 @@
 
 class TestCascade:
     @pytest.mark.parametrize("stream", [True, False])
-    async def test_accepted_answer_of_the_cheap_step(
+    async def test_accepted_answer_of_the_cheap_step_is_sent(
         self, stream: bool
     ) -> None:
         rating = FakeRating({SMALL: 0.9})
@@ -59,11 +59,11 @@
             assert expected_text(SMALL, "k", 8) == rating.asked[0]["answer"]
             assert not large.records
 
-    async def test_rejected_answer_is_never_seen(self) -> None:
-        """The cheap step's answer is rated as bad.
+    async def test_rejected_answer_is_not_sent(self) -> None:
+        """The answer of the cheap step gets a bad rating.
 
-        The caller gets the strong step's answer alone, and one charge
-        that holds what both steps cost.
+        The caller gets only the answer of the strong step, with one charge
+        that includes the cost of both steps.
         """
         rating = FakeRating({SMALL: 0.1})
         async with start_cascade(rating) as (loopback, small, large):
@@ -83,10 +83,10 @@
     async def test_without_a_rating_the_strong_step_answers(
         self, kind: FaultKind
     ) -> None:
-        """The rating stays out, comes late or can't be read.
+        """The rating is missing, late or malformed.
 
-        The quality target is a constraint: an answer that nobody rated
-        is not known to meet it, so the strong step answers.
+        An answer without a rating is not known to meet the quality target,
+        so the strong step answers.
         """
         rating = FakeRating({SMALL: 0.9})
         rating.switch.fault = Fault(kind)
@@ -94,7 +94,7 @@
             answer = await loopback.chat("review")
             assert answer.headers["x-version"] == LARGE
 
-    async def test_failing_cheap_step_is_passed_over(self) -> None:
+    async def test_failing_cheap_step_escalates(self) -> None:
         rating = FakeRating({SMALL: 0.9})
         async with start_cascade(rating) as (loopback, small, _):
             small.switch.fault = Fault("cut", after=2)
--- a/packages/sycamorestand-entry/tests/test_gate.py
+++ b/packages/sycamorestand-entry/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The one gate before every dispatch."""
+"""The gate before every dispatch, also before retries."""
 
 from __future__ import annotations
 
@@ -60,19 +60,21 @@
     return control
 
 
-class TestMayDispatch:
+class TestCheckDispatch:
     @pytest.mark.parametrize("intent", [CHAT, ORDER])
-    def test_passes(self, intent: DispatchIntent) -> None:
+    def test_allows_a_valid_intent(self, intent: DispatchIntent) -> None:
         assert check_dispatch(make_control(), intent) is None
 
     @pytest.mark.parametrize(("intent", "code"), REFUSED)
-    def test_refuses(self, intent: DispatchIntent, code: str) -> None:
+    def test_refuses_with_the_code_of_the_cause(
+        self, intent: DispatchIntent, code: str
+    ) -> None:
         refusal = check_dispatch(make_control(), intent)
         assert refusal is not None
         assert (refusal.code, refusal.run) == (code, "not_run")
 
     @pytest.mark.parametrize("lease_s", [0.0, -1.0])
-    def test_needs_a_lease(self, lease_s: float) -> None:
+    def test_refuses_without_a_lease(self, lease_s: float) -> None:
         control = make_control()
         control.lease_s = lease_s
         refusal = check_dispatch(control, CHAT)
@@ -92,10 +94,10 @@
 @pytest.mark.anyio
 class TestRetryPassesTheGate:
     async def test_version_withdrawn_before_a_retry(self) -> None:
-        """The engine breaks off and its version is withdrawn meanwhile.
+        """The engine fails, and its version is withdrawn before the retry.
 
-        The retry meets the gate and is refused. The first attempt was
-        written, so the refusal says ``unknown`` and not ``not_run``.
+        The gate refuses the retry. The first attempt was written, so the
+        refusal says ``unknown`` and not ``not_run``.
         """
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,))
@@ -120,9 +122,9 @@
             assert len(engine.records) == 1
 
     async def test_last_server_leaves_before_a_retry(self) -> None:
-        """The only engine breaks off and leaves before the retry.
+        """The only engine fails and leaves before the retry.
 
-        There is nobody to retry at, and the first attempt may have run.
+        No server is left for a retry, and the first attempt may have run.
         """
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,))
--- a/packages/sycamorestand-entry/tests/test_loans.py
+++ b/packages/sycamorestand-entry/tests/test_loans.py
@@ -1,4 +1,4 @@
-"""An entry borrows what it lacks, and gives nothing to who does not answer."""
+"""Exchange of arrival budget between an entry and the control process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Entry:
-    """The budget and the loans of one entry among many."""
+    """The arrival budget and the loans of one entry among many."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -35,7 +35,7 @@
         self.loans.trade()
 
     def trade(self) -> ArrivalTrade:
-        """Return the trade that was sent last."""
+        """Return the last trade that the entry sent."""
         trade = self.control.sent_messages[-1]
         assert isinstance(trade, ArrivalTrade)
         return trade
@@ -44,33 +44,35 @@
         message = ArrivalsLent(self.trade().number, lent)
         self.control.listeners[ArrivalsLent](message)
 
-    def may_climb(self) -> bool:
+    def may_escalate(self) -> bool:
         return self.budget.has_spare(SERVICE, ENTRIES, self.now_s)
 
 
 class TestLoans:
-    async def test_a_first_request_may_climb_on_what_is_lent(self) -> None:
-        """An entry that begins has earned too little for a whole arrival."""
+    async def test_first_request_may_escalate_with_borrowed_budget(
+        self,
+    ) -> None:
+        """A new entry has earned less than the budget of one arrival."""
         entry = Entry()
         entry.request()
         entry.answer()
-        assert not entry.may_climb()
+        assert not entry.may_escalate()
         entry.now_s += 0.05
         entry.loans.trade(SERVICE)
         lacking = entry.trade().asked[SERVICE]
         assert 0 < lacking < 1
         entry.answer(words=lacking)
-        assert entry.may_climb()
+        assert entry.may_escalate()
 
-    async def test_it_takes_no_more_than_it_asked_for(self) -> None:
+    async def test_accepts_no_more_than_it_requested(self) -> None:
         entry = Entry()
         entry.request()
         entry.answer(words=50.0)
         share = entry.budget.share(SERVICE, ENTRIES, entry.now_s)
         assert share.left <= share.most
 
-    async def test_who_does_not_answer_is_given_nothing(self) -> None:
-        """A control process is cut off, and all that was kept went to it."""
+    async def test_lends_nothing_while_control_does_not_answer(self) -> None:
+        """A control process that was cut off got all of the spare budget."""
         entry = Entry()
         for _ in range(10):
             entry.request()
@@ -82,9 +84,9 @@
         ]
         assert len(given) > 3
         assert not any(given)
-        assert entry.may_climb()
+        assert entry.may_escalate()
 
-    async def test_what_a_full_pool_returns_is_kept(self) -> None:
+    async def test_budget_returned_by_a_full_pool_is_kept(self) -> None:
         entry = Entry()
         entry.request()
         entry.answer()
@@ -97,8 +99,8 @@
         share = entry.budget.share(SERVICE, ENTRIES, entry.now_s)
         assert share.left == pytest.approx(left + given)
 
-    async def test_a_late_answer_is_lost(self) -> None:
-        """It was asked for again since: taken twice it would be too much."""
+    async def test_late_answer_is_ignored(self) -> None:
+        """The entry has requested the amount again; it would count twice."""
         entry = Entry()
         entry.request()
         entry.answer()
@@ -112,10 +114,10 @@
         after = entry.budget.share(SERVICE, ENTRIES, entry.now_s).left
         assert after == before
 
-    async def test_without_an_answer_a_request_waits_for_a_moment(
+    async def test_request_waits_only_briefly_for_a_missing_answer(
         self,
     ) -> None:
-        """A refusal was held back for as long as control did not answer."""
+        """A refusal was delayed for as long as control did not answer."""
         entry = Entry()
         entry.request()
         entry.answer()
--- a/packages/sycamorestand-entry/tests/test_planning.py
+++ b/packages/sycamorestand-entry/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Which version a request meets."""
+"""The choice of the version that a request runs on."""
 
 from __future__ import annotations
 
@@ -37,35 +37,35 @@
 
 
 class TestRollout:
-    async def test_share_of_new_work_meets_the_new_version(self) -> None:
+    async def test_new_version_gets_its_share_of_new_work(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 0.25, 1, "running")
             change(loopback, shares={"nest-large": share})
-            met: Counter[str] = Counter()
+            versions: Counter[str] = Counter()
             for number in range(200):
                 answer = await loopback.chat(
                     tokens=1, Idempotency_Key=f"request-{number}"
                 )
-                met[answer.headers["x-version"]] += 1
-            assert 25 <= met[LARGE_NEXT] <= 80
-            assert met[LARGE] == 200 - met[LARGE_NEXT]
+                versions[answer.headers["x-version"]] += 1
+            assert 25 <= versions[LARGE_NEXT] <= 80
+            assert versions[LARGE] == 200 - versions[LARGE_NEXT]
 
-    async def test_same_key_meets_the_same_version(self) -> None:
+    async def test_same_key_gets_the_same_version(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 0.5, 1, "running")
             change(loopback, shares={"nest-large": share})
-            met = {
+            versions = {
                 (await loopback.chat(Idempotency_Key="k")).headers["x-version"]
                 for _ in range(5)
             }
-            assert len(met) == 1
+            assert len(versions) == 1
 
-    async def test_quarantined_version_gets_nothing(self) -> None:
-        """A roll-out's version is quarantined, its share not yet taken back.
+    async def test_quarantined_version_gets_no_new_work(self) -> None:
+        """The version of a roll-out is quarantined at a share above 0.
 
-        No new work meets it, whatever the share says.
+        It gets no new work although the share has not been reset yet.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
@@ -80,17 +80,18 @@
 
 
 class TestWithdrawal:
-    async def test_other_version_takes_over(self) -> None:
+    async def test_other_version_replaces_the_withdrawn_one(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             change(loopback, withdrawn=(LARGE,))
             answer = await loopback.chat()
             assert answer.headers["x-version"] == LARGE_NEXT
 
-    async def test_stopped_rollout_does_not_take_over(self) -> None:
-        """The stable version is withdrawn; a roll-out stands at no share.
+    async def test_version_of_a_stopped_rollout_gets_no_work(self) -> None:
+        """The stable version is withdrawn while a roll-out is stopped.
 
-        Its version showed harm or nothing yet, so the request is refused.
+        The version of the roll-out has shown harm or has no samples yet, so
+        the request is refused.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
@@ -102,11 +103,11 @@
             error = (await loopback.chat()).json()["error"]
             assert (error["code"], error["run"]) == ("no_version", "not_run")
 
-    async def test_a_roll_out_not_begun_does_not_take_over(self) -> None:
-        """The next version is declared, its roll-out has not begun.
+    async def test_version_of_a_rollout_not_begun_gets_no_work(self) -> None:
+        """The stable version is withdrawn before a roll-out has begun.
 
-        The stable version is withdrawn in a hurry. The next one must not
-        get all the work at once without having been seen at any share.
+        The next version is declared already. It must not get all the work
+        at once without any samples at a smaller share.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
@@ -120,7 +121,7 @@
             error = (await loopback.chat()).json()["error"]
             assert (error["code"], error["run"]) == ("no_version", "not_run")
 
-    async def test_all_versions_gone(self) -> None:
+    async def test_refuses_when_all_versions_are_withdrawn(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             change(loopback, withdrawn=(LARGE, LARGE_NEXT))
@@ -128,8 +129,8 @@
             assert error["code"] == "no_version"
 
 
-class TestCustomersList:
-    async def test_only_the_named_version_is_met(self) -> None:
+class TestAllowedVersions:
+    async def test_customer_gets_only_the_allowed_version(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 1.0, 4, "running")
--- a/packages/sycamorestand-entry/tests/test_services.py
+++ b/packages/sycamorestand-entry/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Plain services: what may be repeated and what runs at most once."""
+"""Plain services: idempotent calls, and calls that run at most once."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     body: bytes = b"2 sheets",
     **more: str,
 ) -> Answer:
-    """Send a sheet order, which must not run twice."""
+    """Send a sheet order, a non-idempotent call."""
     path = "/services/orders/sheets"
     return await loopback.call("POST", path, body, Idempotency_Key=key, **more)
 
@@ -50,8 +50,8 @@
     async def test_other_entry_gets_the_recorded_answer(self) -> None:
         """The caller sends its order to one entry, then to another.
 
-        Both entries share the ledger. The second one finds the claim and
-        its answer there and must not reach the service.
+        Both entries share the ledger. The second entry finds the claim and
+        its answer there and must not call the service.
         """
         ledger = FakeLedger()
         async with start_loopback(ledger=ledger) as one:
@@ -65,8 +65,8 @@
     async def test_two_entries_at_once_run_it_once(self) -> None:
         """The caller sends the same order to two entries at once.
 
-        Both claim it; the ledger lets one have it. The other one tells
-        that it is still running, or gets the answer if it came late.
+        Both claim it, and the ledger grants one claim. The other entry
+        answers that the call is still running.
         """
         ledger = FakeLedger()
         async with start_loopback(ledger=ledger) as one:
@@ -99,8 +99,8 @@
     async def test_late_answer_is_recorded(self) -> None:
         """The service answers after the caller's deadline.
 
-        The caller is told that the outcome is unknown. The entry listens
-        on and records the answer, which the same key gets later.
+        The caller gets an error with an unknown outcome. The entry keeps
+        reading and records the answer, which a later call with the key gets.
         """
         async with start_loopback() as loopback:
             service = await add_service(loopback)
@@ -116,13 +116,13 @@
             assert len(service.records) == 1
 
     @pytest.mark.parametrize("kind", ["cut", "silent"])
-    async def test_broken_answer_is_unknown_for_good(
+    async def test_broken_answer_has_an_unknown_outcome(
         self, kind: FaultKind
     ) -> None:
-        """The service runs the order and its answer breaks off or stays out.
+        """The service runs the order, but its answer is cut or missing.
 
-        Whether it ran can't be known here, so the first caller and all
-        later ones with the key hear just that; nothing runs again.
+        The entry can't know whether the order ran. It says so to the first
+        call and all later ones with the key, and never runs the order again.
         """
         settings = SETTINGS._replace(late_answer_s=0.2)
         async with start_loopback(settings) as loopback:
@@ -138,11 +138,11 @@
             assert len(service.records) == 1
             assert not loopback.ledger.charges
 
-    async def test_entry_that_dies_leaves_no_second_run(self) -> None:
-        """The entry dies after it has written the order.
+    async def test_crash_of_the_entry_causes_no_second_run(self) -> None:
+        """The entry crashes after it has written the order.
 
-        Another entry finds the claim dispatched. It can't know whether
-        the order ran, says so, and does not send it to the service.
+        Another entry finds the claim dispatched. It can't know whether the
+        order ran, reports that, and does not send it to the service.
         """
         ledger = FakeLedger()
         async with start_loopback(ledger=ledger) as two:
@@ -162,12 +162,12 @@
             assert answer.json()["error"]["run"] == "unknown"
             assert len(service.records) == 1
 
-    async def test_refusal_of_the_server_lets_another_one_run_it(
+    async def test_call_refused_by_a_server_runs_at_another_one(
         self,
     ) -> None:
-        """One server says that it did not run the order.
+        """One server answers that it did not run the order.
 
-        Only then may another server get it, under the same claim.
+        Only then may another server run it, under a renewed claim.
         """
         async with start_loopback() as loopback:
             first = await add_service(loopback, "s-1")
@@ -177,10 +177,10 @@
             assert answer.status == 200
             assert (len(first.records), len(second.records)) == (0, 1)
 
-    async def test_refusal_of_all_servers_is_not_run(self) -> None:
-        """All servers say that they did not run the order.
+    async def test_call_refused_by_all_servers_is_not_run(self) -> None:
+        """All servers answer that they did not run the order.
 
-        The caller hears ``not_run``, and the same key may run later.
+        The caller gets ``not_run``, and a later call with the key may run.
         """
         async with start_loopback() as loopback:
             service = await add_service(loopback)
@@ -195,10 +195,10 @@
             assert len(service.records) == 1
 
     async def test_lost_ledger_answer_keeps_the_claim(self) -> None:
-        """The ledger applies the claim and its answer is lost.
+        """The ledger applies the claim, but its answer is lost.
 
-        The entry sends the claim again, is told that it exists, and
-        must know it for its own instead of calling it still running.
+        The entry sends the claim again and learns that it exists. It must
+        recognise its own claim instead of answering ``still_running``.
         """
         async with start_loopback() as loopback:
             service = await add_service(loopback)
@@ -207,11 +207,11 @@
             assert (await order(loopback)).status == 200
             assert len(service.records) == 1
 
-    async def test_silent_ledger_runs_nothing(self) -> None:
-        """The ledger is gone when the order comes.
+    async def test_call_does_not_run_without_the_ledger(self) -> None:
+        """The ledger is not available when the order arrives.
 
-        Nothing may be written. An earlier call with the key could have
-        run, so the refusal does not say ``not_run``.
+        The entry must not write the order. An earlier call with the key
+        could have run, so the refusal does not say ``not_run``.
         """
         settings = SETTINGS._replace(ledger_timeout_s=0.1)
         async with start_loopback(settings) as loopback:
@@ -224,11 +224,11 @@
             assert not service.records
             loopback.control.ledger_failures = 0
 
-    async def test_lease_lost_while_dispatching_runs_nothing(self) -> None:
-        """The lease runs out while the dispatch is made durable.
+    async def test_call_does_not_run_without_a_lease(self) -> None:
+        """The lease has expired by the time of the dispatch.
 
-        The gate sees it right before the write; nothing has run, and
-        once there is a lease again the same key may.
+        The gate refuses the call right before the write, so it has not
+        run. With a new lease a call with the same key runs.
         """
         async with start_loopback() as loopback:
             service = await add_service(loopback)
@@ -248,7 +248,9 @@
             answer = await loopback.call("POST", "/services/orders/sheets")
             assert answer.json()["error"]["code"] == "request_key_missing"
 
-    async def test_large_answer_is_told_as_run(self) -> None:
+    async def test_large_answer_is_not_recorded_but_marked_as_ran(
+        self,
+    ) -> None:
         settings = SETTINGS._replace(max_recorded_answer_bytes=4)
         async with start_loopback(settings) as loopback:
             await add_service(loopback)
@@ -258,13 +260,15 @@
             assert again.json()["error"]["run"] == "ran"
 
 
-class TestRepeatableCall:
+class TestIdempotentCall:
     @pytest.mark.parametrize("kind", ["cut", "silent"])
-    async def test_lost_answer_is_fetched_again(self, kind: FaultKind) -> None:
-        """The first answer breaks off or stays out.
+    async def test_call_without_an_answer_is_retried(
+        self, kind: FaultKind
+    ) -> None:
+        """The first answer is cut or missing.
 
-        A call that may be repeated goes out once more on a new
-        connection, and the caller sees nothing but the answer.
+        The entry sends an idempotent call again on a new connection, and
+        the caller gets the second answer.
         """
         async with start_loopback() as loopback:
             service = await add_service(loopback)
--- a/packages/sycamorestand-entry/tests/test_sessions.py
+++ b/packages/sycamorestand-entry/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions keep their version, whatever entry goes on with them."""
+"""Sessions keep their version at every entry."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def make_stable(loopback: Loopback, name: str) -> None:
-    """Let new work go to another version of the large model."""
+    """Make another version of the large model the stable one."""
     configuration = loopback.control.configuration
     declarations = configuration.declarations
     models = dict(declarations.models)
@@ -39,7 +39,7 @@
 
 
 def withdraw(loopback: Loopback, version: str) -> None:
-    """Withdraw a version."""
+    """Withdraw a version in the configuration in force."""
     loopback.control.configuration = loopback.control.configuration._replace(
         withdrawn=(version,)
     )
@@ -57,11 +57,11 @@
             assert second.headers["x-version"] == LARGE
             assert fresh.headers["x-version"] == LARGE_NEXT
 
-    async def test_withdrawn_version_is_refused_not_moved(self) -> None:
+    async def test_session_of_a_withdrawn_version_is_refused(self) -> None:
         """The version of a session is withdrawn between two requests.
 
-        The session's next request is refused with a code of its own and
-        no engine sees it; new work goes to the other version.
+        The next request of the session is refused with a code of its own
+        and reaches no engine; new work goes to the other version.
         """
         async with start_loopback() as loopback:
             engine = await add_engine(loopback)
@@ -75,11 +75,11 @@
             fresh = await loopback.chat()
             assert fresh.headers["x-version"] == LARGE_NEXT
 
-    async def test_quarantine_lets_a_session_go_on(self) -> None:
+    async def test_session_of_a_quarantined_version_continues(self) -> None:
         """The version of a session is quarantined between two requests.
 
-        New work goes elsewhere or is turned away; the session keeps its
-        version, as only a withdrawal ends it.
+        New work goes to another version or is refused. The session keeps
+        its version, because only a withdrawal ends it.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
@@ -105,7 +105,7 @@
             )
             assert refused.status == 400
 
-    async def test_version_off_the_customers_list_is_refused(self) -> None:
+    async def test_session_of_a_version_not_allowed_is_refused(self) -> None:
         async with start_loopback() as loopback:
             engine = await add_engine(loopback)
             key = loopback.control.configuration.session_key
@@ -131,11 +131,11 @@
 
 
 class TestSessionName:
-    async def test_other_entry_keeps_the_version(self) -> None:
-        """A session goes on at another entry after a roll-out.
+    async def test_second_entry_keeps_the_pinned_version(self) -> None:
+        """A session continues at another entry after a roll-out.
 
         The first entry pinned the version in the ledger, so the second
-        one keeps it although its new work goes elsewhere.
+        entry keeps it although its new work goes to the next version.
         """
         ledger = FakeLedger()
         async with start_loopback(ledger=ledger) as one:
@@ -147,7 +147,9 @@
                 answer = await two.chat(X_Session="nesting-7")
                 assert answer.headers["x-version"] == LARGE
 
-    async def test_withdrawn_version_is_refused(self) -> None:
+    async def test_named_session_of_a_withdrawn_version_is_refused(
+        self,
+    ) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
             await loopback.chat(X_Session="nesting-7")
--- a/packages/sycamorestand-entry/tests/test_slots.py
+++ b/packages/sycamorestand-entry/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Admission at work: who waits, who is refused, and when they hear."""
+"""Admission control: queued requests, refusals, and when they are sent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def ask_many(
     loopback: Loopback, count: int, **headers: str
 ) -> list[Answer]:
-    """Send as many requests at once and return the answers."""
+    """Send ``count`` requests at once and return the answers."""
     answers: list[Answer] = []
 
     async def ask() -> None:
@@ -32,10 +32,10 @@
 
 
 class TestSlots:
-    async def test_burst_waits_and_is_answered(self) -> None:
-        """Twenty requests meet a server that runs two at a time.
+    async def test_burst_is_queued_and_answered(self) -> None:
+        """Twenty requests arrive for a server that runs two at a time.
 
-        The rest waits in the entry; the server never has more than two.
+        The others wait in the entry; the server never has more than two.
         """
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,), tokens_per_s=400)
@@ -45,10 +45,10 @@
             assert engine.most_running <= 2
 
     async def test_hopeless_request_is_refused_at_once(self) -> None:
-        """Requests come that can't start before their deadline.
+        """Requests arrive that can't start before their deadline.
 
-        They are told so when they come, not when the deadline is over,
-        with ``not_run`` and the time to come back.
+        They are refused on arrival and not at the deadline, with
+        ``not_run`` and the time after which to retry.
         """
         settings = SETTINGS._replace(chunk_gap_s=60)
         async with start_loopback(settings) as loopback:
@@ -64,10 +64,10 @@
                 assert int(answer.headers["retry-after"]) >= 1
             assert len(engine.records) <= 2
 
-    async def test_leaving_callers_give_their_places_back(self) -> None:
-        """Callers go away, one that runs and some that wait.
+    async def test_disconnected_callers_release_slots_and_places(self) -> None:
+        """Callers disconnect, one while running and some while queued.
 
-        Their slots and places in the queue are free for the next one.
+        Their slots and places in the queue are free for the next request.
         """
         settings = SETTINGS._replace(chunk_gap_s=60)
         async with start_loopback(settings) as loopback:
