--- a/packages/sycamorestand-entry/tests/conftest.py
+++ b/packages/sycamorestand-entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs asynchronous tests on asyncio, which the entry is written for."""
+"""Runs asynchronous tests on asyncio only, which the entry requires."""
 
 from __future__ import annotations
 
--- a/packages/sycamorestand-entry/tests/test_bad_input.py
+++ b/packages/sycamorestand-entry/tests/test_bad_input.py
@@ -36,7 +36,7 @@
 
 
 class Bad(NamedTuple):
-    """One request and the refusal that it must get."""
+    """A bad request and the error that it must get."""
 
     name: str
     method: str
@@ -60,7 +60,7 @@
 
 
 def bad_chat(name: str, body: bytes, status: int = 400) -> Bad:
-    """Return a bad body of a chat request."""
+    """Return a chat request with a bad body."""
     code = {400: "bad_request", 413: "body_too_large"}[status]
     return Bad(name, "POST", CHAT, status, code, body)
 
@@ -78,7 +78,7 @@
 
 
 def bad_cache(name: str, body: bytes) -> Bad:
-    """Return bad cache events."""
+    """Return a request with bad cache events."""
     path = "/backend/v1/cache-events"
     return Bad(name, "POST", path, 400, "bad_request", body, BACKEND_KEY)
 
@@ -212,7 +212,7 @@
 
 
 async def check_next_request(loopback: Loopback) -> None:
-    """Check that the process serves a good request as if nothing was."""
+    """Check that the entry still serves a valid request."""
     with anyio.fail_after(10):
         assert (await loopback.chat()).status == 200
 
@@ -226,7 +226,7 @@
 
 class TestRefusedRequests:
     @pytest.mark.parametrize("bad", TABLE, ids=lambda bad: bad.name)
-    async def test_gets_a_clear_error(
+    async def test_bad_request_gets_its_error_code(
         self, bad: Bad, loopback: Loopback
     ) -> None:
         answer = await loopback.call(
@@ -242,7 +242,7 @@
 
 class TestRawBytes:
     @pytest.mark.parametrize("name", RAW)
-    async def test_gets_a_clear_error(
+    async def test_bad_bytes_get_their_error_status(
         self,
         name: str,
         loopback: Loopback,
@@ -261,7 +261,7 @@
         await check_next_request(loopback)
 
     @pytest.mark.parametrize("name", TRUNCATED)
-    async def test_truncated_request_leaves_nothing(
+    async def test_truncated_request_does_not_affect_the_next(
         self, name: str, loopback: Loopback
     ) -> None:
         stream = await anyio.connect_tcp("127.0.0.1", loopback.entry.port)
@@ -271,7 +271,9 @@
 
 
 class TestAnnouncement:
-    async def test_good_one_is_handed_on(self, loopback: Loopback) -> None:
+    async def test_valid_announcement_reaches_control(
+        self, loopback: Loopback
+    ) -> None:
         answer = await loopback.call(
             "POST", ANNOUNCE, engine(load={"running": 2}), BACKEND_KEY
         )
@@ -280,13 +282,13 @@
         assert known.versions == (LARGE,)
         assert known.load.running == 2
 
-    async def test_an_entry_without_a_lease_sends_it_on(
+    async def test_entry_without_a_lease_refuses_the_announcement(
         self, loopback: Loopback
     ) -> None:
-        """An entry is cut off from control, and a server announces there.
+        """A server announces itself at an entry that is cut off from control.
 
-        Acknowledged, the server is known to this entry alone, which may send
-        it nothing, and one that leaves would end while others send it work.
+        Only this entry would know an acknowledged server, and may send it
+        no work. A leaving server would stop while others send it work.
         """
         loopback.control.lease_s = 0.0
         body = engine(leaving=True)
@@ -294,12 +296,12 @@
         assert answer.status == 503
         assert loopback.control.servers["engine-7"].leaving
 
-    async def test_late_and_doubled_ones_change_nothing(
+    async def test_late_and_repeated_announcements_are_ignored(
         self, loopback: Loopback
     ) -> None:
         """A server's announcements come late, twice and out of order.
 
-        The newest one stays, also against one of an earlier start.
+        The newest one stays, also if a later one is of an earlier start.
         """
         for incarnation, sequence, leaving in (
             (2, 5, True),
--- a/packages/sycamorestand-entry/tests/test_chat.py
+++ b/packages/sycamorestand-entry/tests/test_chat.py
@@ -1,4 +1,4 @@
-"""Chat completions from a request to a billed answer."""
+"""Chat completions, streamed and plain, and their charges."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
             *_, ending, done = answer.events()
             assert done == "[DONE]"
             charge = loopback.ledger.charges["guild", "k-1"]
-            told = ending["sycamorestand"]
-            assert told["cost_micros"] == charge.cost_micros > 0
-            assert told["request_key"] == "k-1"
+            details = ending["sycamorestand"]
+            assert details["cost_micros"] == charge.cost_micros > 0
+            assert details["request_key"] == "k-1"
 
 
 class TestOnUvloop:
--- a/packages/sycamorestand-entry/tests/test_connections.py
+++ b/packages/sycamorestand-entry/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that went silent, and callers that read slowly."""
+"""Dead connections in the pool, and callers that read slowly."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SilentAfterOne:
-    """A service whose connections go silent after their first answer."""
+    """A service whose connections answer one request and then nothing."""
 
     def __init__(self) -> None:
         self.seen: list[bytes] = []
@@ -39,7 +39,7 @@
 
 
 async def add_silent(loopback: Loopback) -> SilentAfterOne:
-    """Add the server to the service ``orders``."""
+    """Add such a server to the service ``orders``."""
     server = SilentAfterOne()
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -51,11 +51,13 @@
 
 
 class TestSilentConnection:
-    async def test_query_goes_out_on_a_new_connection(self) -> None:
-        """A connection in the pool has gone silent without an error.
+    async def test_idempotent_call_is_retried_on_a_new_connection(
+        self,
+    ) -> None:
+        """A pooled connection is dead without an error.
 
-        The query gets no first byte there and goes out once more on a
-        new connection, which works.
+        The call gets no first byte on it and is sent again on a new
+        connection, which works.
         """
         async with start_loopback() as loopback:
             server = await add_silent(loopback)
@@ -64,11 +66,11 @@
                 assert answer.status == 200
             assert len(server.seen) == 5
 
-    async def test_order_never_meets_an_idle_connection(self) -> None:
-        """The pool holds a connection that has been idle for a while.
+    async def test_non_idempotent_call_uses_no_idle_connection(self) -> None:
+        """The pool has a connection that has been idle for a while.
 
-        An order written into it could be lost without a trace, and must
-        not be repeated; so it goes out on a new connection at once.
+        An order written to it could be lost without an error and must not
+        be repeated, so it is sent on a new connection.
         """
         settings = SETTINGS._replace(silent_idle_s=0.05)
         async with start_loopback(settings) as loopback:
@@ -82,26 +84,26 @@
             assert len(server.seen) == 3
 
 
-async def stalled_at(engine: FakeEngine) -> int:
-    """Return how many tokens the engine has sent when it sends no more."""
+async def wait_for_stall(engine: FakeEngine) -> int:
+    """Wait until the engine stalls and return how many tokens it sent."""
     seen: list[int] = []
     while True:
         await anyio.sleep(0.5)
         if not engine.records:
             continue
         seen.append(engine.records[0].sent_tokens)
-        # On a busy machine an engine that has not begun, or pauses once,
-        # stands still too.
+        # On a busy machine an engine may also start late or pause once, so
+        # four equal samples are needed.
         if seen[-1] and len(seen) >= 4 and len(set(seen[-4:])) == 1:
             return seen[-1]
 
 
 class TestSlowCaller:
-    async def test_holds_up_only_itself(self) -> None:
-        """One caller does not read its long answer, others ask meanwhile.
+    async def test_slow_caller_delays_only_itself(self) -> None:
+        """One caller does not read its long answer while another one asks.
 
-        The engine is slowed down to the reader's pace instead of the
-        answer piling up in the entry; the others get theirs.
+        Backpressure stops the engine, so that the entry does not buffer
+        the answer; the other caller gets its answer.
         """
         tokens = 100_000
         async with start_loopback() as loopback:
@@ -117,7 +119,7 @@
             )
             await stream.send(head.encode() + body)
             with anyio.fail_after(20):
-                sent = await stalled_at(engine)
+                sent = await wait_for_stall(engine)
             assert 0 < sent < tokens
             answer = await loopback.chat(stream=True, Idempotency_Key="k")
             assert answer.text() == expected_text(LARGE, "k", 8)
--- a/packages/sycamorestand-entry/tests/test_event_reader.py
+++ b/packages/sycamorestand-entry/tests/test_event_reader.py
@@ -1,4 +1,4 @@
-"""Reading an engine's stream, however its bytes are cut into reads."""
+"""Reading an engine's stream, with its bytes split into arbitrary reads."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     return b"data: " + msgspec.json.encode(content) + b"\n\n"
 
 
-def reads_of(stream: bytes, at: list[int]) -> list[bytes]:
-    """Return the stream cut into reads at these places."""
+def split_into_reads(stream: bytes, at: list[int]) -> list[bytes]:
+    """Return the stream split into reads at these offsets."""
     places = sorted({min(place, len(stream)) for place in at})
     bounds = [0, *places, len(stream)]
     parts = [stream[a:b] for a, b in zip(bounds, bounds[1:], strict=False)]
@@ -35,36 +35,38 @@
 
 class TestEventReader:
     @given(texts, cuts)
-    def test_cuts_change_nothing(
+    def test_result_does_not_depend_on_the_reads(
         self, words: list[str], at: list[int]
     ) -> None:
         events = [token(word) for word in words]
         stream = b"".join(events) + USAGE + DONE
         reader = EventReader()
-        passed = b"".join(reader.feed(read) for read in reads_of(stream, at))
+        passed = b"".join(
+            reader.feed(read) for read in split_into_reads(stream, at)
+        )
         assert passed == b"".join(events)
         assert reader.done
         assert reader.usage == Usage(3, 4)
         assert reader.events == len(events)
 
     @given(texts, cuts, strategies.integers(0, 400))
-    def test_count_fits_what_was_passed_on(
+    def test_count_matches_the_returned_events(
         self, words: list[str], at: list[int], end: int
     ) -> None:
         """The stream breaks off at any byte.
 
-        What was passed on is whole events, and as many as are counted;
-        a resume from that count neither loses nor doubles one.
+        The reader has returned whole events only, and counts as many. A
+        resume from that count neither loses nor repeats an event.
         """
         events = [token(word) for word in words]
         reader = EventReader()
         passed = b""
-        for read in reads_of(b"".join(events)[:end], at):
+        for read in split_into_reads(b"".join(events)[:end], at):
             passed += reader.feed(read)
         assert passed == b"".join(events[: reader.events])
 
     @given(texts, strategies.binary(min_size=1, max_size=20), cuts)
-    def test_garbage_ends_behind_whole_events(
+    def test_events_before_garbage_are_returned(
         self, words: list[str], garbage: bytes, at: list[int]
     ) -> None:
         events = [token(word) for word in words]
@@ -72,13 +74,13 @@
         reader = EventReader()
         passed = b""
         with pytest.raises(MalformedStream):
-            for read in reads_of(stream, at):
+            for read in split_into_reads(stream, at):
                 passed += reader.feed(read)
                 reader.raise_failure()
             reader.feed(b"")
         assert passed == b"".join(events)
 
-    def test_text_that_looks_like_an_ending_is_text(self) -> None:
+    def test_text_that_looks_like_an_end_is_returned(self) -> None:
         words = ['"usage":{', '"error":', "data: x", "\n\n", "a]b"]
         reader = EventReader()
         stream = b"".join(token(word) for word in words)
@@ -86,7 +88,7 @@
         assert reader.events == len(words)
         assert not reader.done
 
-    def test_usage_in_every_event(self) -> None:
+    def test_usage_in_every_event_is_read(self) -> None:
         usage = b',"usage":{"prompt_tokens":3,"completion_tokens":1}}\n\n'
         event = token("word").removesuffix(b"}\n\n") + usage
         reader = EventReader()
@@ -94,18 +96,18 @@
         reader.feed(DONE)
         assert reader.usage == Usage(3, 1)
 
-    def test_crlf_and_comments(self) -> None:
+    def test_accepts_crlf_and_drops_comments(self) -> None:
         reader = EventReader()
         stream = b": ping\r\n\r\n" + token("a").replace(b"\n\n", b"\r\n\r\n")
         assert reader.feed(stream) == token("a")
 
-    def test_end_without_done(self) -> None:
+    def test_end_without_done_is_malformed(self) -> None:
         reader = EventReader()
         reader.feed(token("a"))
         with pytest.raises(MalformedStream):
             reader.feed(b"")
 
-    def test_event_without_end(self) -> None:
+    def test_endless_event_is_malformed(self) -> None:
         reader = EventReader()
         with pytest.raises(MalformedStream):
             for _ in range(40):
--- a/packages/sycamorestand-entry/tests/test_listings.py
+++ b/packages/sycamorestand-entry/tests/test_listings.py
@@ -1,4 +1,4 @@
-"""Answers that only read."""
+"""Read-only requests: models, metrics and health."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TestMetrics:
-    async def test_shows_promises_and_decisions(self) -> None:
+    async def test_shows_the_expected_metrics(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             await loopback.chat()
--- a/packages/sycamorestand-entry/tests/test_recovery.py
+++ b/packages/sycamorestand-entry/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Streams that break off: resumed, run again, or told as broken."""
+"""Failing streams are resumed, restarted or reported as broken."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 async def add_engine(
     loopback: Loopback, fault: Fault, can_resume: bool = False
 ) -> FakeEngine:
-    """Add an engine that shows the fault."""
+    """Add an engine with the fault."""
     engine = FakeEngine("engine-1", (LARGE,), can_resume=can_resume)
     engine.switch.fault = fault
     await loopback.add_engine(engine)
@@ -41,11 +41,13 @@
 
 class TestBrokenBeforeRelease:
     @pytest.mark.parametrize("kind", BEFORE_FIRST_TOKEN)
-    async def test_runs_again(self, kind: FaultKind) -> None:
-        """The engine fails before the caller has got a token.
+    async def test_failure_before_the_first_token_restarts_the_run(
+        self, kind: FaultKind
+    ) -> None:
+        """The engine fails before the caller has received a token.
 
         Nothing has been released, so the request runs again on a new
-        connection and the caller gets one whole answer, billed once.
+        connection, and the caller gets one complete answer, billed once.
         """
         async with start_loopback() as loopback:
             engine = await add_engine(loopback, Fault(kind, times=1))
@@ -56,12 +58,12 @@
             assert len(loopback.ledger.charges) == 1
 
     @pytest.mark.parametrize("kind", MID_STREAM)
-    async def test_plain_answer_runs_again_in_the_middle(
+    async def test_restarted_plain_answer_drops_earlier_events(
         self, kind: FaultKind
     ) -> None:
-        """The engine fails in the middle of an answer that is collected.
+        """The engine fails in the middle of an answer without streaming.
 
-        What came so far is dropped, not put before the second answer.
+        The collected events are dropped and not put before the new answer.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback, Fault(kind, after=4, times=1))
@@ -69,7 +71,7 @@
             message = answer.json()["choices"][0]["message"]
             assert message["content"] == expected_text(LARGE, "k", 8)
 
-    async def test_failing_for_good_is_told(self) -> None:
+    async def test_permanent_failure_is_reported(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback, Fault("cut"))
             answer = await loopback.chat(stream=True)
@@ -77,8 +79,8 @@
             assert answer.json()["error"]["run"] == "unknown"
             assert not loopback.ledger.charges
 
-    async def test_no_connection_is_not_run(self) -> None:
-        """The only backend server takes no connection.
+    async def test_refused_connection_is_reported_as_not_run(self) -> None:
+        """The only backend server refuses connections.
 
         No byte was sent, so the refusal may say ``not_run``.
         """
@@ -93,11 +95,13 @@
 
 class TestBrokenAfterRelease:
     @pytest.mark.parametrize("kind", [*MID_STREAM, "no_end"])
-    async def test_ends_with_an_error_event(self, kind: FaultKind) -> None:
-        """The engine fails after the caller has got tokens.
+    async def test_failure_after_release_ends_with_an_error_event(
+        self, kind: FaultKind
+    ) -> None:
+        """The engine fails after the caller has received tokens.
 
-        Another run would put the rest of another answer behind them, so
-        the stream ends with an error event, without ``[DONE]``, unbilled.
+        A restart would append the rest of another answer, so the stream
+        ends with an error event, without ``[DONE]`` and unbilled.
         """
         async with start_loopback() as loopback:
             await add_engine(loopback, Fault(kind, after=4))
@@ -110,11 +114,13 @@
             assert not loopback.ledger.charges
 
     @pytest.mark.parametrize("kind", MID_STREAM)
-    async def test_resumes_where_the_engine_can(self, kind: FaultKind) -> None:
+    async def test_resumes_after_the_last_whole_event(
+        self, kind: FaultKind
+    ) -> None:
         """The engine can resume, and its stream fails in the middle.
 
-        The entry asks for the rest on a new connection from the event
-        after the last whole one; the caller sees one whole answer.
+        The entry requests the rest on a new connection, from the event
+        after the last whole one; the caller gets one complete answer.
         """
         async with start_loopback() as loopback:
             engine = await add_engine(
@@ -126,8 +132,8 @@
             assert [record.resumes for record in engine.records] == [1]
 
 
-class TestSlowPeers:
-    async def test_missing_usage_is_counted(self) -> None:
+class TestSlowOrIncompleteAnswers:
+    async def test_missing_usage_is_estimated(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback, Fault("no_usage"))
             answer = await loopback.chat(stream=True, Idempotency_Key="k")
@@ -140,11 +146,11 @@
             answer = await loopback.chat(X_Deadline_Ms="200")
             assert answer.json()["error"]["code"] == "deadline_exceeded"
 
-    async def test_leaving_caller_cancels_the_run(self) -> None:
-        """The caller goes away in the middle of its stream.
+    async def test_disconnected_caller_cancels_the_run(self) -> None:
+        """The caller disconnects in the middle of its stream.
 
-        The entry closes its connection to the engine, which sees that
-        and stops to spend tokens; nothing is billed.
+        The entry closes its connection to the engine, which then stops
+        generating tokens; nothing is billed.
         """
         settings = SETTINGS._replace(chunk_gap_s=60.0)
         async with start_loopback(settings) as loopback:
--- a/packages/sycamorestand-entry/tests/test_stop.py
+++ b/packages/sycamorestand-entry/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request."""
+"""A planned stop loses no request."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     return EntryAddress(vm, data_centre, "127.0.0.1", 1)
 
 
-async def listed(loopback: Loopback) -> list[str]:
-    """Return the VMs of the address answer in their order."""
+async def listed_vms(loopback: Loopback) -> list[str]:
+    """Return the VMs in the address answer, in its order."""
     answer = await loopback.call("GET", "/v1/addresses", key="")
     return [entry["vm"] for entry in answer.json()["addresses"]]
 
 
-def order_sent(port: int, number: int) -> socket.socket:
-    """Return a connection on which an order was sent."""
+def send_order(port: int, number: int) -> socket.socket:
+    """Send an order and return its connection."""
     caller = socket.create_connection(("127.0.0.1", port), 1)
     caller.settimeout(5)
     caller.sendall(order_bytes(number))
@@ -47,7 +47,7 @@
 
 
 def order_bytes(number: int) -> bytes:
-    """Return an order with a key of its own."""
+    """Return the request of an order with a unique key."""
     return (
         b"POST /services/orders/x HTTP/1.1\r\nhost: a\r\n"
         b"authorization: Bearer %b\r\nidempotency-key: k-%d\r\n"
@@ -55,8 +55,8 @@
     )
 
 
-def whole_answer(caller: socket.socket) -> bytes:
-    """Return the next answer, which may come in several pieces."""
+def read_answer(caller: socket.socket) -> bytes:
+    """Return the next complete answer, which may come in several reads."""
     answer = b""
     while True:
         head, found, body = answer.partition(b"\r\n\r\n")
@@ -69,8 +69,8 @@
         answer += piece
 
 
-async def wait_until_gone(loopback: Loopback) -> None:
-    """Return when the entry takes no connection any more."""
+async def wait_until_closed(loopback: Loopback) -> None:
+    """Wait until the entry refuses connections."""
     with anyio.fail_after(20):
         while True:
             try:
@@ -80,23 +80,23 @@
             await anyio.sleep(0.02)
 
 
-class TestAcceptingTime:
-    async def test_it_covers_the_last_caller_sent_here(self) -> None:
-        """Another entry hands out this address just before it hears.
+class TestAcceptPeriod:
+    async def test_covers_addresses_handed_out_after_the_stop(self) -> None:
+        """Another entry hands out this address until it learns of the stop.
 
-        Its caller keeps the address for the time-to-live from then on, so
-        the time-to-live counted from the stop alone is too short.
+        The caller uses the address for the time-to-live from then on, so
+        the time-to-live counted from the stop is too short.
         """
         settings = SETTINGS._replace(address_spread_s=2.0, address_ttl_s=5.0)
         assert accept_period_s(settings) >= 7.0
 
 
 class TestPlannedStop:
-    async def test_leaves_the_addresses_and_goes_on_accepting(self) -> None:
-        """The entry begins its stop while callers still know its address.
+    async def test_removes_its_address_and_still_accepts(self) -> None:
+        """The entry begins its stop while callers still use its address.
 
-        It names itself to nobody any more, answers those who come all
-        the same and has their connections closed.
+        It no longer hands out its address, but answers further requests
+        and asks callers to close their connections.
         """
         settings = SETTINGS._replace(address_ttl_s=1.0)
         async with start_loopback(settings) as loopback:
@@ -105,9 +105,9 @@
                 address("vm-1"),
                 address("vm-2"),
             )
-            assert await listed(loopback) == ["vm-1", "vm-2"]
+            assert await listed_vms(loopback) == ["vm-1", "vm-2"]
             loopback.entry.begin_stop()
-            assert await listed(loopback) == ["vm-2"]
+            assert await listed_vms(loopback) == ["vm-2"]
             answer = await loopback.chat()
             assert answer.status == 200
             assert answer.headers["connection"] == "close"
@@ -115,24 +115,24 @@
             assert ready.status == 503
             assert loopback.control.stopping
 
-    async def test_connections_that_wait_to_be_accepted_are_answered(
+    async def test_connections_in_the_backlog_are_answered(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """They were reset when the entry stopped accepting."""
+        """Connections in the backlog were reset when accepting stopped."""
         callers: list[socket.socket] = []
         stop_accepting = _Server.stop_accepting
 
         def connect_first(server: _Server) -> None:
-            # Nothing else of this thread runs until the listener is closed.
+            # The event loop runs nothing else until the listener is closed.
             for number in range(5):
-                callers.append(order_sent(loopback.entry.port, number))
+                callers.append(send_order(loopback.entry.port, number))
             stop_accepting(server)
 
         monkeypatch.setattr(_Server, "stop_accepting", connect_first)
         async with start_loopback() as loopback:
             await loopback.add_service(FakeService("s-1", ("orders",)))
             loopback.entry.begin_stop()
-            await wait_until_gone(loopback)
+            await wait_until_closed(loopback)
             answers = [
                 await anyio.to_thread.run_sync(caller.recv, 4096)
                 for caller in callers
@@ -145,35 +145,37 @@
     @pytest.mark.parametrize(
         "close", ["timeout_keep_alive_handler", "shutdown"]
     )
-    async def test_a_request_that_has_arrived_is_not_cut_as_idle(
+    async def test_arrived_request_is_not_closed_as_idle(
         self, close: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It came while the process was busy, and the timer was due."""
-        made: list[EntryProtocol] = []
+        """The request arrived while the process was busy, before the close."""
+        protocols: list[EntryProtocol] = []
         connection_made = EntryProtocol.connection_made
 
-        def remember(protocol: EntryProtocol, transport: object) -> None:
-            made.append(protocol)
+        def record_protocol(
+            protocol: EntryProtocol, transport: object
+        ) -> None:
+            protocols.append(protocol)
             connection_made(protocol, transport)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(EntryProtocol, "connection_made", remember)
+        monkeypatch.setattr(EntryProtocol, "connection_made", record_protocol)
         async with start_loopback() as loopback:
             await loopback.add_service(FakeService("s-1", ("orders",)))
-            caller = order_sent(loopback.entry.port, 1)
-            first = await anyio.to_thread.run_sync(whole_answer, caller)
-            # From here on nothing else of this thread runs.
+            caller = send_order(loopback.entry.port, 1)
+            first = await anyio.to_thread.run_sync(read_answer, caller)
+            # From here until the close the event loop runs nothing else.
             caller.sendall(order_bytes(2))
-            getattr(made[0], close)()
-            second = await anyio.to_thread.run_sync(whole_answer, caller)
+            getattr(protocols[0], close)()
+            second = await anyio.to_thread.run_sync(read_answer, caller)
             caller.close()
         assert first.startswith(b"HTTP/1.1 200")
         assert second.startswith(b"HTTP/1.1 200")
 
     async def test_running_answers_are_finished(self) -> None:
-        """A stream and an order run when the entry's time is over.
+        """A stream and an order are running when the entry stops.
 
-        New connections are refused; both answers come whole, and the
-        stream is charged before the process ends.
+        New connections are refused; both answers arrive complete and are
+        charged before the process ends.
         """
         settings = SETTINGS._replace(keep_alive_s=1, chunk_gap_s=10)
         async with start_loopback(settings) as loopback:
@@ -204,16 +206,16 @@
                     while not (engine.records and service.records):
                         await anyio.sleep(0.01)
                 loopback.entry.begin_stop()
-                await wait_until_gone(loopback)
+                await wait_until_closed(loopback)
                 assert not answers
             texts = [a.text() for a in answers if b"data:" in a.body]
             assert texts == [expected_text(LARGE, "k", 8)]
             assert len(loopback.ledger.charges) == 2
 
     async def test_late_answer_is_recorded_before_the_end(self) -> None:
-        """An order's caller has left; the entry stops before its answer.
+        """The entry stops after a caller's deadline, before the answer.
 
-        The process stays until the answer has come and is recorded.
+        The process runs until the answer has arrived and is recorded.
         """
         async with start_loopback() as loopback:
             service = FakeService("s-1", ("orders",))
@@ -246,7 +248,7 @@
             loopback.control.configuration = configuration._replace(
                 draining_vms=("vm-5",)
             )
-            assert await listed(loopback) == ["vm-2", "vm-3", "vm-9"]
+            assert await listed_vms(loopback) == ["vm-2", "vm-3", "vm-9"]
 
     async def test_url_of_an_ipv6_address(self) -> None:
         async with start_loopback() as loopback:
@@ -262,6 +264,6 @@
     async def test_new_connections_are_refused(self) -> None:
         async with start_loopback() as loopback:
             loopback.entry.begin_stop()
-            await wait_until_gone(loopback)
+            await wait_until_closed(loopback)
             with pytest.raises(httpcore.ConnectError):
                 await loopback.call("GET", "/healthz")
--- a/packages/sycamorestand-entry/tests/test_upstream_pool.py
+++ b/packages/sycamorestand-entry/tests/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to backend servers."""
+"""The pool of idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 REQUEST = b"GET /x HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-async def use(pool: UpstreamPool, address: str) -> UpstreamConnection:
-    """Send a request and return the connection behind its answer."""
+async def exchange(pool: UpstreamPool, address: str) -> UpstreamConnection:
+    """Send a request, read its answer and return the connection."""
     connection = await pool.acquire(address, 30.0)
     connection.send(REQUEST)
     await connection.read_head(5.0)
@@ -29,32 +29,32 @@
 
 
 class TestUpstreamPool:
-    async def test_young_connection_is_used_again(self) -> None:
+    async def test_young_connection_is_reused(self) -> None:
         service = FakeService("s-1", ("orders",))
         async with serve_on_port(service.application) as address:
             pool = UpstreamPool(1.0, 30.0)
-            first = await use(pool, address)
+            first = await exchange(pool, address)
             pool.release(address, first)
             assert await pool.acquire(address, 30.0) is first
             pool.release(address, first)
             assert await pool.acquire(address, 0.0) is not first
             pool.close()
 
-    async def test_burst_leaves_a_bounded_number(self) -> None:
+    async def test_burst_leaves_a_limited_number(self) -> None:
         service = FakeService("s-1", ("orders",))
         async with serve_on_port(service.application) as address:
             pool = UpstreamPool(1.0, 30.0)
-            many = [await use(pool, address) for _ in range(MAX_IDLE + 9)]
+            many = [await exchange(pool, address) for _ in range(MAX_IDLE + 9)]
             for connection in many:
                 pool.release(address, connection)
             assert pool.idle_count(address) == MAX_IDLE
             pool.close()
 
-    async def test_an_answer_dropped_unread_is_not_the_next_one(self) -> None:
-        """A cascade drops a short answer for what its head says.
+    async def test_unread_answer_does_not_reach_the_next_caller(self) -> None:
+        """A cascade drops a short answer because of its head.
 
-        All of it has come by then, so the connection may be used again.
-        The next caller got the dropped body in front of its own.
+        All of the answer has arrived, so the connection is reused. The next
+        caller got the dropped body before its own.
         """
         service = FakeService("s-1", ("orders",))
         async with serve_on_port(service.application) as address:
@@ -76,7 +76,9 @@
             assert msgspec.json.decode(body)["run"] == 2
             pool.close()
 
-    async def test_unfinished_answer_is_not_kept(self) -> None:
+    async def test_connection_with_an_unfinished_answer_is_closed(
+        self,
+    ) -> None:
         service = FakeService("s-1", ("orders",))
         async with serve_on_port(service.application) as address:
             pool = UpstreamPool(1.0, 30.0)
@@ -88,7 +90,9 @@
     @pytest.mark.parametrize(
         "address", ["127.0.0.1:1", "127.0.0.1:x", "nowhere", ""]
     )
-    async def test_no_connection(self, address: str) -> None:
+    async def test_bad_address_raises_connect_failed(
+        self, address: str
+    ) -> None:
         pool = UpstreamPool(0.5, 30.0)
         with pytest.raises(ConnectFailed):
             await pool.acquire(address, 30.0)
