--- a/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
@@ -27,7 +27,7 @@
 # Valid and invalid keys are cached alike, so that neither a caller's own
 # key nor a flood of wrong ones is hashed for each customer again.
 MAX_REMEMBERED_KEYS: Final = 4096
-_NAME: Final = re.compile(r"[\x21-\x7e]{1,256}")
+_VISIBLE_ASCII: Final = re.compile(r"[\x21-\x7e]{1,256}")
 
 
 class CallerOptions(NamedTuple):
@@ -130,7 +130,7 @@
     if value is None:
         return ""
     text = value.decode("latin-1")
-    if not _NAME.fullmatch(text):
+    if not _VISIBLE_ASCII.fullmatch(text):
         raise BadRequest(
             f"{header.decode()} takes 1 to 256 visible ASCII characters"
         )
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -237,8 +237,8 @@
             try:
                 await self._dispatch(resume)
                 return
-            except UpstreamError as another:
-                error = another
+            except UpstreamError as next_error:
+                error = next_error
             except RequestError as refusal:
                 raise correct_run_state(refusal, self._may_have_run) from None
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
@@ -165,8 +165,10 @@
     # other version that the customer may use serves the request, except
     # those that get their work from a roll-out.
     in_rollout = _rollout_versions(in_force, model)
-    others = [identity for identity in allowed if identity not in in_rollout]
-    return others[0] if others else ""
+    alternatives = [
+        identity for identity in allowed if identity not in in_rollout
+    ]
+    return alternatives[0] if alternatives else ""
 
 
 def _rollout_versions(in_force: InForce, model: Model) -> set[str]:
--- a/packages/sycamorestand-entry/tests/test_bad_input.py
+++ b/packages/sycamorestand-entry/tests/test_bad_input.py
@@ -77,7 +77,7 @@
     return Bad(name, "POST", ANNOUNCE, 400, "bad_request", body, BACKEND_KEY)
 
 
-def bad_cache(name: str, body: bytes) -> Bad:
+def bad_cache_events(name: str, body: bytes) -> Bad:
     """Return a request with bad cache events."""
     path = "/backend/v1/cache-events"
     return Bad(name, "POST", path, 400, "bad_request", body, BACKEND_KEY)
@@ -90,7 +90,7 @@
     return Bad(name, method, path, 401, "unauthorised", b"{}", key)
 
 
-TABLE = [
+BAD_REQUESTS = [
     bad_chat("empty", b""),
     bad_chat("no JSON", b"{"),
     bad_chat("no object", b"[1]"),
@@ -151,15 +151,15 @@
     bad_engine("no lease", engine(lease_s=-1)),
     bad_engine("capacity", engine(capacity=0)),
     bad_engine("versions", engine(versions="all")),
-    bad_cache("empty", b""),
-    bad_cache("unknown field", b'{"name": "engine-1", "x": 1}'),
-    bad_cache("number", b'{"name": "engine-1", "stored": [1]}'),
-    bad_cache("stranger", b'{"name": "engine-9", "stored": []}'),
+    bad_cache_events("empty", b""),
+    bad_cache_events("unknown field", b'{"name": "engine-1", "x": 1}'),
+    bad_cache_events("number", b'{"name": "engine-1", "stored": [1]}'),
+    bad_cache_events("stranger", b'{"name": "engine-9", "stored": []}'),
     unauthorised("/backend/v1/cache-events", CALLER_KEY),
     bad_engine("many versions", engine(versions=["v"] * 1000)),
 ]
 HEAD = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-RAW = {
+RAW_REQUESTS = {
     "no HTTP": (b"\x00\xff\x01\r\n\r\n", 400),
     "version": (b"GET /healthz HTTP/9.9\r\n\r\n", 400),
     "length text": (HEAD.encode() + b"Content-Length: x\r\n\r\n", 400),
@@ -225,7 +225,7 @@
 
 
 class TestRefusedRequests:
-    @pytest.mark.parametrize("bad", TABLE, ids=lambda bad: bad.name)
+    @pytest.mark.parametrize("bad", BAD_REQUESTS, ids=lambda bad: bad.name)
     async def test_bad_request_gets_its_error_code(
         self, bad: Bad, loopback: Loopback
     ) -> None:
@@ -241,7 +241,7 @@
 
 
 class TestRawBytes:
-    @pytest.mark.parametrize("name", RAW)
+    @pytest.mark.parametrize("name", RAW_REQUESTS)
     async def test_bad_bytes_get_their_error_status(
         self,
         name: str,
@@ -249,7 +249,7 @@
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
         monkeypatch.setattr(EntryProtocol, "head_timeout_s", 0.3)
-        sent, status = RAW[name]
+        sent, status = RAW_REQUESTS[name]
         port = loopback.entry.port
         async with await anyio.connect_tcp("127.0.0.1", port) as stream:
             with anyio.fail_after(10):
--- a/packages/sycamorestand-entry/tests/test_planning.py
+++ b/packages/sycamorestand-entry/tests/test_planning.py
@@ -19,15 +19,17 @@
 
 pytestmark = pytest.mark.anyio
 
-EVERY = (SMALL, SMALL_NEXT, LARGE, LARGE_NEXT)
+ALL_VERSIONS = (SMALL, SMALL_NEXT, LARGE, LARGE_NEXT)
 
 
 async def add_engine(loopback: Loopback) -> None:
     """Add an engine that holds every version."""
-    await loopback.add_engine(FakeEngine("engine-1", EVERY), capacity=64)
+    await loopback.add_engine(
+        FakeEngine("engine-1", ALL_VERSIONS), capacity=64
+    )
 
 
-def change(loopback: Loopback, **fields: object) -> None:
+def change_configuration(loopback: Loopback, **fields: object) -> None:
     """Change the configuration in force."""
     configuration = loopback.control.configuration
     loopback.control.configuration = configuration._replace(
@@ -41,7 +43,7 @@
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 0.25, 1, "running")
-            change(loopback, shares={"nest-large": share})
+            change_configuration(loopback, shares={"nest-large": share})
             versions: Counter[str] = Counter()
             for number in range(200):
                 answer = await loopback.chat(
@@ -55,7 +57,7 @@
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 0.5, 1, "running")
-            change(loopback, shares={"nest-large": share})
+            change_configuration(loopback, shares={"nest-large": share})
             versions = {
                 (await loopback.chat(Idempotency_Key="k")).headers["x-version"]
                 for _ in range(5)
@@ -69,7 +71,7 @@
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
-            change(
+            change_configuration(
                 loopback,
                 shares={"nest-large": RolloutShare("2", 1.0, 4, "running")},
                 quarantined=(LARGE_NEXT,),
@@ -83,7 +85,7 @@
     async def test_other_version_replaces_the_withdrawn_one(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
-            change(loopback, withdrawn=(LARGE,))
+            change_configuration(loopback, withdrawn=(LARGE,))
             answer = await loopback.chat()
             assert answer.headers["x-version"] == LARGE_NEXT
 
@@ -95,7 +97,7 @@
         """
         async with start_loopback() as loopback:
             await add_engine(loopback)
-            change(
+            change_configuration(
                 loopback,
                 withdrawn=(LARGE,),
                 shares={"nest-large": RolloutShare("2", 0.0, 0, "stopped")},
@@ -113,7 +115,7 @@
             await add_engine(loopback)
             declared = loopback.control.configuration.declarations
             rollouts = {"nest-large": Rollout("nest-large", "2")}
-            change(
+            change_configuration(
                 loopback,
                 withdrawn=(LARGE,),
                 declarations=declared._replace(rollouts=rollouts),
@@ -124,7 +126,7 @@
     async def test_refuses_when_all_versions_are_withdrawn(self) -> None:
         async with start_loopback() as loopback:
             await add_engine(loopback)
-            change(loopback, withdrawn=(LARGE, LARGE_NEXT))
+            change_configuration(loopback, withdrawn=(LARGE, LARGE_NEXT))
             error = (await loopback.chat()).json()["error"]
             assert error["code"] == "no_version"
 
@@ -134,7 +136,7 @@
         async with start_loopback() as loopback:
             await add_engine(loopback)
             share = RolloutShare("2", 1.0, 4, "running")
-            change(loopback, shares={"nest-small": share})
+            change_configuration(loopback, shares={"nest-small": share})
             answer = await loopback.chat("small", key=OTHER_CALLER_KEY)
             assert answer.headers["x-version"] == SMALL
 
--- a/packages/sycamorestand-entry/tests/test_slots.py
+++ b/packages/sycamorestand-entry/tests/test_slots.py
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def ask_many(
+async def send_requests(
     loopback: Loopback, count: int, **headers: str
 ) -> list[Answer]:
     """Send ``count`` requests at once and return the answers."""
@@ -40,7 +40,7 @@
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,), tokens_per_s=400)
             await loopback.add_engine(engine, capacity=2)
-            answers = await ask_many(loopback, 20)
+            answers = await send_requests(loopback, 20)
             assert {answer.status for answer in answers} == {200}
             assert engine.most_running <= 2
 
@@ -55,7 +55,7 @@
             engine = FakeEngine("engine-1", (LARGE,))
             engine.switch.fault = Fault("slow", pause_s=2)
             await loopback.add_engine(engine, capacity=1)
-            answers = await ask_many(loopback, 40, X_Deadline_Ms="1500")
+            answers = await send_requests(loopback, 40, X_Deadline_Ms="1500")
             refused = [a for a in answers if a.status == 429]
             assert len(refused) > 20
             for answer in refused:
@@ -75,7 +75,7 @@
             engine.switch.fault = Fault("slow", times=1)
             await loopback.add_engine(engine, capacity=1)
             with anyio.move_on_after(0.5):
-                await ask_many(loopback, 3)
+                await send_requests(loopback, 3)
             with anyio.fail_after(10):
                 answer = await loopback.chat()
             assert answer.status == 200
