--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
@@ -10,9 +10,9 @@
 
 from sycamorestand_model.backend_servers import Announcement
 from sycamorestand_model.backend_servers import LoadReport
+from sycamorestand_model.entry_reports import VersionSample
 from sycamorestand_model.errors import LedgerUnavailable
 from sycamorestand_model.ledger import Charge
-from sycamorestand_model.nodes import VersionSample
 
 if TYPE_CHECKING:
     from sycamorestand_entry.control.link import ControlLink
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/links_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/links_process.py
@@ -19,7 +19,7 @@
 from sycamorestand_bench.processes import CLUSTER_KEY
 from sycamorestand_entry.control.link import ControlLink
 from sycamorestand_entry.control.link import LinkSettings
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 
 
 class LinksRun(msgspec.Struct):
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
@@ -11,7 +11,7 @@
 from sycamorestand_control.tables import SharedTables
 from sycamorestand_entry.control.link import ControlLink
 from sycamorestand_entry.control.link import LinkSettings
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 from sycamorestand_peer.messages import LeaseRequest
 from sycamorestand_state.leases import ENTRY_LEASE_S
 from sycamorestand_state.leases import LeaseGrant
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -21,8 +21,8 @@
 from sycamorestand_bench.quickstart.world import DATA_CENTRES
 from sycamorestand_bench.quickstart.world import STRONG
 from sycamorestand_bench.quickstart.world import World
-from sycamorestand_model.declarations import customer_allows
 from sycamorestand_model.declarations import Declarations
+from sycamorestand_model.declarations import is_version_allowed
 from sycamorestand_model.declarations import version_id
 from sycamorestand_model.keys import hash_key
 from sycamorestand_model.load import load_folder
@@ -132,7 +132,9 @@
         for version in model.versions
     ]
     return {
-        name: frozenset(i for i in identities if customer_allows(customer, i))
+        name: frozenset(
+            i for i in identities if is_version_allowed(customer, i)
+        )
         for name, customer in declared.customers.items()
     }
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -27,7 +27,7 @@
 from sycamorestand_bench.system.system import is_probe
 from sycamorestand_bench.system.system import System
 from sycamorestand_bench.system.system import wait_for
-from sycamorestand_model.declarations import customer_allows
+from sycamorestand_model.declarations import is_version_allowed
 from sycamorestand_model.declarations import version_id
 from sycamorestand_model.load import load_folder
 
@@ -199,7 +199,7 @@
             {name: self._audit(name) for name in CONTROLS},
             {
                 name: frozenset(
-                    i for i in identities if customer_allows(customer, i)
+                    i for i in identities if is_version_allowed(customer, i)
                 )
                 for name, customer in declared.customers.items()
             },
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/requests.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/requests.py
@@ -21,9 +21,9 @@
 from sycamorestand_model.load import load_document
 from sycamorestand_model.readers import choice
 from sycamorestand_model.readers import Field
+from sycamorestand_model.readers import integer
 from sycamorestand_model.readers import Reader
 from sycamorestand_model.readers import record
-from sycamorestand_model.readers import whole
 
 MAX_REVISION: Final = 2**62
 MAX_MESSAGE_CHARACTERS: Final = 500
@@ -122,7 +122,7 @@
     if not text.isascii() or not text.isdecimal() or len(text) > 20:
         findings.error(place, "is no whole number", f"give {low} to {high}")
         return None
-    return whole(low, high)(int(text), place, findings)
+    return integer(low, high)(int(text), place, findings)
 
 
 def _check_subject(request: ChangeRequest, findings: Findings) -> None:
@@ -203,7 +203,7 @@
     return () if raw is None else raw
 
 
-_REVISION: Final = whole(0, MAX_REVISION)
+_REVISION: Final = integer(0, MAX_REVISION)
 _ID: Final = _text(ID_PATTERN, "an id of letters, digits, '.', '_' and '-'")
 _SUBJECT_TEXT: Final = _text(SUBJECT_PATTERN, "a declared name")
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rating_exchange.py
@@ -15,7 +15,7 @@
 
 import anyio
 
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import RatingCount
 from sycamorestand_peer.messages import SharedRatings
 
 if TYPE_CHECKING:
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -19,7 +19,7 @@
 import anyio
 import msgspec
 
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 from sycamorestand_peer.clock import boottime_s
 from sycamorestand_peer.messages import TableResync
 from sycamorestand_peer.messages import TableUpdate
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -13,8 +13,8 @@
 from sycamorestand_control.tables import ControlName
 from sycamorestand_control.tables import SharedTables
 from sycamorestand_model.declarations import Declarations
+from sycamorestand_model.entry_reports import EntryAddress
 from sycamorestand_model.in_force import InForce
-from sycamorestand_model.nodes import EntryAddress
 from sycamorestand_model.routes import SourceDocument
 from sycamorestand_peer.codec import unpack_configuration
 from sycamorestand_peer.messages import AddressList
--- a/packages/sycamorestand-control/tests/test_rating_exchange.py
+++ b/packages/sycamorestand-control/tests/test_rating_exchange.py
@@ -4,7 +4,7 @@
 
 from sycamorestand_control.rating_exchange import MAX_ROWS
 from sycamorestand_control.rating_exchange import RatingExchange
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import RatingCount
 
 CLASS = "review"
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -37,7 +37,7 @@
     from collections.abc import Sequence
 
     from sycamorestand_model.declarations import Profile
-    from sycamorestand_model.nodes import RatingCount
+    from sycamorestand_model.entry_reports import RatingCount
 
 PASS_RATING: Final = 0.5
 # One deviation: at two, a class five points above the target needs
--- a/packages/sycamorestand-decisions/tests/test_shared_ratings.py
+++ b/packages/sycamorestand-decisions/tests/test_shared_ratings.py
@@ -8,7 +8,7 @@
 from sycamorestand_decisions.pass_rates import PassRates
 from sycamorestand_model.declarations import CascadeStep
 from sycamorestand_model.declarations import Profile
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import RatingCount
 
 CLASS = "review"
 PROFILE = Profile("review", (CascadeStep("small"), CascadeStep("large")), 0.8)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -41,7 +41,7 @@
 from sycamorestand_entry.upstream import ConnectFailed
 from sycamorestand_model.errors import LedgerUnavailable
 from sycamorestand_model.ledger import Dispatch
-from sycamorestand_model.ledger import NOT_KEPT
+from sycamorestand_model.ledger import NOT_KEPT_CONTENT_TYPE
 from sycamorestand_model.ledger import Outcome
 
 if TYPE_CHECKING:
@@ -281,7 +281,7 @@
             return outcome
         limit = self._context.settings.max_recorded_answer_bytes
         if len(answer.body) > limit:
-            answer = RecordedAnswer(answer.status, NOT_KEPT, b"")
+            answer = RecordedAnswer(answer.status, NOT_KEPT_CONTENT_TYPE, b"")
         return outcome._replace(
             status=answer.status,
             content_type=answer.content_type,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
@@ -23,7 +23,7 @@
 from sycamorestand_entry.errors import RequestKeyExpired
 from sycamorestand_entry.errors import StillRunning
 from sycamorestand_model.ledger import Claim
-from sycamorestand_model.ledger import NOT_KEPT
+from sycamorestand_model.ledger import NOT_KEPT_CONTENT_TYPE
 
 if TYPE_CHECKING:
     from sycamorestand_entry.context import EntryContext
@@ -84,7 +84,7 @@
 
 def _read_result(result: LedgerResult) -> RecordedAnswer:
     if result.state == "exists" and result.claim_state == "done":
-        if result.content_type == NOT_KEPT:
+        if result.content_type == NOT_KEPT_CONTENT_TYPE:
             raise AnswerNotKept("it ran; its answer was too large to keep")
         return RecordedAnswer(
             result.status, result.content_type, result.answer
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -44,10 +44,10 @@
     from collections.abc import Sequence
 
     from sycamorestand_model.backend_servers import Announcement
+    from sycamorestand_model.entry_reports import EntryAddress
+    from sycamorestand_model.entry_reports import VersionSample
     from sycamorestand_model.ledger import LedgerRecord
     from sycamorestand_model.ledger import LedgerResult
-    from sycamorestand_model.nodes import EntryAddress
-    from sycamorestand_model.nodes import VersionSample
     from sycamorestand_peer.key_file import KeySource
     from sycamorestand_peer.messages import Message
     from sycamorestand_peer.tls import TlsIdentity
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
@@ -10,10 +10,10 @@
 from sycamorestand_decisions.version_stats import add_sample
 from sycamorestand_decisions.version_stats import empty_stats
 from sycamorestand_decisions.version_stats import VersionStats
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import RatingCount
 
 if TYPE_CHECKING:
-    from sycamorestand_model.nodes import VersionSample
+    from sycamorestand_model.entry_reports import VersionSample
 
 # An answer rated below this counts as failed; ratings are 0 to 1.
 PASSING_RATING: Final = 0.5
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/gate.py
@@ -19,8 +19,8 @@
 from sycamorestand_entry.errors import RequestError
 from sycamorestand_entry.errors import SessionNotAllowed
 from sycamorestand_entry.errors import SessionWithdrawn
-from sycamorestand_model.declarations import customer_allows
 from sycamorestand_model.declarations import find_version
+from sycamorestand_model.declarations import is_version_allowed
 
 if TYPE_CHECKING:
     from sycamorestand_entry.ports import ControlPort
@@ -121,7 +121,7 @@
                 f"version {intent.target} of this session is withdrawn"
             )
         return NoVersion(f"version {intent.target} is withdrawn")
-    allowed = customer_allows(customer, intent.target)
+    allowed = is_version_allowed(customer, intent.target)
     if allowed and _profile_has(in_force, intent):
         return None
     if intent.in_session:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from sycamorestand_model.nodes import EntryAddress
-from sycamorestand_model.nodes import VersionSample
+from sycamorestand_model.entry_reports import EntryAddress
+from sycamorestand_model.entry_reports import VersionSample
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -25,7 +25,7 @@
 from sycamorestand_entry.upstream import SilentConnection
 from sycamorestand_entry.upstream import UpstreamError
 from sycamorestand_model.declarations import VERSION_SEPARATOR
-from sycamorestand_model.nodes import VersionSample
+from sycamorestand_model.entry_reports import VersionSample
 
 if TYPE_CHECKING:
     from sycamorestand_decisions.selection import Outcome
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -13,7 +13,7 @@
 from sycamorestand_entry.control import link as link_module
 from sycamorestand_entry.control.link import ControlLink
 from sycamorestand_entry.control.link import LinkSettings
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 from sycamorestand_peer.messages import AddressList
 from sycamorestand_peer.messages import LeaseGrantMessage
 from sycamorestand_peer.messages import SessionsStay
--- a/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
+++ b/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
@@ -23,7 +23,7 @@
 from sycamorestand_decisions.attempt_timeouts import AnswerTime
 from sycamorestand_decisions.starting import hold_s
 from sycamorestand_decisions.starting import STARTING_S
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 
 pytestmark = pytest.mark.anyio
 # Less than the route's timeout, more than the answers of a test take.
--- a/packages/sycamorestand-model/src/sycamorestand_model/packing.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/compression.py
@@ -15,7 +15,7 @@
 from sycamorestand_model.errors import WireError
 
 # A byte that no content of msgpack begins with.
-PACKED: Final = b"\xc1"
+COMPRESSED_MARKER: Final = b"\xc1"
 # Below this a frame's own bytes weigh as much as what is saved.
 LEAST_BYTES: Final = 2048
 # Of the ten levels the fastest: it saves nine tenths of declarations, and
@@ -26,25 +26,27 @@
 MAX_BYTES: Final = 32 * 1024 * 1024
 
 
-def pack(content: bytes) -> bytes:
+def compress(content: bytes) -> bytes:
     """Return content made smaller, or as it is where that is shorter.
 
-    >>> unpack(pack(b"route " * 1000)) == b"route " * 1000
+    >>> decompress(compress(b"route " * 1000)) == b"route " * 1000
     True
     """
     if len(content) < LEAST_BYTES:
         return content
-    packed = PACKED + zlib.compress(content, LEVEL)
+    packed = COMPRESSED_MARKER + zlib.compress(content, LEVEL)
     return packed if len(packed) < len(content) else content
 
 
-def unpack(content: bytes) -> bytes:
+def decompress(content: bytes) -> bytes:
     """Return what was packed; raises `WireError` where it cannot be read."""
-    if not content.startswith(PACKED):
+    if not content.startswith(COMPRESSED_MARKER):
         return content
     unpacker = zlib.decompressobj()
     try:
-        whole = unpacker.decompress(content[len(PACKED) :], MAX_BYTES)
+        whole = unpacker.decompress(
+            content[len(COMPRESSED_MARKER) :], MAX_BYTES
+        )
     except zlib.error as error:
         raise WireError(f"content cannot be unpacked: {error}") from error
     if not unpacker.eof:
@@ -52,4 +54,4 @@
     return whole
 
 
-__all__ = ["pack", "unpack"]
+__all__ = ["compress", "decompress"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
@@ -181,7 +181,7 @@
     return None if model is None else model.versions.get(name)
 
 
-def customer_allows(customer: Customer, identity: str) -> bool:
+def is_version_allowed(customer: Customer, identity: str) -> bool:
     """Tell whether the customer's list names this version or its model."""
     model_name = identity.partition(VERSION_SEPARATOR)[0]
     return identity in customer.versions or model_name in customer.versions
@@ -190,7 +190,7 @@
 __all__ = [
     "CascadeStep",
     "Customer",
-    "customer_allows",
+    "is_version_allowed",
     "Declarations",
     "DEFAULT_SHARES",
     "find_version",
--- a/packages/sycamorestand-model/src/sycamorestand_model/ledger.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/ledger.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 # The content type that stands for an answer too large to be kept.
-NOT_KEPT: Final = "application/x-sycamorestand-not-kept"
+NOT_KEPT_CONTENT_TYPE: Final = "application/x-sycamorestand-not-kept"
 
 
 class Claim(NamedTuple):
@@ -98,7 +98,7 @@
     "Dispatch",
     "LedgerRecord",
     "LedgerResult",
-    "NOT_KEPT",
+    "NOT_KEPT_CONTENT_TYPE",
     "Outcome",
     "Pin",
 ]
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -95,7 +95,7 @@
     return True
 
 
-def whole(low: int, high: int) -> Reader:
+def integer(low: int, high: int) -> Reader:
     """Read a whole number within bounds."""
 
     def read(raw: object, place: Place, findings: Findings) -> int | None:
@@ -281,5 +281,5 @@
     "Reader",
     "record",
     "text",
-    "whole",
+    "integer",
 ]
--- a/packages/sycamorestand-model/src/sycamorestand_model/shapes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/shapes.py
@@ -38,6 +38,7 @@
 from sycamorestand_model.readers import choice
 from sycamorestand_model.readers import Field
 from sycamorestand_model.readers import flag
+from sycamorestand_model.readers import integer
 from sycamorestand_model.readers import key_hash
 from sycamorestand_model.readers import name
 from sycamorestand_model.readers import number
@@ -45,7 +46,6 @@
 from sycamorestand_model.readers import Reader
 from sycamorestand_model.readers import record
 from sycamorestand_model.readers import text
-from sycamorestand_model.readers import whole
 from sycamorestand_model.routes import Route
 from sycamorestand_model.shapes_routes import ENGINE
 from sycamorestand_model.shapes_routes import MAX_PATH_CHARACTERS
@@ -132,9 +132,9 @@
 _NAME: Final[Reader] = name(MAX_NAME_CHARACTERS)
 _VERSION_NAME: Final[Reader] = name(MAX_VERSION_CHARACTERS)
 _NAMES: Final[Reader] = array(_NAME, MAX_LIST_ITEMS)
-_MICROS: Final[Reader] = whole(0, MAX_MICROS)
+_MICROS: Final[Reader] = integer(0, MAX_MICROS)
 _WEIGHT: Final[Reader] = number(0.0, MAX_WEIGHT)
-_DEADLINE_MS: Final[Reader] = whole(1, MAX_DEADLINE_MS)
+_DEADLINE_MS: Final[Reader] = integer(1, MAX_DEADLINE_MS)
 _KEY_HASHES: Final[Reader] = array(key_hash, MAX_KEYS)
 
 _VERSION: Final[Reader] = record(
@@ -168,7 +168,7 @@
     {
         "stable": Field(_VERSION_NAME, required=True),
         "versions": Field(_versions, required=True),
-        "pinned_servers": Field(whole(0, MAX_PINNED_SERVERS)),
+        "pinned_servers": Field(integer(0, MAX_PINNED_SERVERS)),
         "fallback": Field(optional(_VERSION_NAME)),
     },
 )
@@ -180,7 +180,7 @@
             array(_STEP, MAX_STEPS, min_items=1, unique=False), required=True
         ),
         "quality_target": Field(number(0.0, 1.0), required=True),
-        "max_added_latency_ms": Field(whole(0, MAX_DEADLINE_MS)),
+        "max_added_latency_ms": Field(integer(0, MAX_DEADLINE_MS)),
         "default_deadline_ms": Field(_DEADLINE_MS),
         "objective": Field(_OBJECTIVE),
     },
@@ -197,7 +197,7 @@
         "services": Field(_NAMES),
         # Fair queueing divides by the weight, so it cannot be zero.
         "weight": Field(number(0.001, MAX_WEIGHT)),
-        "priority": Field(whole(0, 9)),
+        "priority": Field(integer(0, 9)),
     },
 )
 
@@ -210,7 +210,7 @@
         "call_micros": Field(_MICROS),
         "default_deadline_ms": Field(_DEADLINE_MS),
         "health_path": Field(text(MAX_PATH_CHARACTERS)),
-        "max_connections": Field(whole(0, MAX_CONNECTIONS)),
+        "max_connections": Field(integer(0, MAX_CONNECTIONS)),
         "engine": Field(ENGINE),
     },
 )
@@ -226,7 +226,7 @@
         "shares": Field(
             array(number(0.0, 1.0), MAX_SHARES, min_items=1, unique=False)
         ),
-        "min_samples": Field(whole(1, MAX_SAMPLES)),
+        "min_samples": Field(integer(1, MAX_SAMPLES)),
         "min_step_s": Field(number(0.0, MAX_STEP_S)),
         "steps_s": Field(
             array(number(0.0, MAX_STEP_S), MAX_SHARES, unique=False)
--- a/packages/sycamorestand-model/src/sycamorestand_model/shapes_routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/shapes_routes.py
@@ -16,11 +16,11 @@
 from sycamorestand_model.readers import choice
 from sycamorestand_model.readers import Field
 from sycamorestand_model.readers import flag
+from sycamorestand_model.readers import integer
 from sycamorestand_model.readers import name
 from sycamorestand_model.readers import number
 from sycamorestand_model.readers import Reader
 from sycamorestand_model.readers import record
-from sycamorestand_model.readers import whole
 from sycamorestand_model.routes import EngineTraits
 from sycamorestand_model.routes import ModelSize
 from sycamorestand_model.routes import RouteTarget
@@ -61,7 +61,7 @@
     return raw
 
 
-_COUNT: Final[Reader] = whole(0, MAX_COUNT)
+_COUNT: Final[Reader] = integer(0, MAX_COUNT)
 _NAME: Final[Reader] = name(MAX_NAME_CHARACTERS)
 _MS: Final[Reader] = number(0.0, float(MAX_DEADLINE_MS))
 
@@ -69,7 +69,7 @@
     RouteTarget,
     {
         "service": Field(_NAME, required=True),
-        "weight": Field(whole(0, 1_000_000)),
+        "weight": Field(integer(0, 1_000_000)),
     },
 )
 
@@ -84,14 +84,14 @@
 ENGINE: Final[Reader] = record(
     EngineTraits,
     {
-        "slots": Field(whole(1, 100_000), required=True),
+        "slots": Field(integer(1, 100_000), required=True),
         "kv_tokens": Field(_COUNT, required=True),
         "kv_token_bytes": Field(number(0.0, float(MAX_COUNT))),
         "link_mbps": Field(number(0.0, float(MAX_COUNT))),
         "can_move": Field(flag),
         "can_back_up": Field(flag),
-        "event_tokens": Field(whole(1, 100_000)),
-        "max_event_calls": Field(whole(0, 100_000)),
+        "event_tokens": Field(integer(1, 100_000)),
+        "max_event_calls": Field(integer(0, 100_000)),
         "pin_ms": Field(_MS),
         "hold_ms": Field(_MS),
         "handle_s": Field(number(0.0, 3_600.0)),
@@ -104,16 +104,16 @@
     "path_prefix": Field(_prefix, required=True),
     "targets": Field(array(_TARGET, MAX_TARGETS, 1), required=True),
     "kind": Field(choice("idempotent", "once", "stream"), required=True),
-    "timeout_ms": Field(whole(1, MAX_DEADLINE_MS), required=True),
-    "target_latency_ms": Field(whole(0, MAX_DEADLINE_MS)),
-    "priority": Field(whole(0, MAX_PRIORITY)),
-    "max_attempts": Field(whole(1, MAX_ATTEMPTS)),
+    "timeout_ms": Field(integer(1, MAX_DEADLINE_MS), required=True),
+    "target_latency_ms": Field(integer(0, MAX_DEADLINE_MS)),
+    "priority": Field(integer(0, MAX_PRIORITY)),
+    "max_attempts": Field(integer(1, MAX_ATTEMPTS)),
     "public": Field(flag),
     "sticky": Field(flag),
     "resumable": Field(flag),
-    "gap_target_ms": Field(whole(0, MAX_DEADLINE_MS)),
+    "gap_target_ms": Field(integer(0, MAX_DEADLINE_MS)),
     "sizes": Field(array(_NAME, min(MAX_STEPS, MAX_LIST_ITEMS))),
-    "silence_limit_ms": Field(whole(0, MAX_DEADLINE_MS)),
+    "silence_limit_ms": Field(integer(0, MAX_DEADLINE_MS)),
 }
 
 RouteValues = dict[str, Any]
--- a/packages/sycamorestand-model/tests/test_packing.py
+++ b/packages/sycamorestand-model/tests/test_compression.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies
 import pytest
 
+import sycamorestand_model.compression as compression
+from sycamorestand_model.compression import compress
+from sycamorestand_model.compression import COMPRESSED_MARKER
+from sycamorestand_model.compression import decompress
 from sycamorestand_model.errors import WireError
-import sycamorestand_model.packing as packing
-from sycamorestand_model.packing import pack
-from sycamorestand_model.packing import PACKED
-from sycamorestand_model.packing import unpack
 
 ROUTES = b"".join(
     b'{"Name":"r%d","Host":"h","Path":"/%d/","Kind":"once"},' % (n, n)
@@ -21,32 +21,37 @@
 
 class TestPack:
     def test_a_configuration_becomes_a_tenth(self) -> None:
-        assert len(pack(ROUTES)) < len(ROUTES) / 10
-        assert unpack(pack(ROUTES)) == ROUTES
+        assert len(compress(ROUTES)) < len(ROUTES) / 10
+        assert decompress(compress(ROUTES)) == ROUTES
 
     @given(strategies.binary(max_size=5000))
     def test_content_comes_back_as_it_was(self, content: bytes) -> None:
-        if not content.startswith(PACKED):
-            assert unpack(pack(content)) == content
+        if not content.startswith(COMPRESSED_MARKER):
+            assert decompress(compress(content)) == content
 
     def test_small_and_random_content_stays(self) -> None:
         noise = b"." + os.urandom(5000)
-        assert pack(b"small") == b"small"
-        assert pack(noise) == noise
+        assert compress(b"small") == b"small"
+        assert compress(noise) == noise
 
 
 class TestUnpack:
     @pytest.mark.parametrize(
-        "content", [PACKED, PACKED + b"noise", pack(ROUTES)[:-5]]
+        "content",
+        [
+            COMPRESSED_MARKER,
+            COMPRESSED_MARKER + b"noise",
+            compress(ROUTES)[:-5],
+        ],
     )
     def test_what_is_spoilt_is_refused(self, content: bytes) -> None:
         with pytest.raises(WireError):
-            unpack(content)
+            decompress(content)
 
     def test_what_would_fill_the_memory_is_refused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # A few bytes claim to be gigabytes; nothing is made of them.
-        monkeypatch.setattr(packing, "MAX_BYTES", 1000)
+        monkeypatch.setattr(compression, "MAX_BYTES", 1000)
         with pytest.raises(WireError, match="too large"):
-            unpack(PACKED + zlib.compress(bytes(1001)))
+            decompress(COMPRESSED_MARKER + zlib.compress(bytes(1001)))
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from sycamorestand_model.backend_servers import Announcement
-from sycamorestand_model.nodes import EntryAddress
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import EntryAddress
+from sycamorestand_model.entry_reports import RatingCount
 
 
 class Heartbeat(NamedTuple):
--- a/packages/sycamorestand-state/src/sycamorestand_state/claims.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/claims.py
@@ -20,7 +20,7 @@
 from sycamorestand_model.ledger import Claim
 from sycamorestand_model.ledger import Dispatch
 from sycamorestand_model.ledger import LedgerResult
-from sycamorestand_model.ledger import NOT_KEPT
+from sycamorestand_model.ledger import NOT_KEPT_CONTENT_TYPE
 from sycamorestand_model.ledger import Outcome
 from sycamorestand_state.tombstones import Tombstones
 from sycamorestand_state.tombstones import WINDOW_S
@@ -323,7 +323,7 @@
     The marker replaces the content type. With the original type, an entry
     would return an empty body as the complete answer.
     """
-    return record._replace(content_type=NOT_KEPT, answer=b"")
+    return record._replace(content_type=NOT_KEPT_CONTENT_TYPE, answer=b"")
 
 
 def _existing_claim_result(state: str, known: ClaimRecord) -> LedgerResult:
--- a/packages/sycamorestand-state/tests/test_codec.py
+++ b/packages/sycamorestand-state/tests/test_codec.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from sycamorestand_model.packing import PACKED
+from sycamorestand_model.compression import COMPRESSED_MARKER
 from sycamorestand_model.routes import Route
 from sycamorestand_model.routes import RouteTarget
 from sycamorestand_model.routes import SourceDocument
@@ -50,6 +50,6 @@
         assert decode_command(plain) == command
 
     def test_corrupt_bytes_are_refused(self) -> None:
-        for data in (PACKED, encode_command(large())[:-9]):
+        for data in (COMPRESSED_MARKER, encode_command(large())[:-9]):
             with pytest.raises(MalformedCommand):
                 decode_command(data)
--- a/packages/sycamorestand-state/tests/test_ledger.py
+++ b/packages/sycamorestand-state/tests/test_ledger.py
@@ -23,7 +23,7 @@
 from sycamorestand_state.claims import ClaimLimits
 from sycamorestand_state.claims import DISPATCHED_AGE_S
 from sycamorestand_state.claims import MAX_DELAY_S
-from sycamorestand_state.claims import NOT_KEPT
+from sycamorestand_state.claims import NOT_KEPT_CONTENT_TYPE
 from sycamorestand_state.claims import TAKEOVER_AGE_S
 from sycamorestand_state.errors import SnapshotUnreadable
 from sycamorestand_state.errors import UnknownCommand
@@ -240,11 +240,13 @@
         assert small.machine.fill().answers_bytes == 7
         retry = small.claim("k0", owner="b")
         assert (retry.claim_state, retry.answer) == ("done", b"")
-        assert retry.content_type == NOT_KEPT
+        assert retry.content_type == NOT_KEPT_CONTENT_TYPE
         small.claim("k2")
         small.dispatch("k2")
         small.outcome("done", answer=b"123456789", key="k2")
-        assert small.claim("k2", owner="b").content_type == NOT_KEPT
+        assert (
+            small.claim("k2", owner="b").content_type == NOT_KEPT_CONTENT_TYPE
+        )
 
     def test_one_wrong_clock_expires_no_keys(self, shard: Shard) -> None:
         """Guards against keys that expire early and run twice.
--- a/packages/sycamorestand/src/sycamorestand/entry_process.py
+++ b/packages/sycamorestand/src/sycamorestand/entry_process.py
@@ -11,7 +11,7 @@
 from sycamorestand_entry.control.link import LinkSettings
 from sycamorestand_entry.server import serve_entry
 from sycamorestand_entry.settings import EntrySettings
-from sycamorestand_model.nodes import EntryAddress
+from sycamorestand_model.entry_reports import EntryAddress
 
 if TYPE_CHECKING:
     from sycamorestand_entry.server import RunningEntry
