--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/__init__.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/__init__.py
@@ -1,1 +1,1 @@
-"""The way from an entry to its control process."""
+"""Connection of an entry to its control process."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
@@ -1,9 +1,9 @@
-"""When an entry leaves its control process for another one.
+"""Decide when an entry moves from its control process to another one.
 
-The load pattern is all entries of a process that is lost or cut off, at the
-same moment. Who leaves late refuses its callers when its lease runs out; who
-leaves early, while there is no leader anywhere, goes round all processes and
-keeps them from electing one.
+When a control process is lost or cut off, all entries attached to it must
+move at the same moment. An entry that moves too late lets its lease expire
+and refuses its callers. Entries that move too early, while there is no leader
+at all, poll all control processes in turn and slow down their election.
 """
 
 from __future__ import annotations
@@ -17,19 +17,26 @@
 if TYPE_CHECKING:
     from sycamorestand_peer.messages import LeaseDenied
 
-# Three renewals without a grant: one may be lost, and a control process
-# may be busy, but after this the lease of 2 s needs another granter now.
+# Three renewals without a grant. One request may be lost and the control
+# process may be busy, but after this time the lease of 2 s can only be kept
+# if another control process grants the renewal.
 MOVE_AFTER_S: Final = 1.2
-# One that has no quorum says so; another one may have. Without a pause all
-# entries would go round all control processes while there is no leader.
+# Shortest time between two moves after denials. A control process without a
+# quorum says so, and another one may have it; without a pause all entries
+# would poll all control processes in turn while there is no leader.
 MOVE_DENIED_S: Final = 0.4
-# One that denies because we are behind is well and sends the revision that
-# is missing; it is left only if that takes longer than this.
+# A control process that denies a lease because this entry's configuration is
+# behind is healthy and sends the missing revision. The entry moves only if
+# that takes longer than this.
 BEHIND_GRACE_S: Final = 0.4
 
 
 class Attachment:
-    """The control process that an entry asks, and how it has answered."""
+    """Track the control process that an entry uses and its answers.
+
+    ``addresses`` are the known control processes, the nearest first. Times
+    are seconds of one monotonic clock.
+    """
 
     def __init__(self, addresses: tuple[str, ...], now_s: float) -> None:
         self._choice = ControlChoice(addresses)
@@ -40,32 +47,39 @@
 
     @property
     def address(self) -> str:
-        """Return the control process that the entry is attached to."""
+        """Return the address of the control process in use."""
         return self._choice.address
 
     def is_silent(self, now_s: float) -> bool:
-        """Tell whether it is to be asked by another way as well."""
+        """Return whether requests shall also go through another entry.
+
+        That is so if no lease was granted for `DIRECT_SILENCE_S`.
+        """
         return now_s - self._answered_s > DIRECT_SILENCE_S
 
     def is_time_to_move(self, now_s: float) -> bool:
-        """Tell whether another control process is to be asked instead."""
+        """Return whether the entry shall move to another control process."""
         if self._without_quorum and now_s - self._moved_s > MOVE_DENIED_S:
             return True
         return now_s - self._granted_s > MOVE_AFTER_S
 
     def move(self, now_s: float) -> None:
-        """Attach to the next one."""
+        """Attach to the next control process."""
         self._choice.move_on()
         self._begin(now_s)
         self._moved_s = now_s
 
     def granted(self, now_s: float) -> None:
-        """Note that a lease was granted."""
+        """Record that a lease was granted."""
         self._begin(now_s)
         self._answered_s = now_s
 
     def denied(self, sender: str, message: LeaseDenied, now_s: float) -> None:
-        """Note that no lease was granted, and who else may grant one."""
+        """Record a denied lease and the control processes that it names.
+
+        A denial by a control process that the entry has left does not make
+        it move again.
+        """
         self._choice.add(message.controls)
         if sender != self.address:
             return
@@ -76,7 +90,7 @@
             self._granted_s = max(self._granted_s, keeps_s)
 
     def learn(self, voters: tuple[str, ...], now_s: float) -> bool:
-        """Go by the voters of now; return whether the entry moves."""
+        """Replace the list of voters; return whether the entry moves."""
         moves = self._choice.learn(voters)
         if moves:
             self._begin(now_s)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
@@ -1,4 +1,4 @@
-"""Which control process an entry is attached to, and who else there is."""
+"""The control process that an entry is attached to, and its alternatives."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class ControlChoice:
-    """The addresses of control processes, the nearest first, and one of them.
+    """Select one address of a list of control processes, the nearest first.
 
-    ``start`` is what the entry was started with; it is never forgotten.
+    ``start`` are the addresses in the entry's settings; they always stay in
+    the list.
     """
 
     def __init__(self, start: tuple[str, ...]) -> None:
@@ -19,25 +20,26 @@
 
     @property
     def address(self) -> str:
-        """Return the control process that the entry is attached to."""
+        """Return the address of the selected control process."""
         return self._addresses[self._current]
 
     def move_on(self) -> None:
-        """Attach to the next one; this one is silent."""
+        """Select the next address, as the current one does not answer."""
         self._current = (self._current + 1) % len(self._addresses)
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Note addresses that may serve as well, behind the known ones."""
+        """Append addresses of other control processes to the known ones."""
         known = (*self._addresses, *addresses)
         self._addresses = list(dict.fromkeys(known))
 
     def learn(self, voters: tuple[str, ...]) -> bool:
-        """Go by the voters of now; return whether the entry moves.
+        """Replace the voters; return whether the selection changed.
 
-        The addresses of the start stay behind them: should all voters be
-        lost that are known, one of those may be there again. A list of the
-        same voters moves nothing, in whatever order: an entry that left the
-        nearest one for its silence would go back to it, and again.
+        The addresses from the settings follow the voters in the list: if
+        all known voters are lost, one of those may run again. A list of the
+        same voters in any order changes nothing. Otherwise an entry that
+        left the nearest voter because it was silent would return to it with
+        each list.
         """
         if not voters or frozenset(voters) == self._voters:
             return False
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/ledger_client.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/ledger_client.py
@@ -1,4 +1,4 @@
-"""Records of many requests gathered into few batches for the ledger."""
+"""Client that batches ledger records of many requests."""
 
 from __future__ import annotations
 
@@ -27,22 +27,23 @@
     from sycamorestand_model.ledger import LedgerRecord
     from sycamorestand_peer.mesh import PeerMesh
 
-# Batches of a shard leave at least this far apart. A batch and its answer
-# cost the entry about 0.9 ms of processor time whatever is in it, so some
-# seventeen a second are what is left of 2.5% of a core at the target size.
-# A record after a pause leaves at once: only a busy entry waits, and then for
-# half of this on average.
+# Shortest time between two batches of a shard. A batch and its answer cost
+# the entry about 0.9 ms of CPU time whatever their size, and the ledger may
+# use 2.5% of a core at the target size, which leaves some seventeen batches a
+# second. A record after a pause is sent at once; only on a busy entry do
+# records wait, half of this time on average.
 SPACING_S: Final = 0.06
 ATTEMPT_TIMEOUT_S: Final = 1.5
-# Two attempts outlive a leader change; a request that waits longer is
-# better answered with what is known.
+# Two attempts last longer than a leader change. A request that waits longer
+# is answered without the ledger's result.
 TOTAL_TIMEOUT_S: Final = 4.0
 MAX_BATCH_RECORDS: Final = 512
-# Recorded answers make records large. A command above the log's bound is
-# refused however often it is sent, and all that were gathered with it.
+# Recorded answers make records large. The log refuses a command above its
+# size limit at every attempt, and with it all records of the batch.
 MAX_BATCH_BYTES: Final = 256 * 1024
+# Estimated size of a record without its recorded answer.
 RECORD_BYTES: Final = 256
-# A ledger that answers slowly must not gather an unbounded queue here.
+# Bounds the queue while the ledger answers slowly.
 MAX_WAITING_RECORDS: Final = 20_000
 
 
@@ -53,11 +54,11 @@
 
 
 class LedgerClient:
-    """Sends records to the ledger's shards through the control process.
+    """Send records to the ledger's shards through the control process.
 
-    A batch whose answer is lost is sent again: every record is safe to
-    repeat, as claims, dispatches and outcomes carry their attempt's owner
-    and a charge or a pin is made once a key.
+    A batch without an answer is sent again. All records are idempotent:
+    claims, dispatches and outcomes carry the owner of their attempt, and
+    the ledger applies a charge or a pin once per key.
     """
 
     def __init__(
@@ -78,9 +79,11 @@
     async def submit(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
-        """Return the results once the records are durable.
+        """Return the results of the records once they are durable.
 
-        Raises `LedgerUnavailable` where that could not be established.
+        Raises `LedgerUnavailable` if the queue is full or the ledger does
+        not confirm all records within `TOTAL_TIMEOUT_S`. The records may
+        have been applied in the latter case.
         """
         queued = sum(len(items) for items in self._waiting.values())
         if queued + len(records) > MAX_WAITING_RECORDS:
@@ -94,7 +97,7 @@
         return [item.outcome[0] for item in items]
 
     async def run(self) -> None:
-        """Send what was gathered, until cancelled."""
+        """Send queued records in batches until cancelled."""
         sent_s = float("-inf")
         async with anyio.create_task_group() as tasks:
             while True:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -1,4 +1,4 @@
-"""An entry's view of its control process, kept over the network."""
+"""Link of an entry to its control process over the network."""
 
 from __future__ import annotations
 
@@ -53,26 +53,27 @@
     from sycamorestand_peer.tls import TlsIdentity
 
 LOG: Final = logging.getLogger(__name__)
-# Without a lease every call is refused, so it is asked for more often; not
-# so often that all entries at once hold up the election that they wait for.
+# Interval of lease requests while the entry has no lease and refuses every
+# call. It is shorter than the renewal interval, but long enough that the
+# requests of all entries do not delay the election that they wait for.
 ASK_INTERVAL_S: Final = 0.1
 REPORT_INTERVAL_S: Final = 2.0
-# While a roll-out runs: what a bad version does between two reports is
-# exposure that nobody judges.
+# Interval while a roll-out runs. A bad version keeps its share of requests
+# until a report shows its failures.
 ROLLOUT_REPORT_INTERVAL_S: Final = 0.4
 EXPIRE_INTERVAL_S: Final = 0.2
-# Control processes that are replaced again and again must not add up.
+# Bounds the address lists kept for control processes that were replaced.
 MAX_CONTROLS: Final = 32
 LOADS: Final = "loads"
 M = TypeVar("M")
 
 
 class LinkSettings(NamedTuple):
-    """What an entry needs to find its control process.
+    """Settings of an entry's link to its control process.
 
-    ``control_addresses`` has the nearest first; the first one that
-    answers is kept. ``cluster_keys`` are fixed ones, or a source that
-    returns those that are valid now.
+    ``control_addresses`` lists the nearest first; the entry stays with the
+    first one that answers. ``cluster_keys`` are fixed keys, or a source that
+    returns the keys that are valid now.
     """
 
     vm: str
@@ -85,10 +86,10 @@
 
 
 class ControlLink:
-    """Holds the lease, the configuration, the directory and the addresses.
+    """Hold the lease, the configuration, the directory and the addresses.
 
-    It is the entry's `ControlPort`. ``address`` returns where callers
-    reach this entry, with its load.
+    The link is the entry's `ControlPort`. ``address`` returns the address
+    at which callers reach this entry, with its load.
     """
 
     def __init__(
@@ -133,7 +134,11 @@
         return self._in_force
 
     def lease_remaining_s(self) -> float:
-        """Return how long new work may be accepted; reads the clock."""
+        """Return the seconds for which the entry may accept new work.
+
+        The value is zero or less without a lease; it is computed from the
+        clock at each call.
+        """
         return self._lease.remaining_s(boottime_s())
 
     def backend_servers(self) -> Mapping[str, Announcement]:
@@ -141,10 +146,10 @@
         return self._servers.servers()
 
     def addresses(self) -> tuple[EntryAddress, ...]:
-        """Return what callers may use, ranked for this data centre.
+        """Return the entries for callers, ranked for this data centre.
 
-        After a move that is what the next control process told before it:
-        it tells a list again only once that has changed.
+        After a move to another control process, that is the list which this
+        process sent before the move: it sends a list only after a change.
         """
         told = self._told_addresses.get(self.control_address())
         if told is not None:
@@ -152,11 +157,11 @@
         return self._addresses
 
     def entry_count(self) -> int:
-        """Return how many entries there are, 0 before the first lease."""
+        """Return the number of entries, 0 before the first lease."""
         return self._entries
 
     def report(self, sample: VersionSample) -> None:
-        """Count what an attempt on a version showed."""
+        """Count the result of an attempt at a version."""
         self._samples.add(sample, time.time())
 
     def tell(self, message: Message) -> None:
@@ -164,24 +169,30 @@
         self.mesh.send(self.control_address(), message)
 
     def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
-        """Call ``listener`` with each message of a kind that comes."""
+        """Call ``listener`` with each received message of the type ``kind``.
+
+        Only one listener is kept for a type.
+        """
         self._listeners[kind] = listener
 
     def set_stopping(self) -> None:
-        """Leave the address answers, beginning with the next renewal."""
+        """Take this entry out of the addresses that callers get.
+
+        The next lease request, sent at once, reports that it is stopping.
+        """
         self._stopping = True
         self._kicked.set()
 
     def control_address(self) -> str:
-        """Return the control process that this entry is attached to."""
+        """Return the address of the control process in use."""
         return self._attachment.address
 
     async def announce(self, announcement: Announcement) -> None:
-        """Pass a backend server's announcement on.
+        """Forward a backend server's announcement to the control process.
 
-        The entry's own directory takes it at once: a server that leaves
-        gets no more work from here, whatever the way through control
-        takes.
+        The entry applies it to its own directory at once, so that it sends
+        no more work to a leaving server, however long the update through
+        control takes.
         """
         self._servers.announce(announcement, boottime_s())
         message = AnnouncementRelay(announcement)
@@ -196,7 +207,10 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Keep the link until cancelled; started with the first lease."""
+        """Maintain the link until cancelled.
+
+        ``task_status`` reports the start after the first granted lease.
+        """
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.mesh.run)
             tasks.start_soon(self._renew)
@@ -220,10 +234,10 @@
                 await self._kicked.wait()
 
     def _ask(self, now_s: float) -> None:
-        """Ask for a lease; without answers, through another entry too.
+        """Request a lease; without answers, also through another entry.
 
-        The direct way is tried all the same, so that it is used again as
-        soon as it works.
+        The direct request is still sent, so that the direct connection is
+        used again as soon as it works.
         """
         control = self.control_address()
         request = self._request(now_s)
@@ -235,7 +249,7 @@
             self.mesh.send_through(relay, control, request)
 
     def _next_relay(self) -> str:
-        """Return an entry to ask through; another one each time."""
+        """Return the peer address of another entry, in turn, or ``""``."""
         own = self.mesh.address
         peers = [a.peer_address for a in self.addresses()]
         others = [peer for peer in peers if peer not in ("", own)]
@@ -244,10 +258,11 @@
         return others[self._requests % len(others)]
 
     def _log_lease_change(self) -> None:
-        """Log when the lease is lost or held again, and from whom.
+        """Log when the lease is lost or held again, with the control process.
 
-        Without control at all the entry moves on each second. Those moves
-        are not logged, as they would fill the disk during an outage.
+        While no control process answers, the entry moves to the next one
+        each second. These moves are not logged, as they would fill the disk
+        during an outage.
         """
         held = self.lease_remaining_s() > 0
         if held == self._was_held:
@@ -267,7 +282,7 @@
         )
 
     def _move(self, now_s: float) -> None:
-        """Attach to the next control process; this one grants nothing."""
+        """Attach to the next control process, as this one grants no lease."""
         self._attachment.move(now_s)
         self.moves += 1
         if self.lease_remaining_s() > 0:
@@ -318,18 +333,18 @@
 
     def _take_configuration(self, push: ConfigurationPush) -> None:
         if push.revision <= self._in_force.revision:
-            # A control process that lags, or a frame from before a move:
-            # a configuration never reverts.
+            # The control process lags, or the frame was sent before a move.
+            # The entry never goes back to an older configuration.
             return
         self._in_force = unpack_configuration(push)
         self._kicked.set()
 
     def _take_addresses(self, sender: str, message: AddressList) -> None:
-        """Keep each control process's list; that of the one in use counts.
+        """Store the address list of each control process separately.
 
-        One that was left for its silence may be cut off: it forgets every
-        entry and tells an empty list for some seconds more, and callers who
-        ask here would be sent nowhere.
+        Only the list of the process in use is returned to callers. A control
+        process that the entry left may be cut off: it loses all entries and
+        still sends an empty list for some seconds.
         """
         if len(self._told_addresses) >= MAX_CONTROLS:
             self._told_addresses.clear()
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
@@ -1,4 +1,4 @@
-"""Samples of versions added up between two reports."""
+"""Statistics of version samples, collected between two reports."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 if TYPE_CHECKING:
     from sycamorestand_model.nodes import VersionSample
 
-# An answer rated below this counts as failed; ratings are 0 to 1.
+# An answer rated below this counts as failed; ratings range from 0 to 1.
 PASSING_RATING: Final = 0.5
-# A flood of made-up request classes must not grow the report beyond what
-# control may cost; what is over it is left out of the counts.
+# Bounds the size of a report, and so the load on control, if callers invent
+# request classes. Samples of a version are not counted beyond this number
+# of classes.
 MAX_CLASSES: Final = 16
 MAX_RATINGS: Final = 256
 
 
 class SampleCounts:
-    """Adds samples up, so that a report's size does not follow the load."""
+    """Aggregate samples, so that a report's size is independent of load."""
 
     def __init__(self) -> None:
         self._stats: dict[str, VersionStats] = {}
         self._ratings: dict[tuple[str, str, bool], tuple[int, int]] = {}
 
     def add(self, sample: VersionSample, now_s: float) -> None:
-        """Count one attempt on a version; ``now_s`` is wall-clock time."""
+        """Count one attempt at a version; ``now_s`` is wall-clock time."""
         self._add_rating(sample)
         stats = self._stats.setdefault(sample.version, empty_stats())
         if len(stats.strata) >= MAX_CLASSES:
@@ -49,7 +50,7 @@
         )
 
     def take_ratings(self) -> tuple[RatingCount, ...]:
-        """Return the ratings for other entries and start over."""
+        """Return the counts of ratings for other entries and reset them."""
         counts = tuple(
             RatingCount(*key, *row) for key, row in self._ratings.items()
         )
@@ -67,7 +68,7 @@
         self._ratings[key] = (passed, rated + 1)
 
     def take(self) -> tuple[StatsRow, ...]:
-        """Return all rows and start over."""
+        """Return the rows of all versions and reset them."""
         rows = to_rows(self._stats)
         self._stats = {}
         return rows
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/server_view.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/server_view.py
@@ -1,4 +1,4 @@
-"""The backend servers as an entry sees them, with their loads."""
+"""An entry's view of the backend servers with their loads."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 class ServerView:
-    """Follows the directory of one control process at a time.
+    """Replicate the directory of the control process in use.
 
-    Requests read the servers thousands of times a second and they change
-    a few times a second, so the view with loads is made at a change.
+    Requests read the servers thousands of times a second, while the servers
+    change a few times a second. So the view with the loads is rebuilt at
+    each change and not at each read.
     """
 
     def __init__(self, name: str, epoch: int) -> None:
@@ -27,20 +28,20 @@
         self._view: dict[str, Announcement] = {}
 
     def servers(self) -> dict[str, Announcement]:
-        """Return the servers by name; not to be changed by the reader."""
+        """Return the servers by name; callers must not modify the dict."""
         return self._view
 
     def announce(self, announcement: Announcement, now_s: float) -> None:
-        """Take an announcement that came to this entry itself."""
+        """Apply an announcement that a server sent to this entry."""
         self._directory.announce(announcement, now_s)
         self._refresh(now_s)
 
     def follow(self, origin: str, payload: bytes, now_s: float) -> bool:
-        """Take a delta; False asks for everything from its origin.
+        """Apply a delta; return False if a full resync is needed.
 
-        After a move the former origin's records go as soon as the new
-        one has told all of its own, so that the entry is never without
-        servers in between.
+        After the entry moved to another control process, the records of the
+        former origin are dropped once the first delta of the new one is
+        applied. Until then the entry keeps using the known servers.
         """
         delta = msgspec.msgpack.decode(payload, type=DirectoryDelta)
         outcome = self._directory.apply_delta(delta, now_s)
@@ -54,13 +55,13 @@
         return True
 
     def take_loads(self, payload: bytes, now_s: float) -> None:
-        """Take the loads of the servers that this entry uses."""
+        """Apply an update of the loads of the servers."""
         update = msgspec.msgpack.decode(payload, type=LoadUpdate)
         self._directory.apply_loads(update, now_s)
         self._refresh(now_s)
 
     def expire(self, now_s: float) -> tuple[str, ...]:
-        """Drop what has run out and return the servers that are gone."""
+        """Drop expired servers and return their names."""
         gone = self._directory.expire(now_s)
         if gone:
             self._refresh(now_s)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
@@ -1,4 +1,4 @@
-"""One routed request as it was read, and what follows from it."""
+"""A routed request as the entry read it, with its deadline and headers."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class RoutedCall(NamedTuple):
-    """A whole request of a caller under one route.
+    """A complete request of a caller to one route.
 
     ``target`` is path and query as they were sent. ``deadline_at_s`` is on
-    the monotonic clock: the earlier of what the caller said and the
-    route's timeout. ``headers`` are those that are passed on. ``log``
-    takes what is decided about it. ``ends_at_s`` returns when the process
-    ends, which may become known while the call runs.
+    the monotonic clock: the earlier of the caller's deadline and the
+    route's timeout. ``headers`` are those that are forwarded. ``log``
+    collects the decisions about the call. ``ends_at_s`` returns when the
+    process ends; a planned stop may begin while the call runs.
     """
 
     route: Route
@@ -51,23 +51,24 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         route = self.route
         return route.kind == "idempotent" or (
             route.kind == "stream" and route.resumable
         )
 
     def remaining_s(self) -> float:
-        """Return what is left of the caller's and the route's time.
+        """Return the seconds until the call's deadline or the process's end.
 
-        Or of the process's: an answer that would come after its planned
-        stop is cut, and the caller is not told what had run.
+        The end of the process counts, since a planned stop cuts an answer
+        that is not complete by then, and the caller would not learn whether
+        its request had run.
         """
         until_s = min(self.deadline_at_s, self.ends_at_s())
         return until_s - time.monotonic()
 
     def why_over(self) -> str:
-        """Return what used up the time, empty while some is left."""
+        """Return why the call's time is over, empty while some is left."""
         if self.remaining_s() > 0:
             return ""
         if self.ends_at_s() < self.deadline_at_s:
@@ -78,7 +79,10 @@
 def read_deadline_s(
     values: dict[bytes, bytes], wire: HeaderNames, route: Route, read_s: float
 ) -> float:
-    """Return until when the caller waits, on the monotonic clock."""
+    """Return the call's deadline on the monotonic clock.
+
+    Raises `BadRequest` if the caller's deadline is not a number.
+    """
     limit_ms = route.timeout_ms
     value = values.get(wire.deadline_ms)
     if value is not None:
@@ -89,12 +93,13 @@
 
 
 def passed_headers(raw: RawHeaders, wire: HeaderNames) -> RawHeaders:
-    """Return the headers that a server gets as the caller sent them.
+    """Return the caller's headers that the entry forwards to a server.
 
-    Without the key: a server, or whoever reads its logs, could call with
-    it. Without what only the system may set: a caller could name itself
-    another customer. What the request means stays even if ``Connection``
-    names it: without its attempt or model it would be another request.
+    The API key is left out, as a server, or a reader of its logs, could
+    call with it. So are the headers that only the system may set, as a
+    caller could pose as another customer. Headers that define the request
+    are kept even if ``Connection`` lists them: without its attempt or model
+    it would be another request.
     """
     dropped = named_by_connection(raw) - _lasting(wire)
     return [
@@ -107,10 +112,10 @@
 
 
 def read_values(raw: RawHeaders, wire: HeaderNames) -> dict[bytes, bytes]:
-    """Return the headers by name, refusing contradictions.
+    """Return the headers by name.
 
-    Two values for what decides about a request would let the entry judge
-    by the one and the server by the other.
+    Raises `BadRequest` if a header that defines the request came with two
+    values: the entry could act on one of them and the server on the other.
     """
     values: dict[bytes, bytes] = {}
     single = _lasting(wire) | {b"authorization"}
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
@@ -1,10 +1,10 @@
-"""What was decided about one request, in the order of the decisions.
+"""Log of the routing decisions of one request, in their order.
 
-An engineer who has a request's id and the logs can tell from these lines
-why it was refused, late or cut. Each decision carries the inputs that it
-was made on and their age. A request that went well costs one line, with
-its decisions in short; any other has a line for each decision as well.
-Lines are written when the request ends, so nothing waits for them.
+With a request's id and the log an engineer can tell why the request was
+refused, late or cut off. Each decision carries its inputs and their age.
+A successful request writes one line with a summary of its decisions; any
+other request also writes a line for each decision. The lines are written
+when the request ends, so that logging delays no attempt.
 """
 
 from __future__ import annotations
@@ -20,35 +20,40 @@
     from sycamorestand_model.routes import Route
 
 LOG: Final = logging.getLogger(__name__)
-# Attempts are few; a fault that makes a request decide without end must not
-# fill the memory. The first ones tell the cause.
+# A request makes few attempts. The bound limits memory if a fault makes it
+# decide endlessly; the first decisions are kept, as they show the cause.
 MAX_DECISIONS: Final = 32
 MS: Final = 1000
 PLACE_DIGITS: Final = 6
-# A server's own failure is passed on as it is; the caller has no answer.
+# The entry forwards a server's 5xx answer unchanged, but logs the request
+# as failed, since the caller got no usable answer.
 FAILED_STATUS: Final = 500
 
 
 class Held(NamedTuple):
-    """The request waited for an entry that was starting."""
+    """The request waited while the entry was starting.
+
+    ``missing`` is ``lease`` or ``server``.
+    """
 
     missing: str
     waited_ms: int
 
 
 class Admitted(NamedTuple):
-    """Admission gave it a slot of this service or version."""
+    """Admission control gave the request a slot of a service or version."""
 
     target: str
     waited_ms: int
 
 
 class Sent(NamedTuple):
-    """It was written to a server.
+    """The request was written to a server.
 
-    ``own_running`` are this entry's requests there, ``reported`` those of
-    all entries as the server told them ``report_age_ms`` ago; ``rank`` is
-    its place in the order in which an engine reads.
+    ``own_running`` counts the requests of this entry that run on the
+    server, ``reported`` those of all entries as the server reported them
+    ``report_age_ms`` ago. ``rank`` is the request's scheduling rank at the
+    engine, 0 first.
     """
 
     target: str
@@ -63,22 +68,23 @@
 
 
 class NotReached(NamedTuple):
-    """No connection to a server could be made."""
+    """A connection to the server could not be opened."""
 
     server: str
 
 
 class NotRepeated(NamedTuple):
-    """No other server is asked."""
+    """The request is not retried at another server."""
 
     reason: str
 
 
 class NotImproved(NamedTuple):
-    """A larger model, or a server that is sooner, is not asked.
+    """The request is not sent to a larger model or a faster server.
 
-    ``wish`` is ``climb`` or ``move``; ``bound`` is what is in its way, such
-    as ``arrivals_kept``: what is left is for requests without an answer.
+    ``wish`` is ``climb`` for a larger model or ``move`` for another server.
+    ``bound`` is the limit that forbids it, such as ``arrivals_kept``: the
+    rest of the arrival budget is reserved for requests without an answer.
     """
 
     wish: str
@@ -86,11 +92,12 @@
 
 
 class ArrivalDenied(NamedTuple):
-    """No other server is asked: the entry's share of arrivals is spent.
+    """The entry's share of the arrival budget does not allow a retry.
 
-    ``entries`` is how many entries it took itself to be one of, ``first``
-    how many requests it sent to the service in the window; it has ``left``
-    a part of an arrival, of ``most`` that it may keep.
+    ``entries`` is the number of entries that the share was computed for,
+    ``first`` the number of requests first sent to the service within the
+    window. ``left`` is the remaining budget, in arrivals, and ``most`` the
+    largest budget that the entry may hold.
     """
 
     service: str
@@ -101,7 +108,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt is over; ``reason`` is empty where the answer is used."""
+    """An attempt ended; ``reason`` is empty if its answer was used."""
 
     server: str
     outcome: str
@@ -111,9 +118,10 @@
 
 
 class Climbed(NamedTuple):
-    """The answer was dropped for a larger model's.
+    """The answer was dropped and a larger model is asked.
 
-    ``strain`` is the wait at the servers as a share of the route's aim.
+    ``strain`` is the queue delay at the servers as a fraction of the
+    route's target latency.
     """
 
     model: str
@@ -122,9 +130,9 @@
 
 
 class FellBack(NamedTuple):
-    """Another server is asked for whatever can be had soonest.
+    """The request falls back to the model and server that answer soonest.
 
-    The caller had seen nothing for ``silent_ms``.
+    The caller had received nothing for ``silent_ms``.
     """
 
     server: str
@@ -132,10 +140,10 @@
 
 
 class MovedOn(NamedTuple):
-    """A server that kept the request waiting was left for another.
+    """The attempt at a slow server was abandoned for another server.
 
-    ``overtaken``: it had answered later requests. ``working``: it was
-    answering others in their turn.
+    ``overtaken`` is true if the server had answered requests that were
+    sent later, ``working`` if it was answering requests in their order.
     """
 
     server: str
@@ -160,10 +168,10 @@
 
 
 class DecisionLog:
-    """The decisions about one request; `ended` writes them.
+    """Collect the decisions about one request; `write` logs them.
 
-    ``place`` is what its version is chosen by, the same for all requests
-    of a session.
+    ``place`` is the hash, from 0 to 1, that selects the request's version;
+    it is the same for all requests of a session.
     """
 
     def __init__(self) -> None:
@@ -182,25 +190,28 @@
         self._decisions: list[tuple[int, Decision]] = []
 
     def add(self, decision: Decision) -> None:
-        """Note a decision with the time since the request was read."""
+        """Record a decision with the time since the request came in."""
         if len(self._decisions) < MAX_DECISIONS:
             self._decisions.append((self.elapsed_ms(), decision))
 
     def elapsed_ms(self) -> int:
-        """Return the time since the request was read."""
+        """Return the milliseconds since the request came in."""
         return int((time.monotonic() - self._begun_s) * MS)
 
     def silent_ms(self) -> int:
-        """Return for how long the caller has seen nothing new."""
+        """Return the milliseconds since the caller last received events.
+
+        Before the first events, count from the time the request came in.
+        """
         return self.elapsed_ms() - max(0, self._passed_on_ms)
 
     def answer_began(self) -> None:
-        """Note that the caller gets the first part of its answer."""
+        """Record that the caller gets the first part of its answer."""
         if self.first_byte_ms < 0:
             self.first_byte_ms = self.elapsed_ms()
 
     def events_passed_on(self) -> None:
-        """Note that whole events of a stream went to the caller."""
+        """Record that whole events of a stream went to the caller."""
         now_ms = self.elapsed_ms()
         if self._passed_on_ms >= 0:
             pause_ms = now_ms - self._passed_on_ms
@@ -208,11 +219,11 @@
         self._passed_on_ms = now_ms
 
     def is_late(self) -> bool:
-        """Tell whether the answer began, or paused, beyond its targets.
+        """Return whether the answer missed a latency target of its route.
 
-        A stream that pauses for long, as when its server is lost and
-        another goes on with it, is as late for its caller as one that
-        begins late.
+        The targets bound the time to the first byte and the longest pause
+        between events. A long pause, such as when another server resumes
+        the stream of a lost one, delays the caller as a late start does.
         """
         route = self.route
         if route is None or self.first_byte_ms < 0:
@@ -222,9 +233,10 @@
         return 0 < route.gap_target_ms < self.longest_pause_ms
 
     def ended(self, result: str, status: int, detail: dict[str, Any]) -> None:
-        """Write the request's line, and more where it went wrong.
+        """Log the request, with its decisions if it failed or was late.
 
-        ``result`` is ``ok``, or the code of what went wrong.
+        ``result`` is ``ok`` or the code of the error. ``detail`` adds
+        fields to the request's line.
         """
         well = result == "ok" and status < FAILED_STATUS
         well = well and not self.is_late()
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/event_order.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/event_order.py
@@ -1,4 +1,4 @@
-"""The order of a stream's events, over all the runs that made them."""
+"""Order of a stream's events across the servers that produced them."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 
 class EventOrder:
-    """Knows the last event that the caller has.
+    """Check that a resumed stream continues without gaps or repeats.
 
-    A run that goes on behind it must go on with the next one. Without the
-    check a server that begins anew, or skips what it believes to have
-    sent, would give the caller pieces twice or leave some out, and the
-    stream would look whole.
+    ``last`` is the id of the last event that the caller has. A server that
+    resumes the stream must continue with the next id. Without this check a
+    server that restarts the answer, or skips events that it believes to
+    have sent, would repeat or omit parts of a stream that looks complete.
     """
 
     def __init__(self, last: bytes) -> None:
         self.last = last
 
     def take(self, events: bytes) -> int:
-        """Take whole events and return how many carry an id.
+        """Accept whole events and return how many of them have an id.
 
-        Raises `MalformedAnswer` where they are out of order.
+        Raises `MalformedAnswer` if a numeric id does not follow the one
+        before it.
         """
         last = self.last
         ids = _EVENT_ID.findall(events)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/header_names.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/header_names.py
@@ -1,7 +1,7 @@
-"""How routed requests speak on the wire: the names of headers.
+"""Names of the headers that routed requests and their answers carry.
 
-The data path knows what a header means, not what an installation calls it.
-An installation that has its own names passes another `HeaderNames`.
+The data path refers to headers by their meaning. An installation that uses
+names of its own passes another `HeaderNames`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 class HeaderNames(NamedTuple):
     """Names of headers, all in lower case.
 
-    ``attempt`` names a caller's attempt and is echoed by servers;
-    ``deadline_ms`` is what the caller still waits; ``server`` names the
-    backend server that is meant, ``customer`` whose request it is;
-    ``not_run`` is in an answer that says so; ``stamp`` is in each whole
-    answer of a server, empty where servers stamp none. ``own`` are headers
-    that only the system may set: what a caller sends under these names is
-    dropped.
+    ``attempt`` carries the id of the caller's attempt, which servers echo;
+    ``deadline_ms`` the milliseconds that the caller still waits; ``server``
+    the backend server that the request is meant for; ``customer`` the
+    customer that it belongs to. A server sets ``not_run`` in an answer to a
+    request that it did not run, and ``stamp`` in every answer; ``stamp`` is
+    empty if servers do not stamp their answers. ``own`` are headers that
+    only the system may set; the entry drops them from a caller's request.
     """
 
     attempt: bytes
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/headers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/headers.py
@@ -1,4 +1,4 @@
-"""Which headers go from one connection to the other, and which do not."""
+"""Headers that the entry does not forward between its connections."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 RawHeaders = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1), and those
-# that frame the body, which is sent anew.
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those that frame the body, as
+# the entry frames it anew.
 HOP_HEADERS: Final = frozenset(
     {
         b"connection",
@@ -26,7 +26,7 @@
 
 
 def named_by_connection(raw: RawHeaders) -> set[bytes]:
-    """Return the names that ``Connection`` gives, in lower case."""
+    """Return the header names listed in ``Connection``, in lower case."""
     named: set[bytes] = set()
     for name, value in raw:
         if name == b"connection":
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
@@ -1,4 +1,4 @@
-"""A routed request and its answer as they go between entry and server."""
+"""Encoding of routed requests and checks of the servers' answers."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 WRONG_SERVER: Final = 421
 RETRY_STATUSES: Final = frozenset({500, 502, 504})
-# These promise that a request has not run and never will. A server that
-# gives one without saying that it did not run the request may have run it.
+# Callers take these statuses to mean that the request did not run and never
+# will. A server that sends one without the ``not_run`` header may have run
+# the request, so the entry does not forward them.
 PROMISES: Final = frozenset({408, 421, 429, 503})
 IDENTITY: Final = b"identity"
 
 
 class Wanted(NamedTuple):
-    """What an attempt of a stream asks of an engine.
+    """Options of one attempt of a stream at an engine.
 
-    ``model`` is the model that is to answer, empty where the caller named
-    one; ``last_event`` the last event that the caller has; ``rank`` the
-    place in the order in which the engine reads, 0 first. The server is
-    looked for by ``affinity_key``, but the ``known`` one is taken where it
-    is there: it has read the prompt.
+    ``model`` is the model that shall answer, empty if the caller named one;
+    ``last_event`` is the id of the last event that the caller has; ``rank``
+    is the scheduling rank at the engine, 0 first. The server is selected
+    by the prefix cache key ``affinity_key``, unless the server ``known`` is
+    available: it has already read the prompt.
     """
 
     affinity_key: str = ""
@@ -43,9 +44,9 @@
 
 
 class Aim(NamedTuple):
-    """Where an attempt goes: a server of a service or version.
+    """The server of a service or version that an attempt goes to.
 
-    ``wanted`` is what it asks of an engine there.
+    ``wanted`` are the options for the engine there.
     """
 
     target: str
@@ -54,7 +55,11 @@
 
 
 class WholeAnswer(NamedTuple):
-    """A whole answer of a backend server; ``headers`` are passed on."""
+    """A complete answer of a backend server.
+
+    ``headers`` are those that the caller gets. ``not_run`` is true if the
+    server reported that it did not run the request.
+    """
 
     status: int
     headers: RawHeaders
@@ -63,17 +68,17 @@
 
 
 def says_not_run(head: ResponseHead, wire: HeaderNames) -> bool:
-    """Tell whether the server says that it did not run the request."""
+    """Return whether the server reports that it did not run the request."""
     return head.status == WRONG_SERVER or wire.not_run in head.headers
 
 
 def foreign(head: ResponseHead, wire: HeaderNames, call: RoutedCall) -> str:
-    """Return why an answer cannot be the server's own to this call.
+    """Return why an answer is not accepted for this call, empty if it is.
 
-    A success counts with the server's stamp only, where servers stamp
-    their answers, and without an encoding that nobody asked for. One that
-    names no request may be a late one to an earlier request on the
-    connection.
+    An answer with a content encoding is rejected, as nobody asks for one.
+    Where servers stamp their answers, a success must carry the stamp and
+    echo the attempt: without the echo it may be a late answer to an earlier
+    request on the connection.
     """
     coding = head.headers.get(b"content-encoding", IDENTITY)
     if coding.lower() != IDENTITY:
@@ -88,10 +93,11 @@
 
 
 def answer_headers(head: ResponseHead, length: int | None) -> RawHeaders:
-    """Return a server's headers as they are passed on to the caller.
+    """Return the headers of a server's answer that the caller gets.
 
-    Without a ``length`` the server's own is kept where the answer has no
-    body, as with ``HEAD``; a stream has none.
+    ``length`` is the size of the body in bytes. It is None for an answer
+    without a body, such as one to ``HEAD``, and for a stream; no content
+    length is added then.
     """
     named = named_by_connection(list(head.headers.items()))
     headers = [
@@ -105,7 +111,10 @@
 
 
 def encode_request(wire: HeaderNames, call: RoutedCall, aim: Aim) -> bytes:
-    """Return the request as the server gets it."""
+    """Return the bytes of the request to a server.
+
+    The deadline header carries the milliseconds left, at least 1.
+    """
     wanted = aim.wanted
     lines = [b"%s %s HTTP/1.1" % (call.method, call.target)]
     replaced = {wire.model} if wanted.model else set()
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/pace.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/pace.py
@@ -1,31 +1,36 @@
-"""The pause between the events of a stream, a sign of a slow version."""
+"""Mean pause between the events of a stream, which shows a slow version."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# The shortest answers have three events.
+# Events after the first one; the shortest answers have three events.
 PACE_EVENTS: Final = 2
-# A mean over fewer would take one event that came late for the pace.
+# A mean over fewer events would be dominated by a single late event.
 RECENT_EVENTS: Final = 8
-# One class for all routes: an engine makes events alike for each of them,
-# and a dozen streams over three classes would show nothing in any.
+# All routes share one request class: an engine produces events at the same
+# pace for each of them, and a dozen streams split over three classes would
+# be too few samples in each to show a difference.
 PACE_CLASS: Final = "pace"
 
 
 class Pace:
-    """The mean pause between the first events of one stream."""
+    """Measure the mean pause between the first events of one stream."""
 
     def __init__(self) -> None:
         self._first_s = 0.0
         self._events = 0
 
     def add(self, count: int, now_s: float) -> float | None:
-        """Add events; returns the pause in ms once, when it is known."""
+        """Count events that came together at a time.
+
+        Return the mean pause in milliseconds once, with the call that
+        completes `PACE_EVENTS` events after the first ones, otherwise None.
+        """
         if not count or self._events >= PACE_EVENTS:
             return None
         if not self._first_s:
-            # What comes in one piece with the first has no pause.
+            # Events that come in one read with the first have no pause.
             self._first_s = now_s
             return None
         self._events += count
@@ -35,7 +40,10 @@
 
 
 class RecentPace:
-    """The mean pause between the last events of one stream."""
+    """Measure the mean pause between the latest events of one stream.
+
+    ``events`` counts all events of the stream.
+    """
 
     def __init__(self) -> None:
         self.events = 0
@@ -43,7 +51,11 @@
         self._since_events = 0
 
     def add(self, count: int, now_s: float) -> float | None:
-        """Add events; returns the pause in seconds each time it is known."""
+        """Count events that came together at a time.
+
+        Return the mean pause in seconds after every `RECENT_EVENTS` events
+        or more, otherwise None.
+        """
         self.events += count
         if not self._since_s:
             self._since_s = now_s
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
@@ -1,4 +1,4 @@
-"""What a caller on a route is told where it gets no answer."""
+"""Refusals to callers of routes, and the times after which to retry."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
     from sycamorestand_entry.errors import RequestError
     from sycamorestand_entry.http_messages import Responder
 
-# Entries are cut off together, and a caller's list names those that are for
-# a second or two yet: its one retry, made at once, would meet another of
-# them. A share of its time leaves the rest for the answer.
+# A partition cuts several entries off together, and the caller's list of
+# addresses still names them for a second or two: an immediate retry would
+# reach another entry without a lease. Waiting for a share of the caller's
+# timeout leaves the rest of it for the answer.
 LEASE_RETRY_SHARE: Final = 0.3
 MIN_LEASE_RETRY_S: Final = 0.1
 MAX_LEASE_RETRY_S: Final = 2.2
 
 
 async def refuse(responder: Responder, error: RequestError) -> None:
-    """Send a refusal, unless the answer has begun."""
+    """Send an error answer, unless the caller's answer has begun."""
     if responder.started:
         return
     headers = []
@@ -32,7 +33,7 @@
 
 
 def refusal_fields(error: RequestError) -> dict[str, Any]:
-    """Return what a refusal told the caller, as fields of its line."""
+    """Return the log fields that show what the refusal told the caller."""
     return {
         "reason": error.message,
         "run": error.run,
@@ -42,13 +43,16 @@
 
 
 def stated_time_s(deadline_ms: bytes) -> float:
-    """Return how long the caller says that it waits, 0 for nothing."""
+    """Return the caller's timeout in seconds, 0 if it stated none."""
     known = deadline_ms.isdigit() and len(deadline_ms) < MAX_DEADLINE_DIGITS
     return int(deadline_ms) / 1000 if known else 0.0
 
 
 def lease_retry_s(whole_s: float) -> float:
-    """Return when to come back to an entry without a lease."""
+    """Return the seconds after which to retry without a lease.
+
+    ``whole_s`` is the timeout that the caller stated, 0 if it stated none.
+    """
     after_s = max(MIN_LEASE_RETRY_S, whole_s * LEASE_RETRY_SHARE)
     return min(MAX_LEASE_RETRY_S, after_s)
 
