--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -1,4 +1,4 @@
-"""The application for routed requests: from a request to its answer."""
+"""ASGI application that answers routed requests."""
 
 from __future__ import annotations
 
@@ -62,11 +62,12 @@
     from sycamorestand_model.routes import Route
 
 LOG: Final = logging.getLogger(__name__)
+# Durations that admission control expects of a call and of a stream.
 CALL_S: Final = 0.05
 STREAM_S: Final = 1.0
-# What still waits so long after its time is ended from outside.
+# A request that still runs so long after its deadline is cancelled.
 LATE_S: Final = 0.1
-# Other entries are free to answer now.
+# Other entries can answer a retry at once.
 STOPPING_RETRY_S: Final = 0.1
 
 Application = Callable[[Any, "Receive", "Send"], Awaitable[None]]
@@ -78,7 +79,7 @@
 
 
 class RoutedEntry:
-    """Answers routed requests of one entry process."""
+    """Answer the routed requests of one entry process."""
 
     def __init__(self, context: EntryContext, wire: HeaderNames) -> None:
         self._context = context
@@ -91,7 +92,7 @@
             send, self._context.stopping, extensions.get(WRITE_NOW)
         )
         log = DecisionLog()
-        # Where the task is cancelled: the process ends before the request.
+        # Stays if the task is cancelled: the process ends first.
         result = "process_ended"
         detail: dict[str, Any] = {}
         try:
@@ -135,14 +136,14 @@
         failure: Exception | None = None
         gone = True
         async with anyio.create_task_group() as tasks:
-            # Whatever it waits for, also a caller that does not read.
+            # Bounds every wait, also for a caller that does not read.
             until_s = call.remaining_s() + LATE_S
             tasks.cancel_scope.deadline = anyio.current_time() + until_s
             tasks.start_soon(_watch_caller, receive, tasks.cancel_scope)
             try:
                 await self._run(call, responder)
             except (RequestError, StreamBroken) as error:
-                # Out of the group by itself, which would wrap it.
+                # Raised after the task group, which would wrap it.
                 failure = error
             gone = False
             tasks.cancel_scope.cancel()
@@ -211,7 +212,11 @@
         left_s: float,
         log: DecisionLog,
     ) -> bool:
-        """Wait, while the entry is starting, for what is missing."""
+        """Wait until ``ready`` while the entry is starting.
+
+        ``missing`` names what is not ready, for the log; ``left_s`` is the
+        time that the caller still waits. Return whether it became ready.
+        """
         if ready():
             return True
         begin_ms = log.elapsed_ms()
@@ -222,7 +227,10 @@
         return found
 
     def _refuse_if_ending(self, call: RoutedCall) -> None:
-        """Refuse what the end of this process is likely to cut."""
+        """Refuse a request if the end of this process may cut its answer.
+
+        If no other entry can answer it, the request is accepted.
+        """
         context = self._context
         now_s = context.now_s()
         ends_in_s = context.ends_at_s() - now_s
@@ -269,8 +277,8 @@
 
     async def _run(self, call: RoutedCall, responder: Responder) -> None:
         context = self._context
-        # An entry that has just started knows no server before it hears
-        # from control, which has heard of none if it has just started too.
+        # An entry that has just started learns the servers from control,
+        # which knows none yet if it has just started as well.
         if context.start_hold.is_starting():
             await self._hold(
                 "server",
@@ -341,7 +349,7 @@
 def make_routed_application(
     wire: HeaderNames,
 ) -> Callable[[EntryContext], Application]:
-    """Return what makes the application of an entry process."""
+    """Return a factory for the application of an entry process."""
 
     def make(context: EntryContext) -> Application:
         return RoutedEntry(context, wire)
@@ -370,7 +378,7 @@
 async def _body_by(
     deadline_at_s: float, request: Request, limit_bytes: int
 ) -> bytes:
-    """Return the body, or refuse where it does not come in time."""
+    """Return the body, or raise `RequestTimeout` at the deadline."""
     try:
         with anyio.fail_after(max(0.0, deadline_at_s - time.monotonic())):
             return await read_body(request, limit_bytes)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -1,9 +1,8 @@
-"""Attempts of one routed call: which server next, and whether at all.
+"""Attempts of one routed call: whether to make another, and at which server.
 
-What it answers: a server is full, has gone, hangs or breaks off. Without
-bounds on the attempts a fault of a few servers becomes a multiple of the
-load on the others; without another attempt each such fault is the
-caller's.
+A server may be full, lost, hang or break off its answer. Without retries the
+caller would see each such fault; without bounds on the retries a fault of a
+few servers would multiply the load on the others.
 """
 
 from __future__ import annotations
@@ -38,26 +37,27 @@
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
-# A caller told to come back at once would meet the same state.
+# A caller that retried at once would meet the same state.
 RETRY_AFTER_S: Final = 0.5
-# The route itself has moved; whoever comes back at once meets the new one.
+# The route has changed already, so a retry finds the new one at once.
 MOVED_RETRY_S: Final = 0.1
-# Connections that could not be made count for no attempt, but a service
-# whose servers are all gone must not be dialled for the whole timeout. What
-# is refused costs a millisecond and the next server may be there: bounded by
-# four dials, a crash of five of nine servers failed requests that the other
-# four were free for. What hangs costs a connect timeout.
+# Failed connections do not count as attempts, but a call must not dial for
+# its whole timeout if all servers of a service are gone. A refused connection
+# costs a millisecond, and the next server may be running: with a limit of
+# four dials, a crash of five of nine servers failed requests although the
+# other four were free. A connection that hangs costs a connect timeout.
 MAX_DIALS: Final = 16
 MAX_DIAL_S: Final = 1.0
-# A packet that is lost on the way makes a single one fail.
+# A single lost packet can make one dial fail.
 DIALS_TO_BE_SURE: Final = 2
 
 
 class Attempts:
-    """The attempts that one call may still make.
+    """Make the attempts of one call within its budgets.
 
-    ``may_have_run`` stays true once bytes were sent and no server said
-    that it did not run them. ``runs`` are the streams that a server began.
+    ``sent`` counts the requests written to servers, ``runs`` the streams
+    that a server began. ``may_have_run`` is true once a request was written
+    and its server did not report that it had not run it.
     """
 
     def __init__(
@@ -78,15 +78,16 @@
 
     @property
     def left(self) -> int:
-        """Return how many servers the call may still be sent to."""
+        """Return the number of attempts that the route still allows."""
         return max(0, self.call.route.max_attempts - self.sent)
 
     async def may_go_on(self, overloaded: bool) -> bool:
-        """Tell whether another server may be tried now.
+        """Return whether the call may be retried at another server now.
 
-        A refusal that says "not run" draws on the budget of arrivals
-        alone; what may have run on the retry budget as well, and must be
-        repeatable.
+        After an ``overloaded`` refusal, which reports that the request did
+        not run, a retry spends only from the arrival budget. A request that
+        may have run must be repeatable, and its retry also spends from the
+        retry budget.
         """
         reason = self._reason_to_end(overloaded)
         if reason:
@@ -95,12 +96,12 @@
         return await self._may_arrive_again()
 
     async def may_climb(self) -> bool:
-        """Tell whether a larger model may be asked instead."""
+        """Return whether the call may escalate to a larger model."""
         bound = "" if await self._has_spare() else "arrivals_kept"
         return await self._may_improve("climb", bound)
 
     async def may_move(self, target: str) -> bool:
-        """Tell whether to leave a slow server for one not tried yet."""
+        """Return whether to leave a slow server for one not tried yet."""
         candidates = self.context.servers.candidates(
             target, self.context.now_s()
         )
@@ -112,11 +113,12 @@
         return await self._may_improve("move", bound)
 
     async def may_fall_back(self, target: str) -> bool:
-        """Tell whether to ask once more, at the last moment.
+        """Return whether the call may make its fallback attempt.
 
-        Of those that it was sent to, only servers that began it count as
-        attempts. It goes back to one of them where no new one may be had;
-        where none takes work, the one that is waited for is the best.
+        Only servers that began the answer count against the route's limit
+        here. If no attempt at a new server is left, the fallback goes to a
+        server that had the request before. If no server is available, the
+        call keeps waiting for the current one.
         """
         reason = ""
         if self.runs >= self.call.route.max_attempts:
@@ -131,9 +133,10 @@
         return await self._may_arrive_again()
 
     async def is_lost(self, server: Announcement) -> bool:
-        """Tell whether a server that sends nothing takes no connection.
+        """Return whether a silent server accepts no connection.
 
-        One that is busy, or has put a request off, takes it at once.
+        A server that is busy, or has preempted the request, accepts a
+        connection at once.
         """
         for _ in range(DIALS_TO_BE_SURE):
             try:
@@ -147,11 +150,11 @@
         return True
 
     async def _has_spare(self) -> bool:
-        """Tell whether an arrival may be spent on what is not urgent."""
+        """Return whether the arrival budget allows an optional attempt."""
         return await self._asked(self.context.arrivals.has_spare)
 
     async def _asked(self, budget: Callable[[str, int, float], bool]) -> bool:
-        """Ask the budget; once more with what the pool lends meanwhile."""
+        """Check the arrival budget, and again after borrowing from the pool."""
         context = self.context
 
         def ask() -> bool:
@@ -202,10 +205,11 @@
         return "retry budget spent"
 
     async def open(self, target: str, wanted: Wanted) -> Exchange:
-        """Return an exchange whose request was written.
+        """Choose a server, write the request to it and return the exchange.
 
-        Raises a `RequestError` where no server can be had or the gate
-        refuses.
+        Servers that accept no connection are skipped. Raises a
+        `RequestError` if no server is available or the request may not be
+        dispatched.
         """
         while True:
             target = current_target(self.context, self.call, target)
@@ -222,12 +226,13 @@
             try:
                 exchange.send()
             except NoBackendServer:
-                # It left while the connection was made.
+                # The server left while the connection was opened.
                 self._count_dial()
                 continue
             except NotAllowed as error:
-                # The request was allowed when it came. That its route or
-                # customer is gone is for the next request to hear.
+                # The request was allowed when it came, and its route or
+                # customer was removed since. The caller retries and gets
+                # the answer of the new configuration.
                 raise NoBackendServer(error.message, MOVED_RETRY_S) from None
             if not self.sent:
                 now_s = self.context.now_s()
@@ -240,13 +245,16 @@
             return exchange
 
     def truthful(self, error: RequestError) -> RequestError:
-        """Return a refusal that claims no more than what is certain."""
+        """Return the error, or one that does not wrongly report "not run"."""
         if self.may_have_run:
             return self.failure(error.message)
         return error
 
     def failure(self, message: str) -> RequestError:
-        """Return the final answer to a call that no server answered."""
+        """Return the error for a call that no server answered.
+
+        It tells the caller whether the request may have run.
+        """
         run: Run = "unknown" if self.may_have_run else "not_run"
         if self.call.remaining_s() <= 0:
             return DeadlineExceeded(message, None, run)
@@ -270,7 +278,7 @@
         )
 
     def _allowed(self) -> set[str] | None:
-        """Return the servers that it may still be sent to, None for all."""
+        """Return the names of the servers to choose from, None for all."""
         if self.left:
             return None
         return self._sent_to - self._dialled_in_vain
@@ -315,11 +323,13 @@
         if self.call.may_repeat and self.sent == 0:
             return self.context.settings.pool_idle_s
         if name in self._sent_to:
-            # A late second answer to the first attempt there would bear
-            # the same name as the one that is waited for now.
+            # A late answer to the first attempt at this server echoes the
+            # same attempt id as the answer to this one. Only a new
+            # connection tells them apart.
             return 0.0
-        # What may not be repeated must not be lost on a connection that
-        # went silent, and a repeat must not meet a second such one.
+        # A request that may not be repeated must not be lost on an idle
+        # connection that went silent, and a retry must not meet a second
+        # such connection.
         return self.context.settings.silent_idle_s
 
     def _count_dial(self) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -1,4 +1,4 @@
-"""What one stream expects of the engines that it may run on."""
+"""Expected prefill times and queue delays for one stream."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 
 
 class EngineWait:
-    """Reading times and waits for the prompt of one call.
+    """Estimate prefill times and queue delays for the prompt of one call.
 
-    What it learns goes to the process's state, for all calls.
+    Observed times go to the state that all calls of the process share.
+    ``aim_s`` is the route's target latency in seconds.
     """
 
     def __init__(self, attempts: Attempts) -> None:
@@ -37,10 +38,11 @@
         self.aim_s = self._route.target_latency_ms / MS
 
     def rank(self, target: str, size: int, resumed: bool) -> int:
-        """Return the place in the engine's order of reading.
+        """Return the scheduling rank at the engine, 0 first.
 
-        A stream that is ``resumed`` has its caller's answer begun: by its
-        aim, over for long, it would be read last, and lost.
+        The target latency does not count for a ``resumed`` stream, whose
+        answer has begun. It has usually passed by then; the engine would
+        schedule the stream last and its caller would give up.
         """
         call = self._attempts.call
         left_s = self.aim_s - call.log.elapsed_ms() / MS
@@ -49,9 +51,10 @@
         return engine_rank(self.read_s(target, size), call.priority, left_s)
 
     def fallback_in_s(self, resumed: bool) -> float:
-        """Return after how long to settle for what can be had soonest.
+        """Return the seconds until the call falls back, may be negative.
 
-        A stream that is ``resumed`` has a part of its answer.
+        A ``resumed`` stream has a part of its answer already, so the usual
+        duration of a complete answer is not reserved for it.
         """
         call = self._attempts.call
         silent_s = call.log.silent_ms() / MS
@@ -64,16 +67,17 @@
         return max(MIN_EVENT_S, after_s) - silent_s
 
     def read_s(self, target: str, size: int) -> float:
-        """Return how long reading the prompt is expected to take."""
+        """Return the expected prefill time of the prompt in seconds."""
         return self._context.reading.read_s(
             _service(target), self._route.sizes, size, self.prompt_tokens
         )
 
     def quick_limit_s(self, target: str, size: int) -> float | None:
-        """Return after how long to ask elsewhere, None for no early move.
+        """Return the seconds after which to leave the server early.
 
-        An attempt for the climb must remain: without it a poor answer
-        could not be replaced.
+        Return None if the request shall not leave early. One attempt must
+        remain for an escalation to a larger model; without it a poor
+        answer could not be replaced.
         """
         climbs = 1 if size + 1 < len(self._route.sizes) else 0
         attempts = self._attempts
@@ -84,25 +88,26 @@
         return quick_limit_s(self.aim_s, read_s, delay_s)
 
     def strain(self, target: str) -> float:
-        """Return the wait before the largest model, by the aim.
+        """Return the queue delay at the largest model per target latency.
 
-        Of readings as long as this one: short ones are read first and
-        wait little while long ones wait for seconds. By a mean over both
-        long prompts went on to climb under an overload, and of 350 of the
-        longest kind 17 to 27 had no answer, where none was lost before.
+        Short and long prefills have separate delays: engines schedule short
+        ones first, so that they wait little while long ones wait for
+        seconds. With a mean over both, long prompts still escalated under
+        overload, and 17 to 27 of 350 of the longest kind got no answer;
+        none is lost with separate delays.
         """
         largest = max(0, len(self._route.sizes) - 1)
         return self._delay_s(target, largest) / self.aim_s
 
     def learn_answer(self, exchange: Exchange) -> None:
-        """Take in how long a whole answer took."""
+        """Record how long a complete answer took."""
         answer_s = exchange.answering_s()
         begin_s = self._attempts.call.log.elapsed_ms() / MS - answer_s
         answer = AnswerTime(begin_s, answer_s, exchange.event_count)
         self._context.answer_times.ended(self._route.name, answer)
 
     def learn_reading(self, exchange: Exchange, size: int) -> None:
-        """Take in how long the first event took."""
+        """Record how long the first event took."""
         sizes = self._route.sizes
         self._context.reading.observed(
             _service(exchange.aim.target),
@@ -112,7 +117,7 @@
         )
 
     def observe(self, exchange: Exchange, size: int) -> None:
-        """Note how long the request waited there, or has in vain."""
+        """Record the queue delay at the server, also without an answer."""
         now_s = self._context.now_s()
         read_s = self.prompt_tokens / READ_TOKENS_PER_S
         waited_s = now_s - exchange.begin_s - read_s
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt of a routed call at one backend server."""
+"""A single attempt of a routed call at a backend server."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Exchange:
-    """An attempt from its first byte to its end; `close` ends it."""
+    """One attempt, from writing the request to `close`."""
 
     def __init__(
         self,
@@ -70,9 +70,10 @@
         self._reason = ""
 
     def send(self) -> None:
-        """Pass the gate and write the request.
+        """Check that the request may be dispatched and write it.
 
-        Raises the gate's `RequestError` before any byte is written.
+        Raises the `RequestError` of a failed check before any byte is
+        written.
         """
         refusal = self._refusal()
         if refusal is not None:
@@ -107,9 +108,10 @@
     async def read_head(
         self, limit_s: float, soft: bool = False
     ) -> ResponseHead:
-        """Return the answer's head; raises `UpstreamError`.
+        """Return the status and headers of the answer.
 
-        With ``soft`` the end of the limit raises `SlowAnswer`.
+        Raises `UpstreamError` if the attempt failed. With ``soft``, raises
+        `SlowAnswer` after ``limit_s``, and the caller may read again.
         """
         try:
             head = await self.connection.read_head(limit_s, soft)
@@ -127,30 +129,32 @@
         return head
 
     def answering_s(self) -> float:
-        """Return how long ago the answer's head came."""
+        """Return the seconds since the answer's head came."""
         return time.monotonic() - self._answered_s
 
     @property
     def event_count(self) -> int:
-        """Return how many events came."""
+        """Return the number of events received."""
         return self._recent.events
 
     def is_overtaken(self) -> bool:
-        """Tell whether requests sent there later have been answered."""
+        """Return whether the server has answered requests sent later."""
         return self._context.progress.has_overtaken(
             self.aim.server.name, self.begin_s
         )
 
     def given_up(self, early: bool = False) -> None:
-        """Note that the server was too slow; `close` cancels it.
+        """Record that the server was too slow; `close` cancels the attempt.
 
-        One that is left ``early``, for a queue that others may not have,
-        is no failure of its version: counted as such, a long prompt on one
-        server of a new version could take a sound roll-out back.
+        An attempt that ends ``early``, because other servers may have a
+        shorter queue, does not count as a failure of its version. Otherwise
+        one long prompt at a server of a new version could roll back a good
+        version.
 
-        A server that works its queue off is not at fault: counted against
-        it, a burst took one server of five out for ten seconds, and the
-        others had its load as well.
+        A server that serves its queue in order is healthy. When such
+        timeouts counted as its failures, a burst of requests got one server
+        of five ejected for ten seconds, and the others had to take its
+        load.
         """
         self._outcome = "timeout"
         self._reason = "too slow"
@@ -169,7 +173,11 @@
         )
 
     async def read_whole(self, head: ResponseHead) -> WholeAnswer:
-        """Return the whole answer; raises `UpstreamError`."""
+        """Return the complete answer.
+
+        Raises `UpstreamError` if it broke off or exceeds the entry's
+        ``max_answer_bytes``.
+        """
         parts: list[bytes] = []
         size = 0
         try:
@@ -196,17 +204,18 @@
         )
 
     def ended(self, status: int, not_run: bool) -> None:
-        """Note how the server answered, for what is learnt of it."""
+        """Record the outcome of a complete answer for server selection."""
         if not_run:
             self._outcome = "overloaded"
         else:
             self._outcome = "error" if status >= 500 else "ok"
 
     def failed(self, error: UpstreamError) -> str:
-        """Note that the answer broke off, and return why.
+        """Record that the answer broke off, and return the reason.
 
-        The end of this process is no failure of the server: counted as
-        one, planned stops could take a sound roll-out back.
+        An attempt that the end of this process cuts off counts as cancelled
+        and not as a failure of the server. Otherwise planned stops of
+        entries could roll back a good version.
         """
         silent = isinstance(error, SilentConnection)
         over = self._call.why_over() if silent else ""
@@ -217,7 +226,7 @@
         return self._reason
 
     def first_byte(self) -> None:
-        """Note that the answer has begun."""
+        """Record that the first part of the answer came."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
         self._context.progress.begun(self.aim.server.name, self.begin_s, now_s)
@@ -231,10 +240,11 @@
             self._sample(failed=False)
 
     def events(self, count: int) -> None:
-        """Note that events came; their pace counts once there are some.
+        """Record events and, once there are enough, the pause between them.
 
-        An idle new server sends a first event sooner than a busy old one
-        though it makes every token several times slower; the pause
+        The time to the first event does not reveal a slow version: an idle
+        server of it answers sooner than a busy server of the old version,
+        even if it takes several times as long for every token. The pause
         between events depends on neither the prompt nor the queue.
         """
         now_s = time.monotonic()
@@ -247,7 +257,11 @@
             self._context.pause(service).observed(now_s, pause_s)
 
     def close(self) -> None:
-        """Give the connection back, or cancel what still runs on it."""
+        """Report the attempt's outcome and release its connection.
+
+        Releasing a connection with an unfinished answer cancels the request
+        at the server.
+        """
         if self._closed:
             return
         self._closed = True
@@ -272,7 +286,7 @@
         self._context.pool.release(self.aim.server.address, self.connection)
 
     def _sample_end(self) -> None:
-        """Count the attempt where nothing that came before did."""
+        """Report the attempt's end for its version, if it counts."""
         if self._outcome in ("error", "timeout"):
             if not self._early:
                 self._sample(failed=True)
@@ -280,11 +294,11 @@
             self._sample(failed=False)
 
     def _sample(self, failed: bool) -> None:
-        """Count this attempt for the version that it went to.
+        """Report this attempt as a sample of its version.
 
-        Every attempt counts by itself, and a stream with its first event:
-        another attempt hides a bad version from the caller, and the end of
-        a stream is seconds too late to stop a roll-out.
+        Each attempt is a sample of its own, since a retry hides the failure
+        of a bad version from the caller. A stream is reported at its first
+        event, since its end comes seconds too late to stop a roll-out.
         """
         if not self._answered_s and not failed:
             return
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
@@ -1,8 +1,7 @@
-"""Streams of events, relayed as they come and resumed where they break.
+"""Relay of event streams that resumes a broken stream at another server.
 
-The caller gets whole events only, so that a stream that breaks off in the
-middle of one can go on at another server behind the last one that was
-passed on.
+The caller gets only whole events. So a stream that breaks off in the middle
+of an event can resume at another server after the last forwarded event.
 """
 
 from __future__ import annotations
@@ -39,21 +38,21 @@
 
 END_OF_EVENT: Final = b"\n\n"
 EVENT_STREAM: Final = b"text/event-stream"
-# A whole stream that comes without an event's end would fill the memory.
+# Bounds the memory for a stream whose events do not end.
 MAX_EVENT_BYTES: Final = 1024 * 1024
-# A server that is left for another costs a retry. Where none may be had now
-# it is asked for again so much later.
+# Leaving a slow server costs a retry. If none is allowed now, the relay checks
+# again after this time.
 ASK_AGAIN_S: Final = 0.5
-# The shortest wait that is worth a timer of its own.
+# A shorter wait is not worth a timer.
 MIN_WAIT_S: Final = 0.05
 
 
 class StreamBroken(Exception):
-    """The stream ended early after a part of it was passed on."""
+    """The stream ended early after a part of it was forwarded."""
 
 
 class _Climbs(Exception):
-    """The answer is dropped; a larger model is to give it."""
+    """The answer is dropped; the model with index ``size`` shall answer."""
 
     def __init__(self, size: int) -> None:
         super().__init__(size)
@@ -61,7 +60,7 @@
 
 
 class StreamRelay:
-    """One caller's stream, over as many servers as it takes."""
+    """Relay one caller's stream from one server after another."""
 
     def __init__(
         self,
@@ -87,9 +86,10 @@
     async def run(self, target: str) -> WholeAnswer | None:
         """Relay the stream to its end.
 
-        Returns a whole answer where the server gave one in place of a
-        stream. Raises a `RequestError` where nothing was passed on, and
-        `StreamBroken` where a part was.
+        Return a complete answer if the server gave one in place of a
+        stream, otherwise None. If no server completes the stream, raise a
+        `RequestError` if nothing was forwarded yet and `StreamBroken`
+        otherwise.
         """
         while True:
             try:
@@ -117,8 +117,8 @@
                     raise self._broken(reason) from None
                 continue
             finally:
-                # Before the next server is asked: the run before it must
-                # not go on beside the new one.
+                # The run at this server must be cancelled before the next
+                # server gets the request.
                 exchange.close()
             if answer is None:
                 return None
@@ -190,7 +190,7 @@
             except SlowAnswer:
                 if await self._is_lost(exchange):
                     if not self._attempts.left:
-                        # The caller goes on by itself once it sees the end.
+                        # The caller can resume once its stream has ended.
                         raise BrokenConnection("its server is lost") from None
                     limit_s = ASK_AGAIN_S
                 await self._fall_back(exchange)
@@ -200,19 +200,19 @@
         )
 
     def _fallback_in_s(self) -> float:
-        """Return when to settle for what is soonest, once for a call."""
+        """Return the seconds until the fallback, infinity after it."""
         if self._fell_back:
             return math.inf
         in_s = self._wait.fallback_in_s(self._responder.started)
         return max(MIN_WAIT_S, in_s)
 
     async def _fall_back(self, exchange: Exchange) -> None:
-        """Raise `SlowAnswer` where the caller has waited for half of what
-        it bears and the smallest model may be asked in its place.
+        """Raise `SlowAnswer` if the call shall fall back now.
 
-        An answer that was dropped for a larger model's, and then a server
-        that read others first, cost callers the answer that they could
-        have had.
+        The fallback asks the smallest model, after the caller has waited
+        for half of the silence that it tolerates. Without it, callers whose
+        first answer was dropped for a larger model, and whose prompt then
+        waited behind others, left without any answer.
         """
         resumed = self._responder.started
         if self._fell_back or self._wait.fallback_in_s(resumed) > 0:
@@ -227,13 +227,13 @@
         log = self._attempts.call.log
         log.add(FellBack(exchange.aim.server.name, log.silent_ms()))
         exchange.given_up()
-        raise SlowAnswer("what is soonest is asked for")
+        raise SlowAnswer("falling back to the smallest model")
 
     async def _is_lost(self, exchange: Exchange) -> bool:
-        """Tell whether the server is gone in the middle of its answer.
+        """Return whether the server was lost in the middle of its answer.
 
-        Taken for one that is slow, a server that had lost power kept its
-        streams until their callers left.
+        A server that loses power does not close its connections. Treated as
+        slow, it would keep its streams until their callers leave.
         """
         if not self._order.last:
             return False
@@ -241,11 +241,11 @@
         return lost and not exchange.connection.has_body
 
     async def _move_on(self, exchange: Exchange, early: bool = False) -> None:
-        """Raise `SlowAnswer` where another server may be asked."""
+        """Raise `SlowAnswer` if the call may move to another server."""
         resumable = self._order.last or not self._responder.started
         if resumable and await self._attempts.may_move(exchange.aim.target):
             exchange.given_up(early)
-            raise SlowAnswer("another server is asked")
+            raise SlowAnswer("moving to another server")
 
     def _wanted(self, target: str) -> Wanted:
         model = self._sizes[self._size] if self._sizes else ""
@@ -260,7 +260,7 @@
         )
 
     async def _judge(self, head: ResponseHead, target: str) -> None:
-        """Drop an answer that a larger model should give."""
+        """Raise `_Climbs` if a larger model shall give the answer."""
         if self._responder.started or not self._sizes or self._fell_back:
             return
         value = head.headers.get(self._attempts.wire.confidence, b"")
@@ -279,7 +279,7 @@
             log.add(NotImproved("climb", "strain" if left else "no_attempt"))
 
     async def _pass_on(self, head: ResponseHead, data: bytes) -> int:
-        """Write whole events and return how many they were."""
+        """Forward the whole events in ``data`` and return their number."""
         if self._rest:
             data = self._rest + data
         end = data.rfind(END_OF_EVENT)
@@ -319,9 +319,9 @@
         return await self._may_resume(overloaded=False)
 
     def _last_answer(self, answer: WholeAnswer) -> WholeAnswer:
-        """Return the answer in place of a stream, or raise a refusal."""
+        """Return the answer in place of a stream, or raise an error."""
         if self._responder.started:
-            raise StreamBroken("no server goes on with the stream")
+            raise StreamBroken("no server resumes the stream")
         if answer.not_run or answer.status in PROMISES:
             raise self._attempts.failure("every backend server is full")
         return answer
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -1,12 +1,14 @@
-"""Which service or version of it answers a routed request.
-
-A session that a caller names keeps its version by being placed, not by
-being remembered: its name gives a place between 0 and 1, and while a
-roll-out's share grows, places below it move to the new version and none
-moves back. Every entry computes the same place, so a caller whose next
-connection leads to another entry meets the same version there. What is
-under way when a step of a roll-out begins stays with the version in use:
-entries tell each other of it, as its next request comes to any of them.
+"""Select the service, or the version of it, that answers a routed request.
+
+A session keeps its version through a hash, not through stored state: its
+name is hashed to a place from 0 to 1, and requests below the roll-out's
+share go to the new version. As the share grows, sessions move to the new
+version and none moves back. Every entry computes the same place, so a
+caller whose next connection reaches another entry gets the same version.
+
+Sessions that are active when a step of a roll-out begins stay with the
+version in use. Entries send their places to each other, since the next
+request of a session may reach any entry.
 """
 
 from __future__ import annotations
@@ -33,13 +35,16 @@
     from sycamorestand_model.in_force import InForce
 
 VERSION_RETRY_S: Final = 1.0
-# From here on the version in use is on its way out: what stayed with it
-# would lose it a moment later.
+# Above this share the new version soon replaces the version in use. A
+# session that stayed would have to change its version shortly after.
 MAX_STAY_SHARE: Final = 0.5
 
 
 def choose_target(context: EntryContext, call: RoutedCall) -> str:
-    """Return the service, or the version of it, that is to answer."""
+    """Return the service, or the version of it, that shall answer.
+
+    Raises `NoVersion` if no version of the service may be used now.
+    """
     in_force = context.control.in_force()
     service = _service_of(call)
     model = in_force.declarations.models.get(service)
@@ -60,10 +65,10 @@
 def current_target(
     context: EntryContext, call: RoutedCall, target: str
 ) -> str:
-    """Return where the next attempt goes: where the last one did.
+    """Return the target of the next attempt, usually that of the last one.
 
-    But for a version that was taken back since: its attempts would go on
-    for as long as callers wait.
+    If the version was rolled back or disallowed since, choose again.
+    Otherwise calls would retry at that version until their callers leave.
     """
     service, separator, version = target.partition(VERSION_SEPARATOR)
     if not separator:
@@ -84,10 +89,11 @@
 
 
 def note_session(context: EntryContext, call: RoutedCall, target: str) -> None:
-    """Note that the version in use serves the call's session.
+    """Record that the version in use serves the call's session.
 
-    Also where it stands in for the new one: back and forth, the session
-    would change its version twice.
+    That includes sessions that it serves because the new version has no
+    servers. Without the record such a session would change its version once
+    those servers come up.
     """
     service = target.partition(VERSION_SEPARATOR)[0]
     model = context.control.in_force().declarations.models.get(service)
@@ -102,7 +108,7 @@
 
 
 def _stays(context: EntryContext, call: RoutedCall, service: str) -> bool:
-    """Tell whether the session goes on with the version in use."""
+    """Return whether the session stays with the version in use."""
     step = _step(context, service)
     if step is None or not call.session:
         return False
@@ -113,7 +119,7 @@
 
 
 def _step(context: EntryContext, service: str) -> Step | None:
-    """Return the step in which sessions may stay, if one is under way."""
+    """Return the current roll-out step if sessions may stay during it."""
     rollout = context.control.in_force().shares.get(service)
     if rollout is None or not 0 < rollout.share <= MAX_STAY_SHARE:
         return None
@@ -130,12 +136,13 @@
 
 
 def _undeclared(context: EntryContext, service: str) -> str:
-    """Return a service whose versions nobody declared, or its main one.
+    """Return the target for a service without declared versions.
 
-    Servers of the next version may announce themselves before the order
-    to roll it out is committed. Until then the version of most servers is
-    the one in use; without this the next one would get its whole share
-    before anybody compares.
+    That is the service itself, or its version with the most servers if
+    servers announce several versions. Servers of the next version may
+    announce themselves before its roll-out is committed; until then the
+    version of most servers is the one in use. Otherwise the next version
+    would get requests before its roll-out compares the versions.
     """
     counts: Counter[str] = Counter()
     for server in context.control.backend_servers().values():
@@ -147,22 +154,23 @@
 
 
 def _takes_work(context: EntryContext, target: str) -> bool:
-    """Tell whether a server of it is known that is not out."""
+    """Return whether a server of the target is known and not ejected."""
     return context.servers.capacity(target, time.monotonic()) > 0
 
 
 def _other(
     context: EntryContext, model: Model, in_force: InForce, chosen: str
 ) -> str | None:
-    """Return the version that stands in for one without servers.
-
-    The new version's servers come up seconds after the order, and the few
-    of its first share may be lost together: what is placed there goes to
-    the old version. The other way round only what the share allows goes
-    to the new one. While an entry had heard of no old server, after its
-    restart or theirs, all its work went to a version that nobody had
-    judged yet; now that is refused, and a bad version cannot get more than
-    its share whatever is lost.
+    """Return the version that replaces a chosen one without servers.
+
+    Only the old version replaces the new one: the new version's servers
+    come up seconds after the roll-out is ordered, and the few servers of
+    its first share may fail together.
+
+    The new version never replaces the old one. An entry may know no server
+    of the old version, after a restart of the entry or of the servers. If
+    all requests then went to the new version, it would get more than its
+    share before it was evaluated. Such requests are refused instead.
     """
     stable = choose_version(model, in_force, 1.0)
     if stable is None or stable == chosen:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole.py
@@ -1,7 +1,7 @@
-"""Calls whose answer is read whole before any of it is passed on.
+"""Calls whose answer is read completely before it is forwarded.
 
-A whole answer can be judged, and asked for again elsewhere, while the
-caller has seen nothing of it.
+The entry can check a complete answer, and retry the call at another server,
+before the caller has received any of it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,12 @@
 
 
 async def whole_answer(attempts: Attempts, target: str) -> WholeAnswer:
-    """Return a server's whole answer, or raise the final refusal."""
+    """Return a server's complete answer.
+
+    If retries bring no other answer, an answer with a status of
+    `RETRY_STATUSES` is returned. Raises a `RequestError` if no server gave
+    an answer that can be forwarded.
+    """
     kept: WholeAnswer | None = None
     while True:
         try:
@@ -59,9 +64,9 @@
 
 
 async def _read(attempts: Attempts, exchange: Exchange) -> WholeAnswer | None:
-    """Return the answer, None where it broke off.
+    """Return the answer, None if it broke off.
 
-    Raises `SlowAnswer` where another server is to be asked instead.
+    Raises `SlowAnswer` if another server shall be asked instead.
     """
     try:
         head = await _read_head(attempts, exchange)
@@ -80,7 +85,7 @@
         try:
             return await exchange.read_head(call_limit_s(left_s), soft=True)
         except SlowAnswer:
-            # Only where somebody is there to ask: this one may yet answer.
+            # Without another server, keep waiting: this one may yet answer.
             if await attempts.may_move(exchange.aim.target):
                 exchange.given_up()
                 raise
