--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -154,7 +154,7 @@
         return await self._asked(self.context.arrivals.has_spare)
 
     async def _asked(self, budget: Callable[[str, int, float], bool]) -> bool:
-        """Check the arrival budget, and again after borrowing from the pool."""
+        """Check the arrival budget, if need be after borrowing."""
         context = self.context
 
         def ask() -> bool:
--- a/packages/sycamorestand-entry/tests/control/test_attachment.py
+++ b/packages/sycamorestand-entry/tests/control/test_attachment.py
@@ -1,4 +1,4 @@
-"""When an entry leaves its control process."""
+"""An entry moves to another control process at the right time."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 BEHIND = LeaseDenied(0.0, "behind", ())
 
 
-def attached() -> Attachment:
-    """Return one that was granted a lease by the first of two."""
+def make_attachment() -> Attachment:
+    """Return an attachment to the first of two, which granted a lease."""
     attachment = Attachment((FIRST, SECOND), 99.0)
     attachment.granted(100.0)
     return attachment
 
 
 class TestSilence:
-    def test_after_three_renewals_without_a_grant_it_moves(self) -> None:
-        attachment = attached()
+    def test_entry_moves_after_three_renewals_without_a_grant(self) -> None:
+        attachment = make_attachment()
         assert not attachment.is_time_to_move(99.9 + MOVE_AFTER_S)
         assert attachment.is_time_to_move(100.1 + MOVE_AFTER_S)
         attachment.move(101.3)
@@ -31,42 +31,45 @@
         assert not attachment.is_time_to_move(101.4)
 
 
-class TestDenied:
-    def test_it_leaves_a_process_that_says_it_has_no_quorum(self) -> None:
-        """Half of control is cut off, and its entries' leases run out with it.
+class TestDenial:
+    def test_entry_leaves_a_process_without_quorum_at_once(self) -> None:
+        """Half of control is cut off and can grant no leases.
 
-        Each request there was refused with no_lease until the entry had not
-        been granted one for 1.2 s, though it had been told at once that this
-        process has none to give: 335 refusals in three seconds.
+        Its entries refused each request with no_lease until they had had no
+        grant for 1.2 s, although the denials had told them at once that the
+        process had no quorum: 335 refusals in three seconds.
         """
-        attachment = attached()
+        attachment = make_attachment()
         attachment.denied(FIRST, NO_QUORUM, 100.4)
         assert attachment.is_time_to_move(100.4)
         attachment.move(100.4)
         assert attachment.address == SECOND
 
-    def test_while_nobody_has_a_quorum_it_takes_its_time(self) -> None:
-        """There is no leader: everybody denies, and must get to elect one."""
-        attachment = attached()
+    def test_entry_pauses_between_moves_while_there_is_no_quorum(self) -> None:
+        """Without a leader all control processes deny.
+
+        The requests of all entries must not delay their election.
+        """
+        attachment = make_attachment()
         attachment.denied(FIRST, NO_QUORUM, 100.4)
         attachment.move(100.4)
         attachment.denied(SECOND, NO_QUORUM, 100.41)
         assert not attachment.is_time_to_move(100.3 + MOVE_DENIED_S)
         assert attachment.is_time_to_move(100.5 + MOVE_DENIED_S)
 
-    def test_a_denial_of_one_that_was_left_moves_nothing(self) -> None:
-        attachment = attached()
+    def test_denial_by_another_process_causes_no_move(self) -> None:
+        attachment = make_attachment()
         attachment.denied(SECOND, NO_QUORUM, 100.4)
         assert not attachment.is_time_to_move(100.4)
 
-    def test_a_grant_makes_up_for_a_denial(self) -> None:
-        attachment = attached()
+    def test_grant_clears_an_earlier_denial(self) -> None:
+        attachment = make_attachment()
         attachment.denied(FIRST, NO_QUORUM, 100.4)
         attachment.granted(100.5)
         assert not attachment.is_time_to_move(100.6)
 
-    def test_one_that_first_sends_a_revision_is_kept_for_it(self) -> None:
-        attachment = attached()
+    def test_entry_waits_for_a_process_that_sends_a_revision(self) -> None:
+        attachment = make_attachment()
         attachment.denied(FIRST, BEHIND, 101.2)
         assert not attachment.is_time_to_move(101.1 + BEHIND_GRACE_S)
         assert attachment.is_time_to_move(101.3 + BEHIND_GRACE_S)
--- a/packages/sycamorestand-entry/tests/control/test_choice.py
+++ b/packages/sycamorestand-entry/tests/control/test_choice.py
@@ -5,8 +5,8 @@
 START = ("a:1", "b:1", "c:1")
 
 
-def addresses(choice: ControlChoice) -> list[str]:
-    """Return where the entry goes if each one stays silent."""
+def addresses_in_turn(choice: ControlChoice) -> list[str]:
+    """Return the addresses that the entry tries if none answers."""
     found: list[str] = []
     while choice.address not in found:
         found.append(choice.address)
@@ -15,23 +15,23 @@
 
 
 class TestControlChoice:
-    def test_every_voter_was_replaced(self) -> None:
-        """The three VMs that an entry was started with are gone for good.
+    def test_current_voters_precede_the_initial_addresses(self) -> None:
+        """All three VMs in an entry's settings were replaced in turn.
 
-        They were replaced one after the other. The entry goes from one
-        voter of now to the next, and to the old addresses only then.
+        The entry tries the current voters first and the initial addresses
+        after them.
         """
         choice = ControlChoice(START)
         assert choice.learn(("d:1", "b:1", "c:1"))
         assert choice.learn(("e:1", "d:1", "c:1"))
         assert choice.learn(("f:1", "e:1", "d:1"))
-        assert addresses(choice) == ["f:1", "e:1", "d:1", *START]
+        assert addresses_in_turn(choice) == ["f:1", "e:1", "d:1", *START]
 
-    def test_a_silent_one_is_not_gone_back_to(self) -> None:
-        """The nearest voter is silent, and the next one tells of it.
+    def test_same_voters_do_not_move_the_entry_back(self) -> None:
+        """The nearest voter is silent, and the next one lists it.
 
-        Without the safeguard the entry went back to it with each list and
-        had no lease for most of the time.
+        If each list moved the entry back to the nearest voter, the entry
+        would have no lease for most of the time.
         """
         choice = ControlChoice(START)
         choice.learn(START)
@@ -39,12 +39,12 @@
         assert not choice.learn(("a:1", "c:1", "b:1"))
         assert choice.address == "b:1"
 
-    def test_it_attaches_to_the_nearest(self) -> None:
+    def test_new_voters_move_the_entry_to_the_nearest(self) -> None:
         choice = ControlChoice(START)
         assert choice.learn(("c:1", "a:1", "b:1"))
         assert choice.address == "c:1"
 
-    def test_nothing_learned(self) -> None:
+    def test_empty_list_of_voters_changes_nothing(self) -> None:
         choice = ControlChoice(START)
         assert not choice.learn(())
-        assert addresses(choice) == list(START)
+        assert addresses_in_turn(choice) == list(START)
--- a/packages/sycamorestand-entry/tests/control/test_ledger_client.py
+++ b/packages/sycamorestand-entry/tests/control/test_ledger_client.py
@@ -31,7 +31,7 @@
 
 
 class FakeMesh:
-    """A control process that answers batches from a real ledger."""
+    """A mesh whose control process answers batches from a real ledger."""
 
     def __init__(self) -> None:
         self.batches: list[LedgerBatch] = []
@@ -60,7 +60,7 @@
 
 
 @contextlib.asynccontextmanager
-async def client_of(mesh: FakeMesh) -> AsyncIterator[LedgerClient]:
+async def run_client(mesh: FakeMesh) -> AsyncIterator[LedgerClient]:
     client = LedgerClient(
         mesh,  # type: ignore[arg-type]
         lambda: "control:1",
@@ -73,9 +73,9 @@
 
 
 class TestLedgerClient:
-    async def test_records_of_a_key_always_go_to_its_shard(self) -> None:
+    async def test_records_go_to_the_shard_of_their_key(self) -> None:
         mesh = FakeMesh()
-        async with client_of(mesh) as client:
+        async with run_client(mesh) as client:
             records = [charge(f"k-{n}") for n in range(30)]
             results = await client.submit(records)
         assert [result.state for result in results] == ["created"] * 30
@@ -85,45 +85,45 @@
                 key = record.request_key
                 assert shard_of("acme", key, SHARDS) == batch.shard
 
-    async def test_a_lost_answer_makes_no_second_charge(self) -> None:
-        """The ledger applies a batch and its answer is lost on the way.
+    async def test_lost_answer_causes_no_second_charge(self) -> None:
+        """The ledger applies a batch, and its answer is lost.
 
-        The batch is sent again; the charge is there already, the caller
-        is told what it cost, and nothing is charged twice.
+        The batch is sent again. The ledger returns the existing charge with
+        its cost and charges nothing twice.
         """
         mesh = FakeMesh()
         mesh.lost_answers = 1
-        async with client_of(mesh) as client:
+        async with run_client(mesh) as client:
             results = await client.submit([charge("k")])
         assert results[0].state == "exists"
         assert results[0].cost_micros == 7
         assert client.resends == 1
 
-    async def test_a_refused_batch_is_sent_again(self) -> None:
+    async def test_refused_batch_is_sent_again(self) -> None:
         mesh = FakeMesh()
         mesh.refusals = 2
-        async with client_of(mesh) as client:
+        async with run_client(mesh) as client:
             results = await client.submit([charge("k")])
         assert results[0].state == "created"
 
-    async def test_no_batch_exceeds_what_the_log_takes(self) -> None:
-        """A burst of calls ends, each with an answer to be recorded.
+    async def test_no_batch_exceeds_the_logs_command_size(self) -> None:
+        """Many calls end together, each with an answer to record.
 
-        Gathered into one command they would be over the log's bound, and
-        refused together for as long as they are sent together.
+        In one command they would exceed the log's size limit, and the log
+        would refuse the command at each attempt.
         """
         mesh = FakeMesh()
         answers: list[LedgerRecord] = [
             Outcome("acme", f"k-{n}", "o", "done", 200, "t", b"x" * 65_536)
             for n in range(40)
         ]
-        async with client_of(mesh) as client:
+        async with run_client(mesh) as client:
             await client.submit(answers)
         bound = ReplicaSettings().max_command_bytes
         assert max(len(batch.command) for batch in mesh.batches) < bound
         assert len(mesh.batches) < len(answers)
 
-    async def test_a_silent_ledger_gathers_no_unbounded_queue(self) -> None:
+    async def test_queue_for_a_silent_ledger_is_bounded(self) -> None:
         client = LedgerClient(
             FakeMesh(),  # type: ignore[arg-type]
             lambda: "control:1",
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -1,4 +1,4 @@
-"""How an entry asks for its lease."""
+"""Lease requests, address lists and messages of an entry's control link."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RecordingMesh:
-    """Notes what the link sends, and by which way."""
+    """Record what the link sends, and through which relay."""
 
     address = OWN
     incarnation = 1
@@ -50,8 +50,8 @@
         return self.relay
 
 
-class TestAsking:
-    def _link(
+class TestLeaseRequests:
+    def _make_link(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> tuple[ControlLink, RecordingMesh]:
         monkeypatch.setattr(link_module, "boottime_s", lambda: 100.0)
@@ -69,23 +69,23 @@
         link._handle_message(CONTROL, LeaseGrantMessage(100.0, 2.0, 0))
         return link, mesh
 
-    def test_answered_it_asks_directly(
+    def test_answered_requests_go_directly(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        link, mesh = self._link(monkeypatch)
+        link, mesh = self._make_link(monkeypatch)
         link._ask(100.4)
         assert mesh.sent == [Sent("", CONTROL)]
 
-    def test_unanswered_it_asks_through_other_entries_in_turn(
+    def test_unanswered_requests_also_go_through_other_entries(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """An entry is cut off from control, other entries are not.
+        """An entry is cut off from control, and other entries are not.
 
-        Its lease would run out after two seconds, and it would refuse
-        work. One of the others may be cut off like it, so it asks another
-        each time, and directly too, as the cut may have healed.
+        Its lease would expire after two seconds, and it would refuse work.
+        It uses another entry each time, as one of them may be cut off too,
+        and also sends directly, as the connection may work again.
         """
-        link, mesh = self._link(monkeypatch)
+        link, mesh = self._make_link(monkeypatch)
         for now_s in (100.8, 101.2):
             link._ask(now_s)
         through = [sent for sent in mesh.sent if sent.relay]
@@ -93,10 +93,10 @@
         assert {sent.address for sent in mesh.sent} == {CONTROL}
         assert mesh.sent.count(Sent("", CONTROL)) == 2
 
-    def test_the_way_that_worked_is_kept(
+    def test_relay_that_worked_is_kept(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        link, mesh = self._link(monkeypatch)
+        link, mesh = self._make_link(monkeypatch)
         mesh.relay = PEERS[1]
         for now_s in (100.8, 101.2, 101.6):
             link._ask(now_s)
@@ -104,16 +104,16 @@
         assert relays == {PEERS[1]}
 
 
-class TestTold:
-    def test_addresses_of_a_process_that_was_left_are_not_taken(
+class TestAddressLists:
+    def test_list_of_another_control_process_is_ignored(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """An entry leaves a control process that was cut off.
 
-        That one goes on telling it for five seconds, and forgets all entries
-        meanwhile. 27 of 88 entries took its empty list and sent on nobody who
-        asked them for an address; the new process has told its own list once
-        and does not repeat it.
+        That process still sends lists for five seconds, while it loses all
+        entries. 27 of 88 entries used its empty list and gave callers no
+        address; the new process had sent its list once and did not repeat
+        it.
         """
         monkeypatch.setattr(link_module, "boottime_s", lambda: 100.0)
         settings = LinkSettings("vm-1", "a", OWN, (CONTROL,), (b"k" * 32,))
@@ -123,16 +123,16 @@
         assert link.addresses() == (ADDRESS,)
 
 
-class TestLeaseLines:
-    def test_each_change_is_one_line(
+class TestLeaseLog:
+    def test_each_change_is_logged_once(
         self,
         monkeypatch: pytest.MonkeyPatch,
         caplog: pytest.LogCaptureFixture,
     ) -> None:
         """An entry starts, gets a lease, and loses it with its control.
 
-        On call, each of the three is looked for in the log; a line that
-        stands twice looks like a lease that was lost in between.
+        An engineer on call looks for each of the three in the log. A
+        repeated line would look like a lease that was lost in between.
         """
         now_s = 100.0
         monkeypatch.setattr(link_module, "boottime_s", lambda: now_s)
@@ -152,18 +152,18 @@
         ]
 
 
-class TestMoving:
-    def test_a_list_that_came_before_the_move_is_used(
+class TestAddressesAfterMove:
+    def test_list_received_before_the_move_is_used(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Control tells a list once; a data centre's callers got none."""
+        """Control sends a list once; callers of a data centre got none."""
         link = link_of(1)
         link._handle_message(LEFT, AddressList((ADDRESS,)))
         assert link.addresses() == ()
         monkeypatch.setattr(link, "control_address", lambda: LEFT)
         assert link.addresses() == (ADDRESS,)
 
-    def test_without_one_the_last_list_goes_on(
+    def test_last_list_is_kept_without_a_new_one(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         link = link_of(1)
@@ -173,16 +173,16 @@
         assert link.addresses() == (ADDRESS,)
 
 
-class TestSessions:
+class TestListeners:
     STAY: Final = SessionsStay("words", "v2", 0, (7,))
 
-    def test_they_are_told_to_control_and_heard_from_it(self) -> None:
+    def test_message_is_sent_to_control_and_received_from_it(self) -> None:
         link = link_of(1)
         mailbox = Mailbox()
         link.mesh = mailbox  # type: ignore[assignment]
-        heard: list[SessionsStay] = []
-        link.listen(SessionsStay, heard.append)
+        received: list[SessionsStay] = []
+        link.listen(SessionsStay, received.append)
         link.tell(self.STAY)
         assert mailbox.sent == [(link.control_address(), self.STAY)]
         link._handle_message(link.control_address(), self.STAY)
-        assert heard == [self.STAY]
+        assert received == [self.STAY]
--- a/packages/sycamorestand-entry/tests/routed/test_attempts.py
+++ b/packages/sycamorestand-entry/tests/routed/test_attempts.py
@@ -1,4 +1,4 @@
-"""How often a routed request is sent, and for how long."""
+"""Attempts of routed requests: how many are made and how long they last."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 async def add_servers(
     loopback: RoutedLoopback, handler: Handler, count: int = 3
 ) -> None:
-    """Serve the service by so many servers of this handler."""
+    """Start ``count`` servers of the service with this handler."""
     for number in range(count):
         await loopback.add_server(f"s-{number}", handler)
 
 
 async def closes(request: bytes, stream: SocketStream) -> None:
-    """Read a request and close without an answer."""
+    """Close the connection without an answer."""
     raise anyio.EndOfStream
 
 
 async def fails(request: bytes, stream: SocketStream) -> None:
-    """Answer with a failure of the server's own."""
+    """Answer with status 500."""
     head = answer_head(request, b"content-length: 0", status=500)
     await stream.send(head)
 
 
 class TestRepeating:
-    async def test_order_whose_answer_is_lost_is_sent_once(self) -> None:
+    async def test_order_with_lost_answer_is_sent_once(self) -> None:
         async with start_routed() as loopback:
             await add_servers(loopback, closes)
             answer = await loopback.ask("/order/1")
             assert len(loopback.requests) == 1
         assert answer.startswith(b"HTTP/1.1 502")
 
-    async def test_lookup_is_sent_to_no_more_servers_than_allowed(
+    async def test_retries_stay_within_max_attempts(
         self,
     ) -> None:
         async with start_routed() as loopback:
@@ -59,11 +59,11 @@
         assert answer.startswith(b"HTTP/1.1 500")
         assert b"x-stamp: s" in answer
 
-    async def test_slow_answer_is_waited_for_with_nobody_else(self) -> None:
-        """The only server takes longer than one would like to wait.
+    async def test_only_server_is_not_given_up_while_slow(self) -> None:
+        """The only server takes longer than the attempt's time limit.
 
-        To give it up leaves the lookup without an answer, although there
-        is time for it.
+        Abandoning it would leave the lookup without an answer, although
+        its deadline leaves time for one.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -76,7 +76,7 @@
             assert len(loopback.requests) == 1
         assert answer.startswith(b"HTTP/1.1 200")
 
-    async def test_server_that_hangs_leaves_time_for_another(self) -> None:
+    async def test_hanging_server_leaves_time_for_a_retry(self) -> None:
         hung: list[bytes] = []
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -90,7 +90,7 @@
             answer = await loopback.ask("/stock/1")
         assert answer.startswith(b"HTTP/1.1 200")
 
-    async def test_time_handed_on_shrinks(self) -> None:
+    async def test_forwarded_deadline_shrinks_with_each_attempt(self) -> None:
         async with start_routed() as loopback:
             await add_servers(loopback, fails)
             await loopback.ask("/stock/1", x_deadline_ms="700")
@@ -102,11 +102,11 @@
 
 
 class TestCrashedServers:
-    async def test_a_request_finds_the_one_that_is_left(self) -> None:
-        """Six of seven servers crash together and are known for seconds.
+    async def test_request_reaches_the_only_running_server(self) -> None:
+        """Six of seven servers crash together and stay listed for seconds.
 
-        Their ports refuse at once. After four refusals the request was
-        given up, with a server free for it.
+        Their ports refuse connections. With a limit of four refusals the
+        request failed although one server was free.
         """
 
         async def answer(request: bytes, stream: SocketStream) -> None:
@@ -123,7 +123,7 @@
                 told = await loopback.ask("/order/1")
                 assert told.startswith(b"HTTP/1.1 200")
 
-    async def test_when_all_are_gone_it_is_refused_as_not_run(self) -> None:
+    async def test_request_is_refused_as_not_run_without_servers(self) -> None:
         async with start_routed() as loopback:
             for number in range(3):
                 name = f"s-{number}"
@@ -135,8 +135,8 @@
 
 
 class TestSlowCaller:
-    async def test_body_that_does_not_come_is_not_waited_for(self) -> None:
-        """A caller sends the head of an order and not its body."""
+    async def test_missing_body_is_refused_at_the_deadline(self) -> None:
+        """A caller sends the headers of an order but not its body."""
         async with start_routed() as loopback:
             await add_servers(loopback, closes, 1)
             with anyio.fail_after(5):
@@ -148,8 +148,8 @@
 
 
 class TestCallerLeaves:
-    async def test_running_work_is_cancelled(self) -> None:
-        """A caller closes its connection while a server works for it."""
+    async def test_running_request_is_cancelled(self) -> None:
+        """A caller closes its connection while a server runs its request."""
         begun = anyio.Event()
         closed = anyio.Event()
 
@@ -172,13 +172,13 @@
 
 
 class TestMovedRoute:
-    async def test_route_that_goes_is_told_as_not_run(
+    async def test_removed_route_is_reported_as_not_run(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A route is removed while its request waits for a connection.
 
-        The request was allowed when it came; it hears "not run", and a 404
-        or the new route when it comes back, never a 403.
+        The request was allowed when it came, so it must not get a 403. It
+        is refused as not run; a retry gets a 404 or the new route.
         """
         async with start_routed() as loopback:
             await add_servers(loopback, closes, 1)
@@ -186,7 +186,7 @@
             reads = 0
 
             def lease_remaining_s() -> float:
-                # Read as the request comes, and again before it is sent.
+                # Read when the request comes, and again before it is sent.
                 nonlocal reads
                 reads += 1
                 if reads == 2:
@@ -209,14 +209,14 @@
         ("deadline_ms", "after"),
         [("200", b"0.10"), ("1500", b"0.45"), ("20000", b"2.20")],
     )
-    async def test_refusal_leaves_the_caller_its_time(
+    async def test_retry_after_is_a_share_of_the_callers_timeout(
         self, deadline_ms: str, after: bytes
     ) -> None:
-        """Entries are cut off from control processes; others are not.
+        """Some entries are cut off from control, others are not.
 
-        A caller that comes back before its list of addresses is renewed
-        may meet the next one that is cut off. One with little time that
-        comes back as late is late wherever it is served.
+        A caller that retries before its list of addresses is renewed may
+        reach another entry that is cut off. A caller with a short timeout
+        that retries late misses its deadline at any entry.
         """
         async with start_routed() as loopback:
             loopback.control.lease_s = 0.0
--- a/packages/sycamorestand-entry/tests/routed/test_decision_log.py
+++ b/packages/sycamorestand-entry/tests/routed/test_decision_log.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by the log alone."""
+"""The log tells the cause of a failed request from the request's id."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 @pytest.fixture(autouse=True)
-def _all_lines(caplog: pytest.LogCaptureFixture) -> None:
+def _capture_info_lines(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
 
 
 def end_of(caplog: pytest.LogCaptureFixture, request: str) -> dict[str, Any]:
-    """Return the fields of the line that tells how a request ended."""
+    """Return the fields of the line logged at the end of a request."""
     (found,) = [
         record.__dict__
         for record in caplog.records
@@ -45,7 +45,7 @@
 def decisions_of(
     caplog: pytest.LogCaptureFixture, request: str
 ) -> list[dict[str, Any]]:
-    """Return the fields of the lines of a request's decisions."""
+    """Return the fields of the lines logged for a request's decisions."""
     return [
         record.__dict__
         for record in caplog.records
@@ -55,7 +55,7 @@
 
 
 class TestLines:
-    async def test_a_good_request_has_one_line(
+    async def test_successful_request_logs_one_line(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         async with start_routed() as loopback:
@@ -68,10 +68,13 @@
         assert end["expendable"]
         assert decisions_of(caplog, "r-1") == []
 
-    async def test_what_waits_for_nothing_is_not_noted_as_held(
+    async def test_request_that_does_not_wait_is_not_logged_as_held(
         self, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """On a busy machine each request seemed to wait for a lease."""
+        """Time passes between two reads of the clock on a busy machine.
+
+        Each request was logged as having waited for a lease.
+        """
         clock_ms = count()
         monkeypatch.setattr(
             DecisionLog, "elapsed_ms", lambda log: next(clock_ms)
@@ -81,10 +84,10 @@
             await loopback.ask("/stock/1", x_attempt="r-8")
         assert "Held" not in end_of(caplog, "r-8")["path"]
 
-    async def test_a_spent_share_tells_what_it_was_reckoned_by(
+    async def test_spent_arrival_share_is_logged_with_its_inputs(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """Every server is full, and the entry may not try another one."""
+        """Every server is full, and the arrival budget allows no retry."""
         allowance = Allowance(ratio=0.1, slack=0.0, window_s=60.0)
 
         async def full(request: bytes, stream: SocketStream) -> None:
@@ -109,7 +112,7 @@
         assert denied["first"] == 1
         assert denied["left"] < 1
 
-    async def test_a_refusal_tells_why_and_that_it_did_not_run(
+    async def test_refusal_is_logged_with_its_reason_and_run_state(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         """No server of the service is known; the caller gets 503."""
@@ -126,7 +129,7 @@
         assert held["decision"] == "Held"
         assert held["missing"] == "server"
 
-    async def test_without_a_lease_the_line_tells_its_age(
+    async def test_missing_lease_is_logged_with_its_age(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         async with start_routed() as loopback:
@@ -137,10 +140,10 @@
         assert end["lease_ms"] == -3500
         assert end["revision"] == loopback.control.in_force().revision
 
-    async def test_a_server_that_breaks_off_is_named(
+    async def test_server_that_breaks_off_is_logged(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """The server closes in the middle; the order may have run."""
+        """The server closes without an answer; the order may have run."""
 
         async def close(request: bytes, stream: SocketStream) -> None:
             raise anyio.EndOfStream
@@ -157,10 +160,10 @@
         assert attempt["outcome"] == "error"
         assert attempt["reason"]
 
-    async def test_a_late_stream_has_all_its_lines(
+    async def test_late_stream_logs_its_decisions(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """The aim of the route is over before the first event comes."""
+        """The first event comes after the route's target latency."""
 
         async def answer(request: bytes, stream: SocketStream) -> None:
             await stream.send(stream_head(request) + event(1) + b"0\r\n\r\n")
@@ -180,13 +183,13 @@
         assert end["late"]
         assert len(decisions_of(caplog, "r-5")) == 3
 
-    async def test_a_pause_makes_a_stream_late(
+    async def test_long_pause_makes_a_stream_late(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         """The first event comes at once, the second after half a second.
 
-        The caller counts the answer as late: its route allows pauses of
-        0.3 s. Judged by the first event alone, the lines called it good.
+        The route allows pauses of 0.3 s, so the answer is late. The log
+        called it good when only the first event counted.
         """
 
         first_came = anyio.Event()
@@ -216,7 +219,7 @@
 
 
 class TestDecisionLog:
-    def test_is_bounded(self) -> None:
+    def test_number_of_decisions_is_bounded(self) -> None:
         log = DecisionLog()
         log.request = "r-6"
         for number in range(10 * MAX_DECISIONS):
@@ -232,7 +235,7 @@
 
 
 async def receive_until(stream: SocketStream, part: bytes) -> bytes:
-    """Return what comes up to the read that brings this part."""
+    """Return the data read until it contains ``part``."""
     data = b""
     with anyio.fail_after(10):
         while part not in data:
--- a/packages/sycamorestand-entry/tests/routed/test_own_wire.py
+++ b/packages/sycamorestand-entry/tests/routed/test_default_header_names.py
@@ -1,4 +1,4 @@
-"""Routes on the product's own entry, under its own header names."""
+"""Routes of the entry application with the default header names."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     )
 
 
-class TestOwnWire:
-    async def test_a_route_leads_to_its_service(self) -> None:
+class TestDefaultHeaderNames:
+    async def test_route_leads_to_its_service(self) -> None:
         async with start_loopback() as loopback:
             service = FakeService("orders-1", ("orders",))
             await loopback.add_service(service)
@@ -53,7 +53,7 @@
             (record,) = service.records
             assert (record.request_key, record.body) == ("k-1", b"sheet")
 
-    async def test_own_paths_come_first(self) -> None:
+    async def test_own_paths_take_precedence_over_routes(self) -> None:
         async with start_loopback() as loopback:
             _declare(loopback, ORDERS._replace(path_prefix="/"))
             answer = await loopback.call(
@@ -61,13 +61,13 @@
             )
             assert answer.json()["object"] == "list"
 
-    async def test_no_route_is_no_path(self) -> None:
+    async def test_path_without_a_route_is_not_found(self) -> None:
         async with start_loopback() as loopback:
             _declare(loopback, ORDERS)
             answer = await loopback.call("GET", "/nothing", Host="other")
             assert answer.status == 404
 
-    async def test_a_key_that_nobody_has_is_refused(self) -> None:
+    async def test_unknown_key_is_refused(self) -> None:
         async with start_loopback() as loopback:
             service = FakeService("orders-1", ("orders",))
             await loopback.add_service(service)
--- a/packages/sycamorestand-entry/tests/routed/test_climb.py
+++ b/packages/sycamorestand-entry/tests/routed/test_escalation.py
@@ -1,4 +1,4 @@
-"""A request climbs to a larger model, unless others wait behind it."""
+"""Escalation of requests to a larger model, and what prevents it."""
 
 from __future__ import annotations
 
@@ -21,54 +21,56 @@
 MODEL: Final = re.compile(rb"x-model: (\w+)")
 
 
-class TestClimb:
-    async def test_a_poor_answer_climbs(self) -> None:
+class TestEscalation:
+    async def test_poor_answer_escalates(self) -> None:
         async with start_routed() as loopback:
             answer, models = await ask_with_sizes(loopback)
         assert models == [b"small", b"large"]
         assert answer.count(b"id: ") == 2
 
-    async def test_under_strain_the_poor_answer_goes_out(self) -> None:
+    async def test_poor_answer_is_forwarded_under_overload(self) -> None:
         """Streams wait for seconds at every server.
 
-        A climb would keep the others waiting behind a second reading of
-        its prompt, and be late itself.
+        An escalation would delay them by a second prefill of its prompt,
+        and be late itself.
         """
         async with start_routed() as loopback:
-            keep_waiting(loopback, quick=True)
+            add_queue_delay(loopback, quick=True)
             answer, models = await ask_with_sizes(loopback)
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
 
-    async def test_a_long_prompt_climbs_by_the_waits_of_long_ones(
+    async def test_long_prompt_does_not_escalate_while_long_ones_wait(
         self,
     ) -> None:
-        """Short prompts are read first and wait little; long ones wait.
+        """Engines read short prompts first, so only long ones wait.
 
-        By the waits of all, long prompts would go on to climb, pile up at
-        the large model, and their callers leave without an answer.
+        With a mean delay over both, long prompts would still escalate and
+        queue at the large model, and their callers would leave without an
+        answer.
         """
         async with start_routed() as loopback:
-            keep_waiting(loopback, quick=False)
+            add_queue_delay(loopback, quick=False)
             reading = loopback.entry.context.reading
             reading.observed("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
 
-    async def test_a_short_prompt_climbs_all_the_same(self) -> None:
+    async def test_short_prompt_escalates_while_long_ones_wait(self) -> None:
         async with start_routed() as loopback:
-            keep_waiting(loopback, quick=False)
+            add_queue_delay(loopback, quick=False)
             _, models = await ask_with_sizes(loopback, "400,100")
         assert models == [b"small", b"large"]
 
 
-class TestBudgetOfArrivals:
-    async def test_a_spent_budget_lets_the_poor_answer_out(self) -> None:
-        """Servers are lost, and what is tried again has spent the budget.
+class TestArrivalBudget:
+    async def test_poor_answer_is_forwarded_once_budget_is_spent(self) -> None:
+        """Servers are lost, and retries have spent the arrival budget.
 
-        Without a bound on climbs they and the repeats together doubled the
-        load of the servers that were left. The caller gets what there is.
+        Without a bound on escalations, they and the retries together
+        doubled the load of the remaining servers. The caller gets the poor
+        answer.
         """
         allowance = Allowance(ratio=0.1, slack=0.0, window_s=60.0)
         async with start_routed(
@@ -78,8 +80,8 @@
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
 
-    async def test_refusals_draw_on_it_as_well(self) -> None:
-        """Every server is full and says so; the caller is told at once."""
+    async def test_retries_after_refusals_spend_it_too(self) -> None:
+        """Every server refuses as full; the caller is refused at once."""
         allowance = Allowance(ratio=0.1, slack=0.0, window_s=60.0)
 
         async def full(request: bytes, stream: SocketStream) -> None:
@@ -97,10 +99,10 @@
         assert b"retry-after" in answer
 
 
-class TestWhatKeptAnAnswer:
-    """A poor answer went out, and its line did not tell which bound did it."""
+class TestLoggedReason:
+    """The request's log line names the limit that prevented an escalation."""
 
-    async def test_the_arrivals_that_are_kept_for_others(
+    async def test_reserved_arrivals_are_logged(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         caplog.set_level("INFO")
@@ -110,18 +112,18 @@
             await ask_with_sizes(loopback)
         assert "no-climb:arrivals_kept" in path_of(caplog)
 
-    async def test_the_strain_of_the_servers(
+    async def test_queue_delay_is_logged(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         caplog.set_level("INFO")
         async with start_routed() as loopback:
-            keep_waiting(loopback, quick=True)
+            add_queue_delay(loopback, quick=True)
             await ask_with_sizes(loopback)
         assert "no-climb:strain" in path_of(caplog)
 
 
 def path_of(caplog: pytest.LogCaptureFixture) -> str:
-    """Return the decisions of the one request, in short."""
+    """Return the summary of decisions from the only request's log line."""
     (path,) = [
         str(record.__dict__["path"])
         for record in caplog.records
@@ -130,8 +132,8 @@
     return path
 
 
-def keep_waiting(loopback: RoutedLoopback, quick: bool) -> None:
-    """Let requests have waited for seconds at every server."""
+def add_queue_delay(loopback: RoutedLoopback, quick: bool) -> None:
+    """Record queue delays of seconds for short or long prefills."""
     delay = loopback.entry.context.delay("stock", quick)
     for _ in range(8):
         delay.observed(time.monotonic(), 4.0)
@@ -140,9 +142,9 @@
 async def ask_with_sizes(
     loopback: RoutedLoopback, tokens: str = "400,100"
 ) -> tuple[bytes, list[bytes]]:
-    """Return the answer to a request that every model answers poorly."""
+    """Return the answer, and the models asked, if all answer poorly."""
 
-    async def poorly(request: bytes, stream: SocketStream) -> None:
+    async def answer_poorly(request: bytes, stream: SocketStream) -> None:
         head = answer_head(
             request,
             b"content-type: text/event-stream",
@@ -152,8 +154,8 @@
         await stream.send(head + event(1) + event(2) + b"0\r\n\r\n")
 
     loopback.control.configuration = with_sizes(loopback.control.in_force())
-    await loopback.add_server("s-1", poorly)
-    await loopback.add_server("s-2", poorly)
+    await loopback.add_server("s-1", answer_poorly)
+    await loopback.add_server("s-2", answer_poorly)
     answer = await loopback.ask("/review/1", x_model="*", x_tokens=tokens)
     models = [
         found.group(1)
--- a/packages/sycamorestand-entry/tests/routed/test_fallback.py
+++ b/packages/sycamorestand-entry/tests/routed/test_fallback.py
@@ -1,4 +1,4 @@
-"""A stream settles for what can be had soonest before its caller leaves."""
+"""A waiting stream falls back to the smallest model in time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from sycamorestand_decisions.patience import AnswerTime
 
 pytestmark = pytest.mark.anyio
-# Half of it is waited for before the fallback.
+# The fallback begins after half of this time.
 SILENCE_LIMIT_MS: Final = 2400
 SIZES: Final = ("small", "middle", "large")
 MODEL: Final = re.compile(rb"x-model: (\w+)")
@@ -29,40 +29,42 @@
 END: Final = b"0\r\n\r\n"
 
 
-async def answer(request: bytes, stream: SocketStream, sure: int) -> None:
-    """Answer with two events, as sure of them as told, 0 to 100."""
+async def answer(
+    request: bytes, stream: SocketStream, confidence: int
+) -> None:
+    """Answer with two events and a confidence from 0 to 100."""
     head = answer_head(
         request,
         b"content-type: text/event-stream",
         b"transfer-encoding: chunked",
-        b"x-confidence: %d" % sure,
+        b"x-confidence: %d" % confidence,
     )
     await stream.send(head + event(1) + event(2) + END)
 
 
-async def only_small(request: bytes, stream: SocketStream) -> None:
-    """Answer poorly as the small model; others never come to it."""
+async def answer_if_small(request: bytes, stream: SocketStream) -> None:
+    """Answer poorly as the small model; larger models never answer."""
     if model_of(request) == b"small":
-        await answer(request, stream, sure=10)
+        await answer(request, stream, confidence=10)
     else:
         await anyio.sleep(30)
 
 
-async def only_urgent(request: bytes, stream: SocketStream) -> None:
-    """Begin only what is first in the order of reading."""
+async def answer_if_first_rank(request: bytes, stream: SocketStream) -> None:
+    """Answer only requests of the first scheduling rank."""
     if rank_of(request) == 0:
-        await answer(request, stream, sure=90)
+        await answer(request, stream, confidence=90)
     else:
         await anyio.sleep(30)
 
 
 class TestFallback:
-    async def test_an_answer_dropped_for_a_larger_model_is_had_again(
+    async def test_falls_back_to_the_model_whose_answer_was_dropped(
         self,
     ) -> None:
-        """The larger model never comes to the prompt; the caller leaves."""
+        """The larger model never answers, and the caller would leave."""
         async with start_routed() as loopback:
-            got = await ask(loopback, only_small, "s-1", "s-2")
+            got = await ask(loopback, answer_if_small, "s-1", "s-2")
             sent = loopback.requests
         assert got.endswith(END)
         models = [model_of(request) for _, request in sent]
@@ -70,28 +72,30 @@
         assert rank_of(sent[2][1]) == 0
         assert sent[2][0] == sent[0][0]
 
-    async def test_what_waits_behind_others_is_read_next(self) -> None:
-        """Shorter prompts are read first for as long as they come."""
+    async def test_fallback_has_the_first_rank(self) -> None:
+        """The engine keeps reading shorter prompts before this one."""
         async with start_routed() as loopback:
-            got = await ask(loopback, only_urgent, "s-1")
+            got = await ask(loopback, answer_if_first_rank, "s-1")
             ranks = [rank_of(request) for _, request in loopback.requests]
         assert got.endswith(END)
         assert ranks[0] > 0
         assert ranks[1:] == [0]
 
-    async def test_after_all_attempts_it_goes_back_to_a_server(self) -> None:
-        """Three servers were left unread; a fourth may not be asked."""
+    async def test_after_all_attempts_it_returns_to_a_server(self) -> None:
+        """Three servers did not begin; a fourth may not be asked."""
         async with start_routed() as loopback:
             names = ("s-1", "s-2", "s-3", "s-4")
-            got = await ask(loopback, only_urgent, *names, tokens="400,100")
+            got = await ask(
+                loopback, answer_if_first_rank, *names, tokens="400,100"
+            )
             asked = {name for name, _ in loopback.requests}
         assert got.endswith(END)
         assert len(asked) <= 3
 
-    async def test_what_ran_as_often_as_it_may_is_not_run_again(self) -> None:
-        """Every model began an answer; the last one hangs in its first."""
+    async def test_no_fallback_after_max_attempts_runs(self) -> None:
+        """Every model began an answer, and the last one hangs."""
 
-        async def hangs(request: bytes, stream: SocketStream) -> None:
+        async def hang_if_large(request: bytes, stream: SocketStream) -> None:
             if model_of(request) == b"large":
                 head = answer_head(
                     request,
@@ -100,33 +104,33 @@
                 )
                 await stream.send(head)
                 await anyio.sleep(30)
-            await answer(request, stream, sure=46)
+            await answer(request, stream, confidence=46)
 
         async with start_routed() as loopback:
-            await ask(loopback, hangs, "s-1", "s-2", "s-3", "s-4")
+            await ask(loopback, hang_if_large, "s-1", "s-2", "s-3", "s-4")
             models = [model_of(request) for _, request in loopback.requests]
         assert models == [b"small", b"middle", b"large"]
 
-    async def test_without_a_server_for_it_the_wait_goes_on(self) -> None:
-        """The only server is not heard of any more, and answers late."""
+    async def test_call_keeps_waiting_without_a_server_for_it(self) -> None:
+        """The only server is no longer listed, and answers late."""
 
-        async def late(request: bytes, stream: SocketStream) -> None:
+        async def answer_late(request: bytes, stream: SocketStream) -> None:
             loopback.control.servers.clear()
             await anyio.sleep(SILENCE_LIMIT_MS / 1000 * 0.8)
-            await answer(request, stream, sure=90)
+            await answer(request, stream, confidence=90)
 
         async with start_routed() as loopback:
-            got = await ask(loopback, late, "s-1")
+            got = await ask(loopback, answer_late, "s-1")
             assert len(loopback.requests) == 1
         assert got.endswith(END)
 
-    async def test_it_leaves_the_time_that_answers_take(self) -> None:
-        """The caller's second try has half of its time left.
+    async def test_fallback_reserves_the_duration_of_an_answer(self) -> None:
+        """An answer takes a large part of the caller's timeout.
 
-        Read in time, the answer was cut at the end of the caller's time.
+        A fallback that began too late was cut at the caller's deadline.
         """
 
-        async def slowly(request: bytes, stream: SocketStream) -> None:
+        async def answer_slowly(request: bytes, stream: SocketStream) -> None:
             if rank_of(request) > 0:
                 await anyio.sleep(30)
             await stream.send(stream_head(request) + event(1))
@@ -137,11 +141,13 @@
             loopback.entry.context.answer_times.ended(
                 "review", AnswerTime(0.0, 2.2, 1)
             )
-            got = await ask(loopback, slowly, "s-1", silence_limit_ms=8000)
+            got = await ask(
+                loopback, answer_slowly, "s-1", silence_limit_ms=8000
+            )
         assert got.endswith(END)
 
-    async def test_climbs_leave_an_arrival_for_it(self) -> None:
-        """Others' climbs had spent the budget when it was needed."""
+    async def test_escalations_leave_an_arrival_for_it(self) -> None:
+        """Escalations of other requests had spent the arrival budget."""
         allowance = Allowance(ratio=0.9, slack=60.0, window_s=60.0)
         settings = SETTINGS._replace(allowance=allowance)
         async with start_routed(settings) as loopback:
@@ -149,17 +155,17 @@
             arrivals = loopback.entry.context.arrivals
             for _ in range(2):
                 arrivals.sent_first("stock", time.monotonic())
-            got = await ask(loopback, only_urgent, "s-1", "s-2")
+            got = await ask(loopback, answer_if_first_rank, "s-1", "s-2")
             models = [model_of(request) for _, request in loopback.requests]
         assert got.endswith(END)
         assert models == [b"small", b"small"]
 
-    async def test_it_draws_on_the_budget_of_arrivals(self) -> None:
-        """All wait at once: sent again, they would double the load."""
+    async def test_fallback_spends_the_arrival_budget(self) -> None:
+        """If all waiting requests were sent again, the load would double."""
         allowance = Allowance(ratio=0.1, slack=0.0, window_s=60.0)
         settings = SETTINGS._replace(allowance=allowance)
         async with start_routed(settings) as loopback:
-            await ask(loopback, only_urgent, "s-1", "s-2")
+            await ask(loopback, answer_if_first_rank, "s-1", "s-2")
             assert len(loopback.requests) == 1
 
 
@@ -170,7 +176,7 @@
     tokens: str = "40000,100",
     silence_limit_ms: int = SILENCE_LIMIT_MS,
 ) -> bytes:
-    """Return the answer of servers with this handler to a long prompt."""
+    """Return the answer to a long prompt by servers with this handler."""
     in_force = loopback.control.in_force()
     declared = in_force.declarations
     review = declared.routes["review"]._replace(
@@ -186,12 +192,12 @@
 
 
 def model_of(request: bytes) -> bytes:
-    """Return the model that is to answer."""
+    """Return the model that shall answer."""
     found = MODEL.search(request)
     return found.group(1) if found else b""
 
 
 def rank_of(request: bytes) -> int:
-    """Return the place in the engine's order."""
+    """Return the scheduling rank of the request, -1 if it has none."""
     found = RANK.search(request)
     return int(found.group(1)) if found else -1
--- a/packages/sycamorestand-entry/tests/routed/test_foreign_answers.py
+++ b/packages/sycamorestand-entry/tests/routed/test_foreign_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, or none."""
+"""Callers get complete answers to their own requests, or an error."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def reset(stream: SocketStream) -> None:
-    """End a connection as a crashed server does."""
+    """Reset a connection as a crashed server does."""
     raw = stream.extra(SocketAttribute.raw_socket)
     linger = struct.pack("ii", 1, 0)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -31,7 +31,7 @@
 
 
 async def ask_one(loopback: RoutedLoopback, answer: bytes) -> bytes:
-    """Return what a caller gets where a server answers so."""
+    """Return the caller's answer if its only server sends ``answer``."""
 
     async def handler(request: bytes, stream: SocketStream) -> None:
         await stream.send(answer)
@@ -41,11 +41,11 @@
 
 
 class TestLateAnswer:
-    async def test_is_skipped_on_a_kept_connection(self) -> None:
+    async def test_is_skipped_on_a_reused_connection(self) -> None:
         """A server sends a second answer to an order it has answered.
 
-        It comes as the next order is on its way on the same connection.
-        That order has its own answer behind it, and its caller gets it.
+        That answer comes while the next order runs on the same connection.
+        The next order's own answer follows, and its caller gets that one.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -64,7 +64,7 @@
         assert second.endswith(b"\r\n\r\nsecond")
         assert b"of the first" not in second
 
-    async def test_bytes_behind_an_answer_belong_to_nobody(self) -> None:
+    async def test_bytes_after_an_answer_are_dropped(self) -> None:
         async with start_routed(KEPT) as loopback:
             whole = answer_bytes(b"x-attempt: a1", b"mine")
             answer = await ask_one(loopback, whole + whole)
@@ -73,10 +73,11 @@
 
 
 class TestCutAnswer:
-    async def test_reset_without_a_length_is_no_whole_answer(self) -> None:
-        """A server's answer has no length and ends with its connection.
+    async def test_answer_without_length_fails_at_a_reset(self) -> None:
+        """An answer without a length ends when its connection closes.
 
-        It is reset in the middle; what came of it must not pass as whole.
+        After a reset in the middle, the received part must not be forwarded
+        as a complete answer.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -91,7 +92,7 @@
         assert b"x-stamp" not in answer
         assert b"half" not in answer
 
-    async def test_end_without_a_length_is_the_whole_answer(self) -> None:
+    async def test_answer_without_length_is_complete_at_a_close(self) -> None:
         async def handler(request: bytes, stream: SocketStream) -> None:
             await stream.send(answer_head(request) + b"all of it")
             raise anyio.EndOfStream
@@ -103,7 +104,7 @@
         assert answer.endswith(b"all of it")
 
 
-class TestUnsignedAnswer:
+class TestUnacceptableAnswer:
     @pytest.mark.parametrize(
         "head",
         [
@@ -114,7 +115,7 @@
             b"some bytes",
         ],
     )
-    async def test_is_not_passed_on(self, head: bytes) -> None:
+    async def test_is_not_forwarded(self, head: bytes) -> None:
         async with start_routed() as loopback:
             answer = await ask_one(
                 loopback, head + b"\r\ncontent-length: 2\r\n\r\nok"
@@ -122,11 +123,13 @@
         assert answer.startswith(b"HTTP/1.1 502")
 
     @pytest.mark.parametrize("status", [408, 429, 503])
-    async def test_false_promise_is_not_repeated(self, status: int) -> None:
+    async def test_unconfirmed_not_run_status_is_not_forwarded(
+        self, status: int
+    ) -> None:
         """A server fails an order with a status that means "not run".
 
-        It does not say that it did not run it, so it may have; a caller
-        that is told so would send the order again.
+        Without the "not run" header the server may have run the order. A
+        caller that got the status would send the order again.
         """
         async with start_routed() as loopback:
             head = answer_head(
@@ -136,7 +139,7 @@
         assert answer.startswith(b"HTTP/1.1 502")
         assert b"x-stamp" not in answer
 
-    async def test_refusal_of_a_full_server_is_one_of_ours(self) -> None:
+    async def test_refusal_of_a_full_server_becomes_the_entrys(self) -> None:
         async with start_routed() as loopback:
             head = answer_head(
                 b"x-attempt: a1",
@@ -149,7 +152,7 @@
         assert b"retry-after: 0." in answer
         assert b"x-stamp" not in answer
 
-    async def test_failure_of_the_server_is_passed_on_as_it_is(self) -> None:
+    async def test_failure_of_the_server_is_forwarded_unchanged(self) -> None:
         async with start_routed() as loopback:
             head = answer_head(
                 b"x-attempt: a1", b"content-length: 3", status=500
@@ -160,11 +163,12 @@
         assert answer.endswith(b"bad")
 
 
-class TestRequestAsSent:
-    async def test_target_and_lasting_headers_are_kept(self) -> None:
-        """A caller names its own attempt as a header of the connection.
+class TestForwardedRequest:
+    async def test_target_and_defining_headers_are_kept(self) -> None:
+        """A caller lists the attempt header in its ``Connection`` header.
 
-        Dropped, the server would run a request that names nobody.
+        If the entry dropped the header, the server would run a request
+        without an attempt.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
--- a/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
+++ b/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
@@ -1,4 +1,4 @@
-"""An entry's start and planned stop, as callers on routes see them."""
+"""Start and planned stop of an entry, as seen by callers of its routes."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 from sycamorestand_model.nodes import EntryAddress
 
 pytestmark = pytest.mark.anyio
-# Less than the route's timeout, more than the answers of a test take.
+# Shorter than the route's timeout, longer than the answers of a test.
 LIMITED: Final = SETTINGS._replace(stop_limit_s=3.0)
 
 
 class TestStart:
-    async def test_a_request_waits_for_the_lease(self) -> None:
-        """All entries were killed; this one is back, its lease is not yet.
+    async def test_request_waits_for_the_lease(self) -> None:
+        """All entries were killed; this one runs again without a lease.
 
-        The caller may come back once, and no other entry is there for it.
-        It was turned away by a port that nobody listened on; now it gets
-        its answer as soon as the lease is there.
+        The caller may retry once, and no other entry can answer it. Without
+        the wait, its connection or its request would be refused; with it,
+        the caller gets its answer as soon as the lease is granted.
         """
         async with start_routed() as loopback:
             await loopback.add_server("s-1", _answer)
@@ -46,8 +46,8 @@
                 answer = await loopback.ask("/stock/1", x_deadline_ms="2500")
         assert answer.startswith(b"HTTP/1.1 200")
 
-    async def test_a_request_waits_for_the_first_server(self) -> None:
-        """The lease is there, and no server has announced itself again."""
+    async def test_request_waits_for_the_first_server(self) -> None:
+        """The entry has its lease, but no server has announced itself yet."""
         async with start_routed() as loopback:
 
             async def announce_later() -> None:
@@ -59,8 +59,10 @@
                 answer = await loopback.ask("/stock/1", x_deadline_ms="2500")
         assert answer.startswith(b"HTTP/1.1 200")
 
-    async def test_no_lease_in_time_is_refused_with_time_left(self) -> None:
-        """Control is down. The caller is told while it has time to go on."""
+    async def test_request_without_lease_is_refused_with_time_left(
+        self,
+    ) -> None:
+        """Control is down; the caller is refused while it can still retry."""
         async with start_routed() as loopback:
             loopback.control.lease_s = 0.0
             answer = await loopback.ask("/stock/1", x_deadline_ms="1000")
@@ -68,12 +70,12 @@
         assert b"retry-after: 0.30" in answer
         assert loopback.requests == []
 
-    async def test_who_is_cut_off_later_refuses_at_once(
+    async def test_entry_cut_off_after_its_start_refuses_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """An entry that has run for long loses its lease in a partition.
 
-        Nobody knows when that ends, and other entries are there.
+        The partition may last, and other entries can answer the caller.
         """
         waits: list[float] = []
 
@@ -99,11 +101,11 @@
 
 
 class TestBoundedStop:
-    async def test_idle_connections_do_not_hold_it(self) -> None:
-        """A caller keeps an idle connection; the entry is stopped.
+    async def test_idle_connections_do_not_delay_the_stop(self) -> None:
+        """A caller keeps an idle connection while the entry is stopped.
 
-        To wait for that connection's timer takes longer than a process is
-        given to stop; it would be killed with what still runs.
+        The connection's keep-alive time exceeds the stop limit. An entry
+        that waited for it would be killed together with its requests.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -120,7 +122,7 @@
                 with anyio.fail_after(4):
                     await loopback.entry.stopped.wait()
 
-    async def test_stream_that_runs_is_finished(self) -> None:
+    async def test_running_stream_is_finished(self) -> None:
         async def handler(request: bytes, stream: SocketStream) -> None:
             await stream.send(stream_head(request) + event(1))
             await anyio.sleep(1.0)
@@ -139,8 +141,8 @@
         assert b"id: 2" in answer
         assert answer.endswith(b"0\r\n\r\n")
 
-    async def test_a_climb_that_the_stop_would_end_is_given_up(self) -> None:
-        """A larger model is asked, and the process ends before it answers."""
+    async def test_escalation_that_the_stop_would_cut_falls_back(self) -> None:
+        """The process would end before the larger model answers."""
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             if b"x-model: small" not in request:
@@ -166,8 +168,8 @@
                     answer = await read_to_end(stream)
         assert answer.endswith(b"0\r\n\r\n")
 
-    async def test_who_waits_at_the_end_is_told(self) -> None:
-        """Callers saw a connection that closed, and not what had run."""
+    async def test_waiting_caller_gets_an_error_before_the_end(self) -> None:
+        """A closed connection would not tell the caller what had run."""
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             await anyio.sleep(30)
@@ -183,8 +185,8 @@
                     answer = await read_to_end(stream)
         assert answer.startswith(b"HTTP/1.1 504")
 
-    async def test_stream_without_an_end_is_broken_off(self) -> None:
-        """A stream runs on beyond the time that a process is given.
+    async def test_endless_stream_is_broken_off(self) -> None:
+        """A stream runs longer than the stop limit.
 
         The entry ends by itself before it would be killed, and the stream
         does not look complete.
@@ -206,10 +208,10 @@
                     await loopback.entry.stopped.wait()
         assert not answer.endswith(b"0\r\n\r\n")
 
-    async def test_a_stream_that_it_cuts_counts_against_no_server(
+    async def test_cut_stream_is_no_failure_of_its_version(
         self,
     ) -> None:
-        """Planned stops counted as failures of a version."""
+        """Planned stops of entries counted as failures of a version."""
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             await stream.send(stream_head(request) + event(1))
@@ -232,8 +234,8 @@
 
 
 class TestStoppingEntry:
-    async def test_a_stream_that_it_would_cut_is_refused_at_once(self) -> None:
-        """Streams were accepted after a stop had begun, and cut by it."""
+    async def test_stream_that_it_would_cut_is_refused_at_once(self) -> None:
+        """The entry accepted streams after a stop had begun, and cut them."""
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
             begin_slow_stop(loopback, others=True)
@@ -243,23 +245,26 @@
         assert b"retry-after: 0.10" in answer
         assert sent == []
 
-    async def test_it_is_taken_where_no_other_entry_is(self) -> None:
-        """A refusal would leave the caller with nobody to ask."""
+    async def test_stream_is_accepted_without_another_entry(self) -> None:
+        """After a refusal the caller could reach no other entry."""
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
             begin_slow_stop(loopback, others=False)
             answer = await loopback.ask("/review/1", x_deadline_ms="20000")
         assert answer.startswith(b"HTTP/1.1 200")
 
-    async def test_a_stream_of_unknown_length_is_refused(self) -> None:
-        """The first to stop, soon after its start, took streams and cut."""
+    async def test_stream_of_unknown_duration_is_refused(self) -> None:
+        """An entry stops soon after its start, with few finished answers.
+
+        It accepted streams and cut them.
+        """
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
             begin_slow_stop(loopback, others=True, known=False)
             answer = await loopback.ask("/review/1", x_deadline_ms="20000")
         assert answer.startswith(b"HTTP/1.1 503")
 
-    async def test_what_ends_in_time_is_taken(self) -> None:
+    async def test_call_that_ends_in_time_is_accepted(self) -> None:
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
             begin_slow_stop(loopback, others=True)
@@ -270,7 +275,11 @@
 def begin_slow_stop(
     loopback: RoutedLoopback, others: bool, known: bool = True
 ) -> None:
-    """Begin a stop of an entry whose last streams took long to answer."""
+    """Begin the stop of an entry whose last streams took long to answer.
+
+    With ``others``, another entry serves; without ``known``, no answer of
+    this entry has finished yet.
+    """
     context = loopback.entry.context
     for _ in range(ANSWERS_KEPT if known else 0):
         longest = AnswerTime(0.5, LIMITED.stop_limit_s, 10)
--- a/packages/sycamorestand-entry/tests/routed/test_streams.py
+++ b/packages/sycamorestand-entry/tests/routed/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams go on where they broke, whole and in order."""
+"""Broken streams resume at another server, complete and in order."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def last_event(request: bytes) -> int:
-    """Return the last event that the request says the caller has."""
+    """Return the last event that the caller has according to the request."""
     _, found, rest = request.partition(b"last-event-id: ")
     return int(rest.split(b"\r\n")[0]) if found else 0
 
 
 def rank(request: bytes) -> int:
-    """Return the place in the engine's order of reading."""
+    """Return the scheduling rank of the request at the engine."""
     return int(request.partition(b"x-priority: ")[2][:1])
 
 
 def change_route(loopback: RoutedLoopback, **fields: int) -> None:
-    """Declare these fields of the route of streams."""
+    """Replace these fields of the route for streams."""
     in_force = loopback.control.in_force()
     declared = in_force.declarations
     review = declared.routes["review"]._replace(**fields)
@@ -43,33 +43,33 @@
     )
 
 
-def let_aim_be_over(loopback: RoutedLoopback) -> None:
-    """Give streams an aim that is over before they begin."""
+def set_missed_target_latency(loopback: RoutedLoopback) -> None:
+    """Give streams a target latency that they miss before they begin."""
     change_route(loopback, target_latency_ms=1)
 
 
-async def go_on(request: bytes, stream: SocketStream) -> None:
-    """Answer with the events behind the last one up to the fifth."""
+async def resume(request: bytes, stream: SocketStream) -> None:
+    """Answer with the events after the caller's last one up to the fifth."""
     first = last_event(request) + 1
     events = b"".join(event(number) for number in range(first, 6))
     await stream.send(stream_head(request) + events + END)
 
 
-def breaks(after: bytes, waits: bool = False) -> Handler:
-    """Return a handler that breaks off, or hangs, after these bytes.
+def break_once(after: bytes, hangs: bool = False) -> Handler:
+    """Return a handler that breaks off once, or hangs, after these bytes.
 
-    It does so once; the next request is answered to the end.
+    It answers the next request completely.
     """
     done = False
 
     async def handler(request: bytes, stream: SocketStream) -> None:
         nonlocal done
         if done:
-            await go_on(request, stream)
+            await resume(request, stream)
             return
         done = True
         await stream.send(stream_head(request) + after)
-        if waits:
+        if hangs:
             await anyio.sleep(30)
         raise anyio.EndOfStream
 
@@ -79,18 +79,18 @@
 async def ask_two(
     loopback: RoutedLoopback, handler: Handler, **headers: str
 ) -> bytes:
-    """Return the stream of two servers, both with this handler."""
+    """Return the caller's stream from two servers with this handler."""
     await loopback.add_server("s-1", handler)
     await loopback.add_server("s-2", handler)
     return await loopback.ask("/review/1", **headers)
 
 
 class TestResume:
-    async def test_goes_on_behind_the_last_whole_event(self) -> None:
+    async def test_resumes_after_the_last_whole_event(self) -> None:
         """A server breaks off in the middle of the third event."""
         async with start_routed() as loopback:
             third = event(3)[:-6]
-            handler = breaks(event(1) + event(2) + third)
+            handler = break_once(event(1) + event(2) + third)
             answer = await ask_two(loopback, handler)
             (_, second) = loopback.requests[1]
         assert answer.startswith(b"HTTP/1.1 200")
@@ -98,52 +98,54 @@
         assert answer.count(b"id: ") == 5
         assert last_event(second) == 2
 
-    async def test_what_goes_on_is_not_read_last(self) -> None:
-        """A server is lost when the stream's aim is over for long.
+    async def test_resumed_stream_is_not_scheduled_last(self) -> None:
+        """A server is lost long after the stream's target latency.
 
-        The caller waits in the middle of its answer. Taken for a request
-        that is late all the same, the rest would be read behind all others
-        and the pause be late as well.
+        The caller waits in the middle of its answer. An engine that treated
+        the resumed request as late anyway would schedule it after all
+        others, and the pause would be too long as well.
         """
         async with start_routed() as loopback:
-            let_aim_be_over(loopback)
-            handler = breaks(event(1) + event(2))
+            set_missed_target_latency(loopback)
+            handler = break_once(event(1) + event(2))
             answer = await ask_two(loopback, handler, x_tokens="200,50")
             (_, second) = loopback.requests[1]
         assert answer.endswith(END)
         assert b"x-priority: 0\r\n" in second
 
-    async def test_a_long_prompt_that_goes_on_is_not_read_last(self) -> None:
-        """Its reading takes longer than a pause may be."""
+    async def test_resumed_long_prompt_is_not_scheduled_last(self) -> None:
+        """The prefill takes longer than the longest allowed pause."""
         async with start_routed() as loopback:
-            let_aim_be_over(loopback)
+            set_missed_target_latency(loopback)
             reading = loopback.entry.context.reading
             reading.observed("stock", "", 40_000, 1.0)
-            handler = breaks(event(1) + event(2))
+            handler = break_once(event(1) + event(2))
             answer = await ask_two(loopback, handler, x_tokens="40000,50")
             (_, second) = loopback.requests[1]
         assert answer.endswith(END)
         assert rank(second) < RANKS - 1
 
-    async def test_callers_own_last_event_is_kept(self) -> None:
-        """A caller resumes at the second event; the server breaks at once.
+    async def test_last_event_sent_by_the_caller_is_kept(self) -> None:
+        """A caller resumes after the second event; the server breaks at once.
 
-        The next server must go on for the same caller, not from the start.
+        The next server must continue there and not restart the stream.
         """
         async with start_routed() as loopback:
-            answer = await ask_two(loopback, breaks(b""), last_event_id="2")
+            answer = await ask_two(
+                loopback, break_once(b""), last_event_id="2"
+            )
             sent = [last_event(request) for _, request in loopback.requests]
         assert sent == [2, 2]
         assert b"id: 3" in answer
         assert b"id: 2" not in answer
 
     @pytest.mark.parametrize("first", [1, 4])
-    async def test_run_that_repeats_or_skips_is_not_joined(
+    async def test_run_that_repeats_or_skips_events_is_rejected(
         self, first: int
     ) -> None:
-        """The second run begins anew, or behind a piece that is missing.
+        """The second server restarts the stream, or skips an event.
 
-        The caller gets nothing of it: the answer breaks off.
+        The caller gets no event of it, and its answer breaks off.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
@@ -159,10 +161,10 @@
         assert answer.count(b"id: ") == 2
         assert not answer.endswith(END)
 
-    async def test_run_that_hangs_is_cancelled_before_the_next(self) -> None:
-        """A server hangs after two events; the stream goes on elsewhere.
+    async def test_hanging_run_is_cancelled_before_the_next(self) -> None:
+        """A server hangs after two events, and another resumes the stream.
 
-        The first server must see its connection closed by then.
+        The first server's connection must be closed before that.
         """
         closed = anyio.Event()
 
@@ -170,7 +172,7 @@
             if last_event(request):
                 with anyio.fail_after(1):
                     await closed.wait()
-                await go_on(request, stream)
+                await resume(request, stream)
                 return
             await stream.send(stream_head(request) + event(1) + event(2))
             try:
@@ -184,44 +186,44 @@
         assert answer.count(b"id: ") == 5
 
 
-class TestTime:
+class TestTimeouts:
     @pytest.mark.parametrize(
         ("tokens", "servers"), [("20000,100", 1), ("200,100", 2)]
     )
-    async def test_long_prompt_is_read_to_its_end(
+    async def test_long_prompt_is_not_moved_during_its_prefill(
         self, tokens: str, servers: int
     ) -> None:
-        """The first event comes after 1.7 s, later than a share of the aim.
+        """The first event comes after 1.7 s, a large part of the target.
 
-        A short prompt is sent to another server after 1.2 s, as this one
-        seems to hang. A long one takes so long to read: another server
-        would only begin it anew.
+        A short prompt moves to another server after 1.2 s, as its server
+        seems to hang. The prefill of a long prompt takes that long, and
+        another server would only start it again.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             if len(loopback.requests) == 1:
                 await anyio.sleep(1.7)
-            await go_on(request, stream)
+            await resume(request, stream)
 
         async with start_routed() as loopback:
             answer = await ask_two(loopback, handler, x_tokens=tokens)
             assert len(loopback.requests) == servers
         assert answer.endswith(END)
 
-    async def test_a_short_prompt_does_not_wait_behind_a_long_one(
+    async def test_short_prompt_does_not_wait_behind_a_long_one(
         self,
     ) -> None:
-        """A server reads a long prompt and begins nothing for 0.9 s.
+        """A server is busy with a long prompt for 0.9 s.
 
-        The short one behind it asks another server after a tenth of its
-        aim and is answered there. That server's version has not failed:
-        nothing of the request was read.
+        The short prompt behind it moves to another server after a tenth of
+        its target latency and is answered there. The abandoned attempt is
+        no failure of its version, as its prefill had not begun.
         """
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             if len(loopback.requests) == 1:
                 await anyio.sleep(0.9)
-            await go_on(request, stream)
+            await resume(request, stream)
 
         async with start_routed() as loopback:
             answer = await ask_two(loopback, handler, x_tokens="200,100")
@@ -230,23 +232,23 @@
         assert answer.endswith(END)
         assert not any(sample.failed for sample in samples)
 
-    async def test_stream_ends_with_its_routes_time(self) -> None:
+    async def test_hanging_stream_ends_at_the_deadline(self) -> None:
         """The only server hangs in the middle of the stream.
 
-        The caller's time is over after 1.2 s; it is not kept waiting, and
-        what it got does not look complete.
+        The stream ends at the caller's deadline after 1.2 s and does not
+        look complete.
         """
         async with start_routed() as loopback:
-            await loopback.add_server("s-1", breaks(event(1), waits=True))
+            await loopback.add_server("s-1", break_once(event(1), hangs=True))
             with anyio.fail_after(5):
                 answer = await loopback.ask("/review/1", x_deadline_ms="1200")
         assert b"id: 1" in answer
         assert not answer.endswith(END)
 
-    async def test_caller_that_does_not_read_is_given_up(self) -> None:
-        """A caller asks for a long stream and reads none of it.
+    async def test_stream_to_a_caller_that_does_not_read_ends(self) -> None:
+        """A caller requests a long stream and reads none of it.
 
-        The server's connection is closed when the caller's time is over.
+        The entry closes the server's connection at the caller's deadline.
         """
         closed = anyio.Event()
 
@@ -275,14 +277,18 @@
 
 
 class TestLostServer:
-    async def test_its_stream_ends_where_no_attempt_is_left(
+    async def test_its_stream_ends_without_an_attempt_left(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A stream stayed silent until its caller left, and none went on."""
+        """A server loses power, and its stream may not be retried.
+
+        The stream stayed silent until its caller left. Once it ends, the
+        caller can resume it.
+        """
         async with start_routed() as loopback:
             pool = loopback.entry.context.pool
             change_route(loopback, max_attempts=1)
-            await loopback.add_server("s-1", breaks(event(1), waits=True))
+            await loopback.add_server("s-1", break_once(event(1), hangs=True))
             async with await loopback.connect() as stream:
                 await stream.send(request_bytes("/review/1"))
                 begin = await stream.receive()
@@ -292,8 +298,8 @@
         assert b"id: 1" in answer
         assert not answer.endswith(END)
 
-    async def test_one_that_takes_connections_is_waited_for(self) -> None:
-        """An engine put the stream off; it goes on by itself."""
+    async def test_server_that_accepts_connections_is_waited_for(self) -> None:
+        """An engine preempted the stream and resumes it by itself."""
 
         async def handler(request: bytes, stream: SocketStream) -> None:
             await stream.send(stream_head(request) + event(1))
@@ -311,5 +317,5 @@
 async def refuse_connection(
     address: str, max_idle_s: float
 ) -> UpstreamConnection:
-    """Make no connection, as where the machine has lost power."""
+    """Refuse a connection, as if the machine had lost power."""
     raise ConnectFailed("it takes no connection")
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -1,4 +1,4 @@
-"""Which version a routed request goes to while one is rolled out."""
+"""Selection of a routed request's version during a roll-out."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 )
 
 
-class Scene:
-    """An entry with servers of two versions of one service."""
+class EntryScene:
+    """An entry that knows servers of two versions of one service."""
 
     def __init__(self, old: int = 2, new: int = 2) -> None:
         self.control = FakeControlPort(InForce(), FakeLedger())
@@ -53,28 +53,28 @@
         self.context.staying = StayingSessions(IDLE_S)
         self.context.servers = Servers(self.control, None)  # type: ignore[arg-type]
 
-    def share(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         self.control.configuration = InForce(
             1,
             Declarations(models={"nest": MODEL}),
             shares={"nest": RolloutShare("v2", share, 0, "running")},
         )
 
-    def target(self, session: str) -> str:
-        return choose_target(self.context, call(session))
+    def choose(self, session: str) -> str:
+        return choose_target(self.context, make_call(session))
 
     def serve(self, session: str) -> str:
-        target = self.target(session)
-        note_session(self.context, call(session), target)
+        target = self.choose(session)
+        note_session(self.context, make_call(session), target)
         return target
 
-    def hear(self, other: Scene) -> None:
-        for told in other.control.sent_messages:
-            step = Step(told.service, told.version, told.step)
-            self.context.staying.keep(step, told.places)
+    def receive_from(self, other: EntryScene) -> None:
+        for message in other.control.sent_messages:
+            step = Step(message.service, message.version, message.step)
+            self.context.staying.keep(step, message.places)
 
 
-def call(session: str) -> RoutedCall:
+def make_call(session: str) -> RoutedCall:
     return RoutedCall(
         ROUTE,
         "",
@@ -94,61 +94,64 @@
 
 
 class TestTarget:
-    def test_no_session_goes_back_as_the_share_grows(self) -> None:
-        """A session meets another entry with each connection.
+    def test_no_session_returns_to_the_old_version_as_the_share_grows(
+        self,
+    ) -> None:
+        """Each connection of a session may reach another entry.
 
-        Entries remember nothing of it; whoever has met the new version
-        must meet it again at every later share, or its answers mix two.
+        Entries store no version for it. A session that got the new version
+        must get it again at every later share, or its answers would come
+        from both versions.
         """
-        scene = Scene()
+        scene = EntryScene()
         names = [f"s-{number}" for number in range(300)]
         moved: set[str] = set()
         for share in (0.12, 0.4, 0.9999):
-            scene.share(share)
-            now = {name for name in names if scene.target(name) == NEW}
+            scene.set_share(share)
+            now = {name for name in names if scene.choose(name) == NEW}
             assert moved <= now
             moved = now
         assert moved == set(names)
 
-    def test_without_servers_of_the_new_version_the_old_one_answers(
+    def test_old_version_answers_without_servers_of_the_new_one(
         self,
     ) -> None:
-        """The order comes seconds before the first new server does."""
-        scene = Scene(new=0)
-        scene.share(1.0)
-        assert scene.target("s") == OLD
+        """The roll-out begins seconds before its first server runs."""
+        scene = EntryScene(new=0)
+        scene.set_share(1.0)
+        assert scene.choose("s") == OLD
 
-    def test_without_servers_of_the_old_version_no_more_goes_to_the_new(
+    def test_new_version_gets_only_its_share_without_old_servers(
         self,
     ) -> None:
-        """An entry starts anew and hears of the new servers first.
+        """An entry restarts and learns of the new version's servers first.
 
-        All its requests went to a version that nobody had judged yet, and
-        it was a bad one.
+        All its requests went to a version that was not evaluated yet and
+        was a bad one.
         """
-        scene = Scene(old=0)
-        scene.share(0.13)
+        scene = EntryScene(old=0)
+        scene.set_share(0.13)
         names = [f"s-{number}" for number in range(1_000)]
-        exposed = sum(scene.target(name) == NEW for name in names)
+        exposed = sum(scene.choose(name) == NEW for name in names)
         assert 100 < exposed < 160
 
-    def test_once_all_work_is_the_new_ones_the_old_one_is_not_missed(
+    def test_complete_rollout_needs_no_old_servers(
         self,
     ) -> None:
-        scene = Scene(old=0)
-        scene.share(1.0)
-        assert scene.target("s") == NEW
+        scene = EntryScene(old=0)
+        scene.set_share(1.0)
+        assert scene.choose("s") == NEW
 
-    def test_a_new_version_whose_servers_are_all_out_is_stood_in_for(
+    def test_old_version_answers_if_all_new_servers_are_ejected(
         self,
     ) -> None:
         """Both servers of the first share crash.
 
-        Requests that were placed on them were refused, with nine of the
-        old version free.
+        Their requests were refused, although nine servers of the old
+        version were free.
         """
-        scene = Scene(old=9)
-        scene.share(0.9999)
+        scene = EntryScene(old=9)
+        scene.set_share(0.9999)
         servers = scene.context.servers
         assert servers.capacity(OLD, time.monotonic()) > 0
         for name in (f"{NEW}-0", f"{NEW}-1"):
@@ -157,75 +160,81 @@
                 servers.started(NEW, name, now_s)
                 servers.finished(NEW, name, now_s, 0.0, "error")
         assert servers.capacity(NEW, time.monotonic()) == 0
-        assert scene.target("s") == OLD
+        assert scene.choose("s") == OLD
 
-    def test_before_the_order_the_larger_version_answers(self) -> None:
-        """New servers announce themselves before the order is committed.
+    def test_version_with_most_servers_answers_before_the_rollout(
+        self,
+    ) -> None:
+        """New servers announce themselves before the roll-out is committed.
 
-        By the service's name alone they got their whole share at once.
+        Selected by the service's name alone, they got their full share of
+        the requests at once.
         """
-        scene = Scene(old=3, new=2)
-        assert scene.target("s") == OLD
+        scene = EntryScene(old=3, new=2)
+        assert scene.choose("s") == OLD
 
     @pytest.mark.parametrize(("share", "expected"), [(0.5, NEW), (0.0, OLD)])
-    def test_the_next_attempt_leaves_a_version_that_was_taken_back(
+    def test_next_attempt_leaves_a_version_that_was_rolled_back(
         self, share: float, expected: str
     ) -> None:
-        scene = Scene()
-        scene.share(share)
-        assert current_target(scene.context, call("s"), NEW) == expected
+        scene = EntryScene()
+        scene.set_share(share)
+        assert current_target(scene.context, make_call("s"), NEW) == expected
 
 
-class TestSessionsUnderWay:
+class TestActiveSessions:
     NAMES = tuple(f"s-{number}" for number in range(100))
 
-    def test_they_stay_when_a_share_begins(self) -> None:
-        """Four sessions changed their version in the middle of it."""
-        here, elsewhere = Scene(), Scene()
+    def test_they_stay_at_the_first_step(self) -> None:
+        """Four sessions changed their version when a roll-out began."""
+        here, elsewhere = EntryScene(), EntryScene()
         for scene in (here, elsewhere):
-            scene.share(0.0)
+            scene.set_share(0.0)
         assert {here.serve(name) for name in self.NAMES} == {OLD}
         for scene in (here, elsewhere):
-            scene.share(0.13)
+            scene.set_share(0.13)
         assert {here.serve(name) for name in self.NAMES} == {OLD}
-        elsewhere.hear(here)
+        elsewhere.receive_from(here)
         assert {elsewhere.serve(name) for name in self.NAMES} == {OLD}
         later = [f"t-{number}" for number in range(300)]
         moved = sum(here.serve(name) == NEW for name in later)
         assert 20 < moved < 60
 
-    def test_those_that_were_stood_in_for_stay(self) -> None:
-        """The new version's servers come a second after the order."""
-        scene, other = Scene(new=0), Scene()
+    def test_sessions_begun_without_new_servers_stay(self) -> None:
+        """The new version's servers come a second after the roll-out begins.
+
+        Until then the old version answers the sessions in its share.
+        """
+        scene, other = EntryScene(new=0), EntryScene()
         for one in (scene, other):
-            one.share(0.13)
+            one.set_share(0.13)
         assert {scene.serve(name) for name in self.NAMES} == {OLD}
-        other.hear(scene)
+        other.receive_from(scene)
         assert {other.serve(name) for name in self.NAMES} == {OLD}
 
-    def test_they_move_once_nearly_all_work_is_the_new_ones(self) -> None:
-        scene = Scene()
+    def test_they_move_once_the_new_version_has_nearly_all_work(self) -> None:
+        scene = EntryScene()
         for share in (0.0, 0.13):
-            scene.share(share)
+            scene.set_share(share)
             assert {scene.serve(name) for name in self.NAMES} == {OLD}
-        scene.share(0.9999)
+        scene.set_share(0.9999)
         assert {scene.serve(name) for name in self.NAMES} == {NEW}
 
     def test_requests_without_a_session_never_stay(self) -> None:
-        scene = Scene(new=0)
-        scene.share(0.13)
+        scene = EntryScene(new=0)
+        scene.set_share(0.13)
         scene.serve("")
         assert not scene.control.sent_messages
 
 
 class TestPace:
-    def test_the_mean_pause_is_known_once(self) -> None:
+    def test_mean_pause_is_returned_once(self) -> None:
         pace = Pace()
         assert pace.add(4, 10.0) is None
         assert pace.add(PACE_EVENTS, 10.5) == 500.0 / PACE_EVENTS
         assert pace.add(PACE_EVENTS, 11.0) is None
 
-    def test_pieces_without_an_event_do_not_count(self) -> None:
+    def test_reads_without_an_event_do_not_count(self) -> None:
         pace = Pace()
         assert pace.add(0, 9.0) is None
         assert pace.add(1, 10.0) is None
