--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
@@ -24,7 +24,7 @@
 # Shortest time between two moves after denials. A control process without a
 # quorum says so, and another one may have it; without a pause all entries
 # would poll all control processes in turn while there is no leader.
-MOVE_DENIED_S: Final = 0.4
+DENIED_MOVE_PAUSE_S: Final = 0.4
 # A control process that denies a lease because this entry's configuration is
 # behind is healthy and sends the missing revision. The entry moves only if
 # that takes longer than this.
@@ -40,8 +40,8 @@
 
     def __init__(self, addresses: tuple[str, ...], now_s: float) -> None:
         self._choice = ControlChoice(addresses)
-        self._granted_s = now_s
-        self._answered_s = now_s
+        self._waiting_since_s = now_s
+        self._last_grant_s = now_s
         self._moved_s = float("-inf")
         self._without_quorum = False
 
@@ -55,26 +55,31 @@
 
         That is so if no lease was granted for `DIRECT_SILENCE_S`.
         """
-        return now_s - self._answered_s > DIRECT_SILENCE_S
+        return now_s - self._last_grant_s > DIRECT_SILENCE_S
 
-    def is_time_to_move(self, now_s: float) -> bool:
+    def should_move(self, now_s: float) -> bool:
         """Return whether the entry shall move to another control process."""
-        if self._without_quorum and now_s - self._moved_s > MOVE_DENIED_S:
+        if (
+            self._without_quorum
+            and now_s - self._moved_s > DENIED_MOVE_PAUSE_S
+        ):
             return True
-        return now_s - self._granted_s > MOVE_AFTER_S
+        return now_s - self._waiting_since_s > MOVE_AFTER_S
 
     def move(self, now_s: float) -> None:
         """Attach to the next control process."""
-        self._choice.move_on()
-        self._begin(now_s)
+        self._choice.select_next()
+        self._reset_grant_timer(now_s)
         self._moved_s = now_s
 
-    def granted(self, now_s: float) -> None:
+    def record_grant(self, now_s: float) -> None:
         """Record that a lease was granted."""
-        self._begin(now_s)
-        self._answered_s = now_s
+        self._reset_grant_timer(now_s)
+        self._last_grant_s = now_s
 
-    def denied(self, sender: str, message: LeaseDenied, now_s: float) -> None:
+    def record_denial(
+        self, sender: str, message: LeaseDenied, now_s: float
+    ) -> None:
         """Record a denied lease and the control processes that it names.
 
         A denial by a control process that the entry has left does not make
@@ -86,18 +91,18 @@
         if message.reason == "no_quorum":
             self._without_quorum = True
         elif message.reason == "behind":
-            keeps_s = now_s - MOVE_AFTER_S + BEHIND_GRACE_S
-            self._granted_s = max(self._granted_s, keeps_s)
+            earliest_s = now_s - MOVE_AFTER_S + BEHIND_GRACE_S
+            self._waiting_since_s = max(self._waiting_since_s, earliest_s)
 
-    def learn(self, voters: tuple[str, ...], now_s: float) -> bool:
+    def update_voters(self, voters: tuple[str, ...], now_s: float) -> bool:
         """Replace the list of voters; return whether the entry moves."""
-        moves = self._choice.learn(voters)
+        moves = self._choice.update_voters(voters)
         if moves:
-            self._begin(now_s)
+            self._reset_grant_timer(now_s)
         return moves
 
-    def _begin(self, now_s: float) -> None:
-        self._granted_s = now_s
+    def _reset_grant_timer(self, now_s: float) -> None:
+        self._waiting_since_s = now_s
         self._without_quorum = False
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
@@ -12,9 +12,9 @@
     the list.
     """
 
-    def __init__(self, start: tuple[str, ...]) -> None:
-        self._start = start
-        self._addresses = list(start)
+    def __init__(self, initial: tuple[str, ...]) -> None:
+        self._initial = initial
+        self._addresses = list(initial)
         self._current = 0
         self._voters: frozenset[str] = frozenset()
 
@@ -23,7 +23,7 @@
         """Return the address of the selected control process."""
         return self._addresses[self._current]
 
-    def move_on(self) -> None:
+    def select_next(self) -> None:
         """Select the next address, as the current one does not answer."""
         self._current = (self._current + 1) % len(self._addresses)
 
@@ -32,7 +32,7 @@
         known = (*self._addresses, *addresses)
         self._addresses = list(dict.fromkeys(known))
 
-    def learn(self, voters: tuple[str, ...]) -> bool:
+    def update_voters(self, voters: tuple[str, ...]) -> bool:
         """Replace the voters; return whether the selection changed.
 
         The addresses from the settings follow the voters in the list: if
@@ -45,7 +45,7 @@
             return False
         before = self.address
         self._voters = frozenset(voters)
-        self._addresses = list(dict.fromkeys((*voters, *self._start)))
+        self._addresses = list(dict.fromkeys((*voters, *self._initial)))
         self._current = 0
         return self.address != before
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/ledger_client.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/ledger_client.py
@@ -32,7 +32,7 @@
 # use 2.5% of a core at the target size, which leaves some seventeen batches a
 # second. A record after a pause is sent at once; only on a busy entry do
 # records wait, half of this time on average.
-SPACING_S: Final = 0.06
+BATCH_SPACING_S: Final = 0.06
 ATTEMPT_TIMEOUT_S: Final = 1.5
 # Two attempts last longer than a leader change. A request that waits longer
 # is answered without the ledger's result.
@@ -88,7 +88,7 @@
         queued = sum(len(items) for items in self._waiting.values())
         if queued + len(records) > MAX_WAITING_RECORDS:
             raise LedgerUnavailable("too many records wait for the ledger")
-        items = [self._queue(record) for record in records]
+        items = [self._enqueue(record) for record in records]
         self._wake.set()
         for item in items:
             await item.done.wait()
@@ -102,20 +102,22 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._wake.wait()
-                await anyio.sleep(max(0.0, sent_s + SPACING_S - boottime_s()))
+                await anyio.sleep(
+                    max(0.0, sent_s + BATCH_SPACING_S - boottime_s())
+                )
                 sent_s = boottime_s()
                 self._wake = anyio.Event()
-                for shard, batch in self._take_all():
+                for shard, batch in self._drain_queue():
                     tasks.start_soon(self._send, shard, batch)
 
-    def _queue(self, record: LedgerRecord) -> _Waiting:
+    def _enqueue(self, record: LedgerRecord) -> _Waiting:
         key = record.session if isinstance(record, Pin) else record.request_key
         shard = shard_of(record.customer, key, self._shard_count())
         item = _Waiting(record, anyio.Event(), [])
         self._waiting.setdefault(shard, []).append(item)
         return item
 
-    def _take_all(self) -> list[tuple[int, list[_Waiting]]]:
+    def _drain_queue(self) -> list[tuple[int, list[_Waiting]]]:
         waiting = self._waiting
         self._waiting = {}
         return [
@@ -168,8 +170,8 @@
     size_bytes = 0
     for item in items:
         item_bytes = RECORD_BYTES + len(getattr(item.record, "answer", b""))
-        over = size_bytes + item_bytes > MAX_BATCH_BYTES
-        if batch and (over or len(batch) >= MAX_BATCH_RECORDS):
+        too_large = size_bytes + item_bytes > MAX_BATCH_BYTES
+        if batch and (too_large or len(batch) >= MAX_BATCH_RECORDS):
             yield batch
             batch, size_bytes = [], 0
         batch.append(item)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -56,15 +56,15 @@
 # Interval of lease requests while the entry has no lease and refuses every
 # call. It is shorter than the renewal interval, but long enough that the
 # requests of all entries do not delay the election that they wait for.
-ASK_INTERVAL_S: Final = 0.1
+NO_LEASE_INTERVAL_S: Final = 0.1
 REPORT_INTERVAL_S: Final = 2.0
 # Interval while a roll-out runs. A bad version keeps its share of requests
 # until a report shows its failures.
 ROLLOUT_REPORT_INTERVAL_S: Final = 0.4
 EXPIRE_INTERVAL_S: Final = 0.2
 # Bounds the address lists kept for control processes that were replaced.
-MAX_CONTROLS: Final = 32
-LOADS: Final = "loads"
+MAX_ADDRESS_LISTS: Final = 32
+LOADS_TABLE: Final = "loads"
 M = TypeVar("M")
 
 
@@ -101,12 +101,12 @@
         self._lease = HeldLease()
         self._in_force = InForce()
         self._addresses: tuple[EntryAddress, ...] = ()
-        self._told_addresses: dict[str, tuple[EntryAddress, ...]] = {}
+        self._addresses_by_control: dict[str, tuple[EntryAddress, ...]] = {}
         self._entries = 0
         self._stopping = False
         self._samples = SampleCounts()
-        self._kicked = anyio.Event()
-        self._ready = anyio.Event()
+        self._renew_now = anyio.Event()
+        self._first_grant = anyio.Event()
         self.mesh = PeerMesh(
             settings.peer_address,
             as_key_source(settings.cluster_keys),
@@ -123,7 +123,7 @@
             lambda: self._in_force.ledger_shards,
         )
         self._was_held: bool | None = None
-        self._requests = 0
+        self._request_count = 0
         self._listeners: dict[type, Callable[[Any], None]] = {}
         self.moves = 0
         self.resyncs = 0
@@ -151,9 +151,9 @@
         After a move to another control process, that is the list which this
         process sent before the move: it sends a list only after a change.
         """
-        told = self._told_addresses.get(self.control_address())
-        if told is not None:
-            self._addresses = told
+        latest = self._addresses_by_control.get(self.control_address())
+        if latest is not None:
+            self._addresses = latest
         return self._addresses
 
     def entry_count(self) -> int:
@@ -181,7 +181,7 @@
         The next lease request, sent at once, reports that it is stopping.
         """
         self._stopping = True
-        self._kicked.set()
+        self._renew_now.set()
 
     def control_address(self) -> str:
         """Return the address of the control process in use."""
@@ -217,30 +217,30 @@
             tasks.start_soon(self._ledger.run)
             tasks.start_soon(self._send_reports)
             tasks.start_soon(self._expire_servers)
-            await self._ready.wait()
+            await self._first_grant.wait()
             task_status.started()
 
     async def _renew(self) -> None:
         while True:
-            self._kicked = anyio.Event()
+            self._renew_now = anyio.Event()
             now_s = boottime_s()
-            if self._attachment.is_time_to_move(now_s):
-                self._move(now_s)
+            if self._attachment.should_move(now_s):
+                self._move_to_next(now_s)
             self._log_lease_change()
-            self._ask(now_s)
+            self._request_lease(now_s)
             held = self.lease_remaining_s() > 0
-            pause_s = RENEW_INTERVAL_S if held else ASK_INTERVAL_S
+            pause_s = RENEW_INTERVAL_S if held else NO_LEASE_INTERVAL_S
             with anyio.move_on_after(pause_s):
-                await self._kicked.wait()
+                await self._renew_now.wait()
 
-    def _ask(self, now_s: float) -> None:
+    def _request_lease(self, now_s: float) -> None:
         """Request a lease; without answers, also through another entry.
 
         The direct request is still sent, so that the direct connection is
         used again as soon as it works.
         """
         control = self.control_address()
-        request = self._request(now_s)
+        request = self._make_lease_request(now_s)
         self.mesh.send_directly(control, request)
         if not self._attachment.is_silent(now_s):
             return
@@ -255,7 +255,7 @@
         others = [peer for peer in peers if peer not in ("", own)]
         if not others:
             return ""
-        return others[self._requests % len(others)]
+        return others[self._request_count % len(others)]
 
     def _log_lease_change(self) -> None:
         """Log when the lease is lost or held again, with the control process.
@@ -268,20 +268,20 @@
         if held == self._was_held:
             return
         self._was_held = held
-        text = "lease held" if held else "lease lost: refusing work"
-        LOG.info(text, extra={"control": self.control_address()})
+        message = "lease held" if held else "lease lost: refusing work"
+        LOG.info(message, extra={"control": self.control_address()})
 
-    def _request(self, now_s: float) -> LeaseRequest:
-        self._requests += 1
+    def _make_lease_request(self, now_s: float) -> LeaseRequest:
+        self._request_count += 1
         return LeaseRequest(
             self._address()._replace(stopping=self._stopping),
             self.mesh.incarnation,
-            self._requests,
+            self._request_count,
             now_s,
             self._in_force.revision,
         )
 
-    def _move(self, now_s: float) -> None:
+    def _move_to_next(self, now_s: float) -> None:
         """Attach to the next control process, as this one grants no lease."""
         self._attachment.move(now_s)
         self.moves += 1
@@ -293,70 +293,72 @@
     def _handle_message(self, sender: str, message: Any) -> None:
         match message:
             case LeaseGrantMessage():
-                self._take_grant(message)
+                self._handle_grant(message)
             case LeaseDenied():
-                self._take_denial(sender, message)
+                self._handle_denial(sender, message)
             case ConfigurationPush():
-                self._take_configuration(message)
+                self._apply_configuration(message)
             case TableUpdate():
-                self._take_table(sender, message)
+                self._apply_table(sender, message)
             case ControlList():
-                self._take_controls(message)
+                self._handle_controls(message)
             case AddressList():
-                self._take_addresses(sender, message)
+                self._store_addresses(sender, message)
             case EntryCount():
                 self._entries = message.entries
             case _:
-                self._pass_on(message)
+                self._notify_listener(message)
 
-    def _pass_on(self, message: Any) -> None:
+    def _notify_listener(self, message: Any) -> None:
         listener = self._listeners.get(type(message))
         if listener is not None:
             listener(message)
 
-    def _take_grant(self, message: LeaseGrantMessage) -> None:
-        self._attachment.granted(boottime_s())
+    def _handle_grant(self, message: LeaseGrantMessage) -> None:
+        self._attachment.record_grant(boottime_s())
         grant = LeaseGrant(message.length_s, message.revision)
         self._lease.renewed(message.sent_at_s, grant)
-        self._ready.set()
+        self._first_grant.set()
 
-    def _take_denial(self, sender: str, message: LeaseDenied) -> None:
+    def _handle_denial(self, sender: str, message: LeaseDenied) -> None:
         self.denials += 1
         now_s = boottime_s()
-        self._attachment.denied(sender, message, now_s)
-        if self._attachment.is_time_to_move(now_s):
-            self._kicked.set()
+        self._attachment.record_denial(sender, message, now_s)
+        if self._attachment.should_move(now_s):
+            self._renew_now.set()
 
-    def _take_controls(self, message: ControlList) -> None:
-        if self._attachment.learn(message.addresses, boottime_s()):
-            self._kicked.set()
+    def _handle_controls(self, message: ControlList) -> None:
+        if self._attachment.update_voters(message.addresses, boottime_s()):
+            self._renew_now.set()
 
-    def _take_configuration(self, push: ConfigurationPush) -> None:
+    def _apply_configuration(self, push: ConfigurationPush) -> None:
         if push.revision <= self._in_force.revision:
             # The control process lags, or the frame was sent before a move.
             # The entry never goes back to an older configuration.
             return
         self._in_force = unpack_configuration(push)
-        self._kicked.set()
+        self._renew_now.set()
 
-    def _take_addresses(self, sender: str, message: AddressList) -> None:
+    def _store_addresses(self, sender: str, message: AddressList) -> None:
         """Store the address list of each control process separately.
 
         Only the list of the process in use is returned to callers. A control
         process that the entry left may be cut off: it loses all entries and
         still sends an empty list for some seconds.
         """
-        if len(self._told_addresses) >= MAX_CONTROLS:
-            self._told_addresses.clear()
-        self._told_addresses[sender] = message.addresses
+        if len(self._addresses_by_control) >= MAX_ADDRESS_LISTS:
+            self._addresses_by_control.clear()
+        self._addresses_by_control[sender] = message.addresses
 
-    def _take_table(self, sender: str, message: TableUpdate) -> None:
+    def _apply_table(self, sender: str, message: TableUpdate) -> None:
         now_s = boottime_s()
         if sender != self.control_address():
             return
-        if message.table == LOADS:
-            self._servers.take_loads(message.payload, now_s)
-        elif not self._servers.follow(sender, message.payload, now_s):
+        if message.table == LOADS_TABLE:
+            self._servers.apply_load_update(message.payload, now_s)
+        elif not self._servers.apply_directory_delta(
+            sender, message.payload, now_s
+        ):
             self.resyncs += 1
             self.mesh.send(sender, TableResync(message.table))
 
@@ -364,8 +366,8 @@
         sequence = 0
         while True:
             await anyio.sleep(self._report_interval_s())
-            rows = self._samples.take()
-            ratings = self._samples.take_ratings()
+            rows = self._samples.drain()
+            ratings = self._samples.drain_ratings()
             if not rows and not ratings:
                 continue
             sequence += 1
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
@@ -49,7 +49,7 @@
             passed,
         )
 
-    def take_ratings(self) -> tuple[RatingCount, ...]:
+    def drain_ratings(self) -> tuple[RatingCount, ...]:
         """Return the counts of ratings for other entries and reset them."""
         counts = tuple(
             RatingCount(*key, *row) for key, row in self._ratings.items()
@@ -67,7 +67,7 @@
         passed += sample.rating >= PASSING_RATING
         self._ratings[key] = (passed, rated + 1)
 
-    def take(self) -> tuple[StatsRow, ...]:
+    def drain(self) -> tuple[StatsRow, ...]:
         """Return the rows of all versions and reset them."""
         rows = to_rows(self._stats)
         self._stats = {}
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/server_view.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/server_view.py
@@ -36,7 +36,9 @@
         self._directory.announce(announcement, now_s)
         self._refresh(now_s)
 
-    def follow(self, origin: str, payload: bytes, now_s: float) -> bool:
+    def apply_directory_delta(
+        self, origin: str, payload: bytes, now_s: float
+    ) -> bool:
         """Apply a delta; return False if a full resync is needed.
 
         After the entry moved to another control process, the records of the
@@ -54,7 +56,7 @@
         self._refresh(now_s)
         return True
 
-    def take_loads(self, payload: bytes, now_s: float) -> None:
+    def apply_load_update(self, payload: bytes, now_s: float) -> None:
         """Apply an update of the loads of the servers."""
         update = msgspec.msgpack.decode(payload, type=LoadUpdate)
         self._directory.apply_loads(update, now_s)
--- a/packages/sycamorestand-entry/tests/control/test_attachment.py
+++ b/packages/sycamorestand-entry/tests/control/test_attachment.py
@@ -4,8 +4,8 @@
 
 from sycamorestand_entry.control.attachment import Attachment
 from sycamorestand_entry.control.attachment import BEHIND_GRACE_S
+from sycamorestand_entry.control.attachment import DENIED_MOVE_PAUSE_S
 from sycamorestand_entry.control.attachment import MOVE_AFTER_S
-from sycamorestand_entry.control.attachment import MOVE_DENIED_S
 from sycamorestand_peer.messages import LeaseDenied
 
 FIRST = "10.0.0.2:7000"
@@ -17,18 +17,18 @@
 def make_attachment() -> Attachment:
     """Return an attachment to the first of two, which granted a lease."""
     attachment = Attachment((FIRST, SECOND), 99.0)
-    attachment.granted(100.0)
+    attachment.record_grant(100.0)
     return attachment
 
 
 class TestSilence:
     def test_entry_moves_after_three_renewals_without_a_grant(self) -> None:
         attachment = make_attachment()
-        assert not attachment.is_time_to_move(99.9 + MOVE_AFTER_S)
-        assert attachment.is_time_to_move(100.1 + MOVE_AFTER_S)
+        assert not attachment.should_move(99.9 + MOVE_AFTER_S)
+        assert attachment.should_move(100.1 + MOVE_AFTER_S)
         attachment.move(101.3)
         assert attachment.address == SECOND
-        assert not attachment.is_time_to_move(101.4)
+        assert not attachment.should_move(101.4)
 
 
 class TestDenial:
@@ -40,8 +40,8 @@
         process had no quorum: 335 refusals in three seconds.
         """
         attachment = make_attachment()
-        attachment.denied(FIRST, NO_QUORUM, 100.4)
-        assert attachment.is_time_to_move(100.4)
+        attachment.record_denial(FIRST, NO_QUORUM, 100.4)
+        assert attachment.should_move(100.4)
         attachment.move(100.4)
         assert attachment.address == SECOND
 
@@ -51,25 +51,25 @@
         The requests of all entries must not delay their election.
         """
         attachment = make_attachment()
-        attachment.denied(FIRST, NO_QUORUM, 100.4)
+        attachment.record_denial(FIRST, NO_QUORUM, 100.4)
         attachment.move(100.4)
-        attachment.denied(SECOND, NO_QUORUM, 100.41)
-        assert not attachment.is_time_to_move(100.3 + MOVE_DENIED_S)
-        assert attachment.is_time_to_move(100.5 + MOVE_DENIED_S)
+        attachment.record_denial(SECOND, NO_QUORUM, 100.41)
+        assert not attachment.should_move(100.3 + DENIED_MOVE_PAUSE_S)
+        assert attachment.should_move(100.5 + DENIED_MOVE_PAUSE_S)
 
     def test_denial_by_another_process_causes_no_move(self) -> None:
         attachment = make_attachment()
-        attachment.denied(SECOND, NO_QUORUM, 100.4)
-        assert not attachment.is_time_to_move(100.4)
+        attachment.record_denial(SECOND, NO_QUORUM, 100.4)
+        assert not attachment.should_move(100.4)
 
     def test_grant_clears_an_earlier_denial(self) -> None:
         attachment = make_attachment()
-        attachment.denied(FIRST, NO_QUORUM, 100.4)
-        attachment.granted(100.5)
-        assert not attachment.is_time_to_move(100.6)
+        attachment.record_denial(FIRST, NO_QUORUM, 100.4)
+        attachment.record_grant(100.5)
+        assert not attachment.should_move(100.6)
 
     def test_entry_waits_for_a_process_that_sends_a_revision(self) -> None:
         attachment = make_attachment()
-        attachment.denied(FIRST, BEHIND, 101.2)
-        assert not attachment.is_time_to_move(101.1 + BEHIND_GRACE_S)
-        assert attachment.is_time_to_move(101.3 + BEHIND_GRACE_S)
+        attachment.record_denial(FIRST, BEHIND, 101.2)
+        assert not attachment.should_move(101.1 + BEHIND_GRACE_S)
+        assert attachment.should_move(101.3 + BEHIND_GRACE_S)
--- a/packages/sycamorestand-entry/tests/control/test_choice.py
+++ b/packages/sycamorestand-entry/tests/control/test_choice.py
@@ -10,7 +10,7 @@
     found: list[str] = []
     while choice.address not in found:
         found.append(choice.address)
-        choice.move_on()
+        choice.select_next()
     return found
 
 
@@ -22,9 +22,9 @@
         after them.
         """
         choice = ControlChoice(START)
-        assert choice.learn(("d:1", "b:1", "c:1"))
-        assert choice.learn(("e:1", "d:1", "c:1"))
-        assert choice.learn(("f:1", "e:1", "d:1"))
+        assert choice.update_voters(("d:1", "b:1", "c:1"))
+        assert choice.update_voters(("e:1", "d:1", "c:1"))
+        assert choice.update_voters(("f:1", "e:1", "d:1"))
         assert addresses_in_turn(choice) == ["f:1", "e:1", "d:1", *START]
 
     def test_same_voters_do_not_move_the_entry_back(self) -> None:
@@ -34,17 +34,17 @@
         would have no lease for most of the time.
         """
         choice = ControlChoice(START)
-        choice.learn(START)
-        choice.move_on()
-        assert not choice.learn(("a:1", "c:1", "b:1"))
+        choice.update_voters(START)
+        choice.select_next()
+        assert not choice.update_voters(("a:1", "c:1", "b:1"))
         assert choice.address == "b:1"
 
     def test_new_voters_move_the_entry_to_the_nearest(self) -> None:
         choice = ControlChoice(START)
-        assert choice.learn(("c:1", "a:1", "b:1"))
+        assert choice.update_voters(("c:1", "a:1", "b:1"))
         assert choice.address == "c:1"
 
     def test_empty_list_of_voters_changes_nothing(self) -> None:
         choice = ControlChoice(START)
-        assert not choice.learn(())
+        assert not choice.update_voters(())
         assert addresses_in_turn(choice) == list(START)
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -73,7 +73,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         link, mesh = self._make_link(monkeypatch)
-        link._ask(100.4)
+        link._request_lease(100.4)
         assert mesh.sent == [Sent("", CONTROL)]
 
     def test_unanswered_requests_also_go_through_other_entries(
@@ -87,7 +87,7 @@
         """
         link, mesh = self._make_link(monkeypatch)
         for now_s in (100.8, 101.2):
-            link._ask(now_s)
+            link._request_lease(now_s)
         through = [sent for sent in mesh.sent if sent.relay]
         assert {sent.relay for sent in through} == set(PEERS)
         assert {sent.address for sent in mesh.sent} == {CONTROL}
@@ -99,7 +99,7 @@
         link, mesh = self._make_link(monkeypatch)
         mesh.relay = PEERS[1]
         for now_s in (100.8, 101.2, 101.6):
-            link._ask(now_s)
+            link._request_lease(now_s)
         relays = {sent.relay for sent in mesh.sent if sent.relay}
         assert relays == {PEERS[1]}
 
