--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -164,11 +164,13 @@
         """Count the result of an attempt at a version."""
         self._samples.add(sample, time.time())
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Send the control process a message that needs no answer."""
         self.mesh.send(self.control_address(), message)
 
-    def listen(self, kind: type[M], listener: Callable[[M], None]) -> None:
+    def add_listener(
+        self, kind: type[M], listener: Callable[[M], None]
+    ) -> None:
         """Call ``listener`` with each received message of the type ``kind``.
 
         Only one listener is kept for a type.
@@ -198,7 +200,7 @@
         message = AnnouncementRelay(announcement)
         self.mesh.send(self.control_address(), message)
 
-    async def ledger(
+    async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
         """Return the results once the records are durable."""
@@ -317,7 +319,7 @@
     def _handle_grant(self, message: LeaseGrantMessage) -> None:
         self._attachment.record_grant(boottime_s())
         grant = LeaseGrant(message.length_s, message.revision)
-        self._lease.renewed(message.sent_at_s, grant)
+        self._lease.renew(message.sent_at_s, grant)
         self._first_grant.set()
 
     def _handle_denial(self, sender: str, message: LeaseDenied) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_entry.errors import DeadlineExceeded
-from sycamorestand_entry.gate import may_dispatch_routed
+from sycamorestand_entry.gate import check_routed_dispatch
 from sycamorestand_entry.gate import RoutedIntent
 from sycamorestand_entry.routed.call import PROCESS_ENDS
 from sycamorestand_entry.routed.decision_log import AttemptEnded
@@ -86,7 +86,7 @@
             )
             raise refusal
         self.begin_s = time.monotonic()
-        self._context.servers.started(
+        self._context.servers.record_start(
             self.aim.target, self.aim.server.name, self.begin_s
         )
         self._context.metrics.dispatches.inc({"version": self.aim.target})
@@ -103,7 +103,7 @@
         intent = RoutedIntent(
             self._call.route, self._call.customer, self.aim.server.name
         )
-        return may_dispatch_routed(self._context.control, intent)
+        return check_routed_dispatch(self._context.control, intent)
 
     async def read_head(
         self, limit_s: float, soft: bool = False
@@ -159,7 +159,7 @@
         self._outcome = "timeout"
         self._reason = "too slow"
         self._early = early
-        self._queued = self._context.progress.works_off(
+        self._queued = self._context.progress.is_serving_in_order(
             self.aim.server.name, self.begin_s
         )
         waited_s = time.monotonic() - self.begin_s
@@ -229,8 +229,10 @@
         """Record that the first part of the answer came."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
-        self._context.progress.begun(self.aim.server.name, self.begin_s, now_s)
-        self._context.servers.first_byte(
+        self._context.progress.record_first_event(
+            self.aim.server.name, self.begin_s, now_s
+        )
+        self._context.servers.record_first_byte(
             self.aim.target,
             self.aim.server.name,
             now_s,
@@ -254,7 +256,7 @@
         pause_s = self._recent.add(count, now_s)
         if pause_s is not None:
             service = self.aim.target.partition(VERSION_SEPARATOR)[0]
-            self._context.pause(service).observed(now_s, pause_s)
+            self._context.event_gap(service).observe(now_s, pause_s)
 
     def close(self) -> None:
         """Report the attempt's outcome and release its connection.
@@ -266,7 +268,7 @@
             return
         self._closed = True
         now_s = time.monotonic()
-        self._context.servers.finished(
+        self._context.servers.record_finish(
             self.aim.target,
             self.aim.server.name,
             now_s,
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -181,8 +181,8 @@
         mailbox = Mailbox()
         link.mesh = mailbox  # type: ignore[assignment]
         received: list[SessionsStay] = []
-        link.listen(SessionsStay, received.append)
-        link.tell(self.STAY)
+        link.add_listener(SessionsStay, received.append)
+        link.send(self.STAY)
         assert mailbox.sent == [(link.control_address(), self.STAY)]
         link._handle_message(link.control_address(), self.STAY)
         assert received == [self.STAY]
--- a/packages/sycamorestand-entry/tests/routed/test_fallback.py
+++ b/packages/sycamorestand-entry/tests/routed/test_fallback.py
@@ -18,7 +18,7 @@
 from sycamorestand_bench.fakes.routed import start_routed
 from sycamorestand_bench.fakes.routed import stream_head
 from sycamorestand_decisions.arrivals import Allowance
-from sycamorestand_decisions.patience import AnswerTime
+from sycamorestand_decisions.attempt_timeouts import AnswerTime
 
 pytestmark = pytest.mark.anyio
 # The fallback begins after half of this time.
@@ -138,7 +138,7 @@
             await stream.send(event(2) + END)
 
         async with start_routed() as loopback:
-            loopback.entry.context.answer_times.ended(
+            loopback.entry.context.answer_times.record_answer(
                 "review", AnswerTime(0.0, 2.2, 1)
             )
             got = await ask(
@@ -154,7 +154,7 @@
             loopback.control.entries = 10
             arrivals = loopback.entry.context.arrivals
             for _ in range(2):
-                arrivals.sent_first("stock", time.monotonic())
+                arrivals.record_first_arrival("stock", time.monotonic())
             got = await ask(loopback, answer_if_first_rank, "s-1", "s-2")
             models = [model_of(request) for _, request in loopback.requests]
         assert got.endswith(END)
