--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -33,22 +33,22 @@
 from sycamorestand_entry.http_protocol import WRITE_NOW
 from sycamorestand_entry.routed.attempts import Attempts
 from sycamorestand_entry.routed.call import ANONYMOUS
-from sycamorestand_entry.routed.call import passed_headers
+from sycamorestand_entry.routed.call import forwarded_headers
 from sycamorestand_entry.routed.call import read_deadline_s
 from sycamorestand_entry.routed.call import read_values
 from sycamorestand_entry.routed.call import RoutedCall
 from sycamorestand_entry.routed.decision_log import Admitted
 from sycamorestand_entry.routed.decision_log import DecisionLog
 from sycamorestand_entry.routed.decision_log import Held
+from sycamorestand_entry.routed.refusals import caller_timeout_s
 from sycamorestand_entry.routed.refusals import lease_retry_s
 from sycamorestand_entry.routed.refusals import refusal_fields
 from sycamorestand_entry.routed.refusals import refuse
-from sycamorestand_entry.routed.refusals import stated_time_s
 from sycamorestand_entry.routed.streams import StreamBroken
 from sycamorestand_entry.routed.streams import StreamRelay
 from sycamorestand_entry.routed.targets import choose_target
-from sycamorestand_entry.routed.targets import note_session
-from sycamorestand_entry.routed.whole import whole_answer
+from sycamorestand_entry.routed.targets import record_session
+from sycamorestand_entry.routed.whole_answers import read_whole_answer
 from sycamorestand_entry.slots import SlotRequest
 from sycamorestand_model.route_table import RouteTable
 
@@ -63,17 +63,17 @@
 
 LOG: Final = logging.getLogger(__name__)
 # Durations that admission control expects of a call and of a stream.
-CALL_S: Final = 0.05
-STREAM_S: Final = 1.0
+EXPECTED_CALL_S: Final = 0.05
+EXPECTED_STREAM_S: Final = 1.0
 # A request that still runs so long after its deadline is cancelled.
-LATE_S: Final = 0.1
+DEADLINE_GRACE_S: Final = 0.1
 # Other entries can answer a retry at once.
 STOPPING_RETRY_S: Final = 0.1
 
 Application = Callable[[Any, "Receive", "Send"], Awaitable[None]]
 
 
-class _Table(NamedTuple):
+class _CachedRoutes(NamedTuple):
     revision: int
     routes: RouteTable
 
@@ -81,10 +81,12 @@
 class RoutedEntry:
     """Answer the routed requests of one entry process."""
 
-    def __init__(self, context: EntryContext, wire: HeaderNames) -> None:
+    def __init__(
+        self, context: EntryContext, header_names: HeaderNames
+    ) -> None:
         self._context = context
-        self._wire = wire
-        self._table = _Table(-1, RouteTable({}))
+        self._header_names = header_names
+        self._cached_routes = _CachedRoutes(-1, RouteTable({}))
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
         extensions = scope["extensions"]
@@ -92,7 +94,7 @@
             send, self._context.stopping, extensions.get(WRITE_NOW)
         )
         log = DecisionLog()
-        # Stays if the task is cancelled: the process ends first.
+        # Kept if the task is cancelled because the process ends.
         result = "process_ended"
         detail: dict[str, Any] = {}
         try:
@@ -122,7 +124,7 @@
                 log.elapsed_ms() / 1000,
                 log.first_byte_ms / 1000,
             )
-            log.ended(result, responder.status, detail)
+            log.write(result, responder.status, detail)
 
     async def _answer(
         self,
@@ -131,54 +133,66 @@
         responder: Responder,
         log: DecisionLog,
     ) -> None:
-        call = await self._read(scope, receive, log)
-        self._refuse_if_ending(call)
+        call = await self._read_call(scope, receive, log)
+        self._refuse_if_stopping(call)
         failure: Exception | None = None
-        gone = True
+        cancelled = True
         async with anyio.create_task_group() as tasks:
-            # Bounds every wait, also for a caller that does not read.
-            until_s = call.remaining_s() + LATE_S
-            tasks.cancel_scope.deadline = anyio.current_time() + until_s
-            tasks.start_soon(_watch_caller, receive, tasks.cancel_scope)
+            # Bounds every wait, also that for a caller that does not read.
+            limit_s = call.remaining_s() + DEADLINE_GRACE_S
+            tasks.cancel_scope.deadline = anyio.current_time() + limit_s
+            tasks.start_soon(
+                _cancel_on_disconnect, receive, tasks.cancel_scope
+            )
             try:
                 await self._run(call, responder)
             except (RequestError, StreamBroken) as error:
                 # Raised after the task group, which would wrap it.
                 failure = error
-            gone = False
+            cancelled = False
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
-        if gone and call.remaining_s() > 0:
+        if cancelled and call.remaining_s() > 0:
             raise CallerGone
-        if gone and responder.started:
+        if cancelled and responder.started:
             raise StreamBroken("its time is over")
-        if gone:
+        if cancelled:
             raise DeadlineExceeded("its time is over")
 
-    async def _read(
+    async def _read_call(
         self, scope: Any, receive: Receive, log: DecisionLog
     ) -> RoutedCall:
-        read_s = time.monotonic()
+        received_s = time.monotonic()
         context = self._context
         raw = scope["headers"]
-        values = read_values(raw, self._wire)
-        log.request = values.get(self._wire.attempt, b"").decode("latin-1")
-        whole_s = stated_time_s(values.get(self._wire.deadline_ms, b""))
-        useful = await self._hold("lease", self._is_useful, whole_s, log)
+        values = read_values(raw, self._header_names)
+        log.request = values.get(self._header_names.attempt, b"").decode(
+            "latin-1"
+        )
+        timeout_s = caller_timeout_s(
+            values.get(self._header_names.deadline_ms, b"")
+        )
+        can_serve = await self._wait_at_start(
+            "lease", self._can_serve, timeout_s, log
+        )
         in_force = context.control.in_force()
         log.revision = in_force.revision
         log.lease_ms = int(context.control.lease_remaining_s() * 1000)
-        if not useful:
+        if not can_serve:
             raise NoLease(
                 "this entry's configuration may be out of date",
-                lease_retry_s(whole_s),
+                lease_retry_s(timeout_s),
             )
-        route = self._route(in_force, values, scope["raw_path"])
+        route = self._find_route(in_force, values, scope["raw_path"])
         log.route = route
-        customer, priority, weight = self._customer(in_force, route, values)
+        customer, priority, weight = self._identify_customer(
+            in_force, route, values
+        )
         log.customer = customer
-        deadline_at_s = read_deadline_s(values, self._wire, route, read_s)
+        deadline_at_s = read_deadline_s(
+            values, self._header_names, route, received_s
+        )
         request = Request(
             scope["method"],
             scope["path"],
@@ -195,17 +209,17 @@
             weight,
             scope["method"].encode(),
             scope["extensions"][TARGET],
-            values.get(self._wire.attempt, b""),
-            values.get(self._wire.session, b"").decode("latin-1"),
-            passed_headers(raw, self._wire),
+            values.get(self._header_names.attempt, b""),
+            values.get(self._header_names.session, b"").decode("latin-1"),
+            forwarded_headers(raw, self._header_names),
             values,
-            await _body_by(deadline_at_s, request, limit_bytes),
+            await _read_body_before(deadline_at_s, request, limit_bytes),
             deadline_at_s,
             log,
             self._context.stop_deadline_s,
         )
 
-    async def _hold(
+    async def _wait_at_start(
         self,
         missing: str,
         ready: Callable[[], bool],
@@ -220,13 +234,13 @@
         if ready():
             return True
         begin_ms = log.elapsed_ms()
-        found = await self._context.start_hold.wait_until(ready, left_s)
+        is_ready = await self._context.start_hold.wait_until(ready, left_s)
         waited_ms = log.elapsed_ms() - begin_ms
         if waited_ms > 0:
             log.add(Held(missing, waited_ms))
-        return found
+        return is_ready
 
-    def _refuse_if_ending(self, call: RoutedCall) -> None:
+    def _refuse_if_stopping(self, call: RoutedCall) -> None:
         """Refuse a request if the end of this process may cut its answer.
 
         If no other entry can answer it, the request is accepted.
@@ -237,36 +251,38 @@
         if math.isinf(ends_in_s) or not context.has_other_serving_entry():
             return
         route = call.route
-        pause_s = max(
+        event_gap_s = max(
             context.event_gap(target.service).delay_s(now_s)
             for target in route.targets
         )
         longest_s = context.answer_times.max_total_s(
-            route.name, pause_s, now_s
+            route.name, event_gap_s, now_s
         )
         if may_outlast_stop(ends_in_s, call.deadline_at_s - now_s, longest_s):
             raise Stopping(
                 "this VM stops before the answer would end", STOPPING_RETRY_S
             )
 
-    def _is_useful(self) -> bool:
+    def _can_serve(self) -> bool:
         control = self._context.control
         routes = control.in_force().declarations.routes
         return bool(routes) and control.lease_remaining_s() > 0
 
-    def _route(
+    def _find_route(
         self, in_force: InForce, values: dict[bytes, bytes], raw_path: bytes
     ) -> Route:
-        if self._table.revision != in_force.revision:
+        if self._cached_routes.revision != in_force.revision:
             routes = RouteTable(in_force.declarations.routes)
-            self._table = _Table(in_force.revision, routes)
+            self._cached_routes = _CachedRoutes(in_force.revision, routes)
         host = values.get(b"host", b"").decode("latin-1")
-        route = self._table.routes.find(host, raw_path.decode("latin-1"))
+        route = self._cached_routes.routes.find(
+            host, raw_path.decode("latin-1")
+        )
         if route is None:
             raise UnknownPath("no route leads there")
         return route
 
-    def _customer(
+    def _identify_customer(
         self, in_force: InForce, route: Route, values: dict[bytes, bytes]
     ) -> tuple[str, int, float]:
         if route.public or not in_force.declarations.customers:
@@ -282,14 +298,14 @@
         # An entry that has just started learns the servers from control,
         # which knows none yet if it has just started as well.
         if context.start_hold.is_starting():
-            await self._hold(
+            await self._wait_at_start(
                 "server",
                 lambda: _has_server(context, call),
                 call.remaining_s(),
                 call.log,
             )
         target = choose_target(context, call)
-        note_session(context, call, target)
+        record_session(context, call, target)
         begin_s = time.monotonic()
         slot = await context.slots.acquire(
             SlotRequest(
@@ -298,63 +314,67 @@
                 target,
                 "interactive",
                 call.deadline_at_s,
-                STREAM_S if call.route.kind == "stream" else CALL_S,
+                EXPECTED_STREAM_S
+                if call.route.kind == "stream"
+                else EXPECTED_CALL_S,
             )
         )
         waited_s = time.monotonic() - begin_s
         call.log.add(Admitted(target, int(waited_s * 1000)))
         failed = True
         try:
-            attempts = Attempts(context, self._wire, call)
+            attempts = Attempts(context, self._header_names, call)
             if call.route.kind == "stream":
-                relay = StreamRelay(attempts, responder, self._affinity(call))
-                answer = await self._streamed(relay, call, target)
+                relay = StreamRelay(
+                    attempts, responder, self._affinity_key(call)
+                )
+                answer = await self._relay_stream(relay, call, target)
             else:
-                answer = await whole_answer(attempts, target)
-                whole_s = time.monotonic() - begin_s
+                answer = await read_whole_answer(attempts, target)
+                duration_s = time.monotonic() - begin_s
                 context.answer_times.record_answer(
-                    call.route.name, AnswerTime(whole_s, 0.0, 0)
+                    call.route.name, AnswerTime(duration_s, 0.0, 0)
                 )
             failed = answer is not None and answer.status >= 500
             if answer is not None:
-                call.log.answer_began()
-                await _send_whole(responder, answer)
+                call.log.record_first_byte()
+                await _send_answer(responder, answer)
         except anyio.get_cancelled_exc_class():
             context.slots.cancel(slot)
             slot = -1
             raise
         finally:
             now_s = time.monotonic()
-            note_session(context, call, target)
+            record_session(context, call, target)
             if slot >= 0:
                 context.slots.finish(slot, now_s - begin_s, failed)
         if not failed:
             context.retries.record_success(call.customer, time.monotonic())
 
-    async def _streamed(
+    async def _relay_stream(
         self, relay: StreamRelay, call: RoutedCall, target: str
     ) -> WholeAnswer | None:
         times = self._context.answer_times
-        asked_s = self._context.now_s()
-        times.record_started(call.route.name, asked_s)
+        started_s = self._context.now_s()
+        times.record_started(call.route.name, started_s)
         try:
             return await relay.run(target)
         finally:
-            times.record_stopped(call.route.name, asked_s)
+            times.record_stopped(call.route.name, started_s)
 
-    def _affinity(self, call: RoutedCall) -> str:
-        value = call.values.get(self._wire.prompt_parts, b"")
+    def _affinity_key(self, call: RoutedCall) -> str:
+        value = call.values.get(self._header_names.prompt_parts, b"")
         parts = value.decode("latin-1").split(",")
         return prefix_key([part.partition(":")[0].strip() for part in parts])
 
 
 def make_routed_application(
-    wire: HeaderNames,
+    header_names: HeaderNames,
 ) -> Callable[[EntryContext], Application]:
     """Return a factory for the application of an entry process."""
 
     def make(context: EntryContext) -> Application:
-        return RoutedEntry(context, wire)
+        return RoutedEntry(context, header_names)
 
     return make
 
@@ -364,20 +384,20 @@
     return bool(context.servers.candidates(target, context.now_s()))
 
 
-async def _watch_caller(
-    receive: Receive, answering: anyio.CancelScope
+async def _cancel_on_disconnect(
+    receive: Receive, scope: anyio.CancelScope
 ) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
-    answering.cancel()
+    scope.cancel()
 
 
-async def _send_whole(responder: Responder, answer: WholeAnswer) -> None:
+async def _send_answer(responder: Responder, answer: WholeAnswer) -> None:
     await responder.start(answer.status, answer.headers)
     await responder.finish(answer.body)
 
 
-async def _body_by(
+async def _read_body_before(
     deadline_at_s: float, request: Request, limit_bytes: int
 ) -> bytes:
     """Return the body, or raise `RequestTimeout` at the deadline."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -22,8 +22,8 @@
 from sycamorestand_entry.routed.decision_log import NotRepeated
 from sycamorestand_entry.routed.decision_log import Sent
 from sycamorestand_entry.routed.exchange import Exchange
-from sycamorestand_entry.routed.messages import Aim
-from sycamorestand_entry.routed.targets import current_target
+from sycamorestand_entry.routed.messages import Destination
+from sycamorestand_entry.routed.targets import next_target
 from sycamorestand_entry.upstream import ConnectFailed
 from sycamorestand_model.declarations import VERSION_SEPARATOR
 
@@ -33,7 +33,7 @@
     from sycamorestand_entry.context import EntryContext
     from sycamorestand_entry.routed.call import RoutedCall
     from sycamorestand_entry.routed.header_names import HeaderNames
-    from sycamorestand_entry.routed.messages import Wanted
+    from sycamorestand_entry.routed.messages import EngineOptions
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
@@ -49,7 +49,7 @@
 MAX_DIALS: Final = 16
 MAX_DIAL_S: Final = 1.0
 # A single lost packet can make one dial fail.
-DIALS_TO_BE_SURE: Final = 2
+LOST_SERVER_DIALS: Final = 2
 
 
 class Attempts:
@@ -61,10 +61,13 @@
     """
 
     def __init__(
-        self, context: EntryContext, wire: HeaderNames, call: RoutedCall
+        self,
+        context: EntryContext,
+        header_names: HeaderNames,
+        call: RoutedCall,
     ) -> None:
         self.context = context
-        self.wire = wire
+        self.header_names = header_names
         self.call = call
         self.sent = 0
         self.runs = 0
@@ -72,8 +75,8 @@
         self._service = ""
         self._tried: set[str] = set()
         self._sent_to: set[str] = set()
-        self._dialled_in_vain: set[str] = set()
-        self._dials = 0
+        self._unreachable: set[str] = set()
+        self._failed_dials = 0
         self._dialled_s = 0.0
 
     @property
@@ -81,7 +84,7 @@
         """Return the number of attempts that the route still allows."""
         return max(0, self.call.route.max_attempts - self.sent)
 
-    async def may_go_on(self, overloaded: bool) -> bool:
+    async def may_retry(self, overloaded: bool) -> bool:
         """Return whether the call may be retried at another server now.
 
         After an ``overloaded`` refusal, which reports that the request did
@@ -89,28 +92,28 @@
         may have run must be repeatable, and its retry also spends from the
         retry budget.
         """
-        reason = self._reason_to_end(overloaded)
+        reason = self._reason_not_to_retry(overloaded)
         if reason:
             self.call.log.add(NotRepeated(reason))
             return False
-        return await self._may_arrive_again()
+        return await self._may_send_again()
 
-    async def may_climb(self) -> bool:
+    async def may_escalate(self) -> bool:
         """Return whether the call may escalate to a larger model."""
-        bound = "" if await self._has_spare() else "arrivals_kept"
-        return await self._may_improve("climb", bound)
+        limit = "" if await self._has_spare_arrival() else "arrivals_kept"
+        return await self._may_spend_on_improvement("climb", limit)
 
-    async def may_move(self, target: str) -> bool:
+    async def may_switch_server(self, target: str) -> bool:
         """Return whether to leave a slow server for one not tried yet."""
         candidates = self.context.servers.candidates(
             target, self.context.now_s()
         )
         if all(server.name in self._tried for server in candidates):
             return False
-        bound = "arrivals_kept"
-        if await self._has_spare():
-            bound = self._reason_to_end(overloaded=False)
-        return await self._may_improve("move", bound)
+        limit = "arrivals_kept"
+        if await self._has_spare_arrival():
+            limit = self._reason_not_to_retry(overloaded=False)
+        return await self._may_spend_on_improvement("move", limit)
 
     async def may_fall_back(self, target: str) -> bool:
         """Return whether the call may make its fallback attempt.
@@ -124,21 +127,21 @@
         if self.runs >= self.call.route.max_attempts:
             reason = "no attempt left"
         elif not self.context.servers.has_available_server(
-            target, self.context.now_s(), self._allowed()
+            target, self.context.now_s(), self._allowed_servers()
         ):
             reason = "no server takes work"
         if reason:
             self.call.log.add(NotRepeated(reason))
             return False
-        return await self._may_arrive_again()
+        return await self._may_send_again()
 
-    async def is_lost(self, server: Announcement) -> bool:
+    async def is_unreachable(self, server: Announcement) -> bool:
         """Return whether a silent server accepts no connection.
 
         A server that is busy, or has preempted the request, accepts a
         connection at once.
         """
-        for _ in range(DIALS_TO_BE_SURE):
+        for _ in range(LOST_SERVER_DIALS):
             try:
                 connection = await self.context.pool.acquire(
                     server.address, max_idle_s=0.0
@@ -149,51 +152,54 @@
             return False
         return True
 
-    async def _has_spare(self) -> bool:
+    async def _has_spare_arrival(self) -> bool:
         """Return whether the arrival budget allows an optional attempt."""
-        return await self._asked(self.context.arrivals.has_spare)
+        return await self._check_arrivals(self.context.arrivals.has_spare)
 
-    async def _asked(self, budget: Callable[[str, int, float], bool]) -> bool:
+    async def _check_arrivals(
+        self, budget: Callable[[str, int, float], bool]
+    ) -> bool:
         """Check the arrival budget, if need be after borrowing."""
         context = self.context
 
-        def ask() -> bool:
+        def is_allowed() -> bool:
             entries = context.control.entry_count()
             return budget(self._service, entries, context.now_s())
 
-        if ask():
+        if is_allowed():
             return True
         await context.loans.borrow(self._service)
-        return ask()
+        return is_allowed()
 
-    async def _may_improve(self, wish: str, bound: str) -> bool:
-        if bound:
-            self.call.log.add(NotImproved(wish, bound.replace(" ", "_")))
+    async def _may_spend_on_improvement(self, wish: str, limit: str) -> bool:
+        if limit:
+            self.call.log.add(NotImproved(wish, limit.replace(" ", "_")))
             return False
-        return await self._may_arrive_again()
+        return await self._may_send_again()
 
-    async def _may_arrive_again(self) -> bool:
+    async def _may_send_again(self) -> bool:
+        """Spend one arrival; return False and log it if none is left."""
         context = self.context
         service = self._service
-        may = await self._asked(context.arrivals.try_spend)
-        if not may:
+        allowed = await self._check_arrivals(context.arrivals.try_spend)
+        if not allowed:
             entries = context.control.entry_count()
             share = context.arrivals.share(service, entries, context.now_s())
             self.call.log.add(ArrivalDenied(service, *share))
         context.loans.trade()
-        self._count_arrival("further" if may else "denied")
-        return may
+        self._count_arrival("further" if allowed else "denied")
+        return allowed
 
     def _count_arrival(self, kind: str) -> None:
         labels = {"service": self._service, "kind": kind}
         self.context.metrics.arrivals.inc(labels)
 
-    def _reason_to_end(self, overloaded: bool) -> str:
+    def _reason_not_to_retry(self, overloaded: bool) -> str:
         if not self.left:
             return "no attempt left"
-        over = self.call.why_over()
-        if over:
-            return over
+        expiry = self.call.expiry_reason()
+        if expiry:
+            return expiry
         if overloaded:
             return ""
         if not self.call.may_repeat:
@@ -204,7 +210,7 @@
             return ""
         return "retry budget spent"
 
-    async def open(self, target: str, wanted: Wanted) -> Exchange:
+    async def open(self, target: str, options: EngineOptions) -> Exchange:
         """Choose a server, write the request to it and return the exchange.
 
         Servers that accept no connection are skipped. Raises a
@@ -212,22 +218,26 @@
         dispatched.
         """
         while True:
-            target = current_target(self.context, self.call, target)
+            target = next_target(self.context, self.call, target)
             self._service = target.partition(VERSION_SEPARATOR)[0]
-            server = self._choose(target, wanted)
+            server = self._choose_server(target, options)
             self._tried.add(server.name)
             connection = await self._connect(target, server)
             if connection is None:
                 continue
-            aim = Aim(target, server, wanted)
+            destination = Destination(target, server, options)
             exchange = Exchange(
-                self.context, self.wire, self.call, aim, connection
+                self.context,
+                self.header_names,
+                self.call,
+                destination,
+                connection,
             )
             try:
                 exchange.send()
             except NoBackendServer:
                 # The server left while the connection was opened.
-                self._count_dial()
+                self._count_failed_dial()
                 continue
             except NotAllowed as error:
                 # The request was allowed when it came, and its route or
@@ -243,16 +253,16 @@
                 self._count_arrival("first")
             self.sent += 1
             self._sent_to.add(server.name)
-            self._log_sent(aim)
+            self._log_sent(destination)
             return exchange
 
-    def truthful(self, error: RequestError) -> RequestError:
+    def correct_run_state(self, error: RequestError) -> RequestError:
         """Return the error, or one that does not wrongly report "not run"."""
         if self.may_have_run:
-            return self.failure(error.message)
+            return self.final_error(error.message)
         return error
 
-    def failure(self, message: str) -> RequestError:
+    def final_error(self, message: str) -> RequestError:
         """Return the error for a call that no server answered.
 
         It tells the caller whether the request may have run.
@@ -264,26 +274,28 @@
             return BackendFailed(message, None, run)
         return NoBackendServer(message, RETRY_AFTER_S)
 
-    def _choose(self, target: str, wanted: Wanted) -> Announcement:
+    def _choose_server(
+        self, target: str, options: EngineOptions
+    ) -> Announcement:
         servers = self.context.servers
         now_s = self.context.now_s()
-        known = servers.find_available(target, wanted.known, now_s)
-        if known is not None and wanted.known not in self._dialled_in_vain:
+        known = servers.find_available(target, options.known, now_s)
+        if known is not None and options.known not in self._unreachable:
             return known
         return servers.choose(
             target,
             now_s,
             frozenset(self._tried),
-            wanted.affinity_key,
+            options.affinity_key,
             self.sent > 0 and self.call.may_repeat,
-            self._allowed(),
+            self._allowed_servers(),
         )
 
-    def _allowed(self) -> set[str] | None:
+    def _allowed_servers(self) -> set[str] | None:
         """Return the names of the servers to choose from, None for all."""
         if self.left:
             return None
-        return self._sent_to - self._dialled_in_vain
+        return self._sent_to - self._unreachable
 
     async def _connect(
         self, target: str, server: Announcement
@@ -299,32 +311,32 @@
             servers = self.context.servers
             servers.record_start(target, server.name, now_s)
             servers.record_finish(target, server.name, now_s, 0.0, "error")
-            self._dialled_in_vain.add(server.name)
+            self._unreachable.add(server.name)
             self.call.log.add(NotReached(server.name))
-            self._count_dial()
+            self._count_failed_dial()
             return None
 
-    def _log_sent(self, aim: Aim) -> None:
+    def _log_sent(self, destination: Destination) -> None:
         servers = self.context.servers
         now_s = self.context.now_s()
-        load = aim.server.load
+        load = destination.server.load
         sent = Sent(
-            aim.target,
-            aim.server.name,
-            aim.wanted.model.decode("latin-1"),
-            servers.candidate_count(aim.target),
-            servers.in_flight(aim.target, aim.server.name),
+            destination.target,
+            destination.server.name,
+            destination.wanted.model.decode("latin-1"),
+            servers.candidate_count(destination.target),
+            servers.in_flight(destination.target, destination.server.name),
             load.running + load.queued,
-            int(servers.report_age_s(aim.server, now_s) * 1000),
-            aim.wanted.rank,
-            aim.wanted.last_event.decode("latin-1"),
+            int(servers.report_age_s(destination.server, now_s) * 1000),
+            destination.wanted.rank,
+            destination.wanted.last_event.decode("latin-1"),
         )
         self.call.log.add(sent)
 
-    def _max_idle_s(self, name: str) -> float:
+    def _max_idle_s(self, server: str) -> float:
         if self.call.may_repeat and self.sent == 0:
             return self.context.settings.pool_idle_s
-        if name in self._sent_to:
+        if server in self._sent_to:
             # A late answer to the first attempt at this server echoes the
             # same attempt id as the answer to this one. Only a new
             # connection tells them apart.
@@ -334,11 +346,14 @@
         # such connection.
         return self.context.settings.silent_idle_s
 
-    def _count_dial(self) -> None:
-        self._dials += 1
-        spent = self._dials >= MAX_DIALS or self._dialled_s >= MAX_DIAL_S
-        if spent or self.call.remaining_s() <= 0:
-            raise self.failure("no backend server takes a connection")
+    def _count_failed_dial(self) -> None:
+        """Count a server that could not be reached; raise after too many."""
+        self._failed_dials += 1
+        exhausted = (
+            self._failed_dials >= MAX_DIALS or self._dialled_s >= MAX_DIAL_S
+        )
+        if exhausted or self.call.remaining_s() <= 0:
+            raise self.final_error("no backend server takes a connection")
 
 
 __all__ = ["Attempts", "RETRY_AFTER_S"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
@@ -67,7 +67,7 @@
         until_s = min(self.deadline_at_s, self.ends_at_s())
         return until_s - time.monotonic()
 
-    def why_over(self) -> str:
+    def expiry_reason(self) -> str:
         """Return why the call's time is over, empty while some is left."""
         if self.remaining_s() > 0:
             return ""
@@ -77,22 +77,25 @@
 
 
 def read_deadline_s(
-    values: dict[bytes, bytes], wire: HeaderNames, route: Route, read_s: float
+    values: dict[bytes, bytes],
+    names: HeaderNames,
+    route: Route,
+    received_s: float,
 ) -> float:
     """Return the call's deadline on the monotonic clock.
 
     Raises `BadRequest` if the caller's deadline is not a number.
     """
     limit_ms = route.timeout_ms
-    value = values.get(wire.deadline_ms)
+    value = values.get(names.deadline_ms)
     if value is not None:
         if not value.isdigit() or len(value) > MAX_DEADLINE_DIGITS:
             raise BadRequest("the deadline is no number of milliseconds")
         limit_ms = min(limit_ms, int(value))
-    return read_s + limit_ms / 1000
+    return received_s + limit_ms / 1000
 
 
-def passed_headers(raw: RawHeaders, wire: HeaderNames) -> RawHeaders:
+def forwarded_headers(raw: RawHeaders, names: HeaderNames) -> RawHeaders:
     """Return the caller's headers that the entry forwards to a server.
 
     The API key is left out, as a server, or a reader of its logs, could
@@ -101,24 +104,24 @@
     are kept even if ``Connection`` lists them: without its attempt or model
     it would be another request.
     """
-    dropped = named_by_connection(raw) - _lasting(wire)
+    dropped = named_by_connection(raw) - _defining_headers(names)
     return [
         (name, value)
         for name, value in raw
         if name not in HOP_HEADERS
-        and name not in wire.own
+        and name not in names.own
         and name not in dropped
     ]
 
 
-def read_values(raw: RawHeaders, wire: HeaderNames) -> dict[bytes, bytes]:
+def read_values(raw: RawHeaders, names: HeaderNames) -> dict[bytes, bytes]:
     """Return the headers by name.
 
     Raises `BadRequest` if a header that defines the request came with two
     values: the entry could act on one of them and the server on the other.
     """
     values: dict[bytes, bytes] = {}
-    single = _lasting(wire) | {b"authorization"}
+    single = _defining_headers(names) | {b"authorization"}
     for name, value in raw:
         if name in single and values.get(name, value) != value:
             raise BadRequest(f"header {name.decode('latin-1')} came twice")
@@ -126,27 +129,27 @@
     return values
 
 
-def _lasting(wire: HeaderNames) -> frozenset[bytes]:
+def _defining_headers(names: HeaderNames) -> frozenset[bytes]:
     return frozenset(
         {
             b"host",
             b"content-type",
-            wire.attempt,
-            wire.deadline_ms,
-            wire.session,
-            wire.model,
-            wire.prompt_parts,
-            wire.token_counts,
-            wire.length_hint,
-            wire.last_event,
+            names.attempt,
+            names.deadline_ms,
+            names.session,
+            names.model,
+            names.prompt_parts,
+            names.token_counts,
+            names.length_hint,
+            names.last_event,
         }
     )
 
 
 __all__ = [
     "ANONYMOUS",
+    "forwarded_headers",
     "MAX_DEADLINE_DIGITS",
-    "passed_headers",
     "PROCESS_ENDS",
     "RawHeaders",
     "read_deadline_s",
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
@@ -185,8 +185,8 @@
         self.in_session = False
         self.first_byte_ms = -1
         self.longest_pause_ms = 0
-        self._passed_on_ms = -1
-        self._begun_s = time.monotonic()
+        self._last_events_ms = -1
+        self._received_s = time.monotonic()
         self._decisions: list[tuple[int, Decision]] = []
 
     def add(self, decision: Decision) -> None:
@@ -196,27 +196,27 @@
 
     def elapsed_ms(self) -> int:
         """Return the milliseconds since the request came in."""
-        return int((time.monotonic() - self._begun_s) * MS)
+        return int((time.monotonic() - self._received_s) * MS)
 
     def silent_ms(self) -> int:
         """Return the milliseconds since the caller last received events.
 
         Before the first events, count from the time the request came in.
         """
-        return self.elapsed_ms() - max(0, self._passed_on_ms)
+        return self.elapsed_ms() - max(0, self._last_events_ms)
 
-    def answer_began(self) -> None:
+    def record_first_byte(self) -> None:
         """Record that the caller gets the first part of its answer."""
         if self.first_byte_ms < 0:
             self.first_byte_ms = self.elapsed_ms()
 
-    def events_passed_on(self) -> None:
+    def record_events(self) -> None:
         """Record that whole events of a stream went to the caller."""
         now_ms = self.elapsed_ms()
-        if self._passed_on_ms >= 0:
-            pause_ms = now_ms - self._passed_on_ms
+        if self._last_events_ms >= 0:
+            pause_ms = now_ms - self._last_events_ms
             self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
-        self._passed_on_ms = now_ms
+        self._last_events_ms = now_ms
 
     def is_late(self) -> bool:
         """Return whether the answer missed a latency target of its route.
@@ -232,15 +232,15 @@
             return True
         return 0 < route.gap_target_ms < self.longest_pause_ms
 
-    def ended(self, result: str, status: int, detail: dict[str, Any]) -> None:
+    def write(self, result: str, status: int, detail: dict[str, Any]) -> None:
         """Log the request, with its decisions if it failed or was late.
 
         ``result`` is ``ok`` or the code of the error. ``detail`` adds
         fields to the request's line.
         """
-        well = result == "ok" and status < FAILED_STATUS
-        well = well and not self.is_late()
-        if not well:
+        succeeded = result == "ok" and status < FAILED_STATUS
+        succeeded = succeeded and not self.is_late()
+        if not succeeded:
             self._write_decisions()
         fields = {
             "request": self.request,
@@ -257,12 +257,12 @@
             "place": round(self.place, PLACE_DIGITS),
             "revision": self.revision,
             "lease_ms": self.lease_ms,
-            "path": " ".join(_short(d) for _, d in self._decisions),
-            "expendable": well,
+            "path": " ".join(_summary(d) for _, d in self._decisions),
+            "expendable": succeeded,
             **detail,
         }
         LOG.log(
-            logging.INFO if well else logging.WARNING,
+            logging.INFO if succeeded else logging.WARNING,
             "request ended",
             extra=fields,
         )
@@ -279,7 +279,7 @@
             LOG.info("request decision", extra=extra)
 
 
-def _short(decision: Decision) -> str:
+def _summary(decision: Decision) -> str:
     if isinstance(decision, Sent):
         return f"{decision.server}/{decision.model or '-'}"
     if isinstance(decision, AttemptEnded):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -27,7 +27,7 @@
     """Estimate prefill times and queue delays for the prompt of one call.
 
     Observed times go to the state that all calls of the process share.
-    ``aim_s`` is the route's target latency in seconds.
+    ``target_latency_s`` is the route's target latency in seconds.
     """
 
     def __init__(self, attempts: Attempts) -> None:
@@ -35,7 +35,7 @@
         self._context = attempts.context
         self._route = attempts.call.route
         self.prompt_tokens = _prompt_tokens(attempts)
-        self.aim_s = self._route.target_latency_ms / MS
+        self.target_latency_s = self._route.target_latency_ms / MS
 
     def rank(self, target: str, size: int, resumed: bool) -> int:
         """Return the scheduling rank at the engine, 0 first.
@@ -45,7 +45,7 @@
         schedule the stream last and its caller would give up.
         """
         call = self._attempts.call
-        left_s = self.aim_s - call.log.elapsed_ms() / MS
+        left_s = self.target_latency_s - call.log.elapsed_ms() / MS
         if resumed:
             left_s = math.inf
         return engine_rank(self.prefill_s(target, size), call.priority, left_s)
@@ -69,7 +69,7 @@
     def prefill_s(self, target: str, size: int) -> float:
         """Return the expected prefill time of the prompt in seconds."""
         return self._context.prefill_rates.prefill_s(
-            _service(target), self._route.sizes, size, self.prompt_tokens
+            _service_of(target), self._route.sizes, size, self.prompt_tokens
         )
 
     def short_prefill_limit_s(self, target: str, size: int) -> float | None:
@@ -79,15 +79,15 @@
         remain for an escalation to a larger model; without it a poor
         answer could not be replaced.
         """
-        climbs = 1 if size + 1 < len(self._route.sizes) else 0
+        escalations = 1 if size + 1 < len(self._route.sizes) else 0
         attempts = self._attempts
-        if not attempts.call.may_repeat or attempts.left < 1 + climbs:
+        if not attempts.call.may_repeat or attempts.left < 1 + escalations:
             return None
-        delay_s = self._delay_s(target, size)
-        read_s = self.prefill_s(target, size)
-        return short_prefill_limit_s(self.aim_s, read_s, delay_s)
+        delay_s = self._queue_delay_s(target, size)
+        prefill_s = self.prefill_s(target, size)
+        return short_prefill_limit_s(self.target_latency_s, prefill_s, delay_s)
 
-    def strain(self, target: str) -> float:
+    def delay_ratio(self, target: str) -> float:
         """Return the queue delay at the largest model per target latency.
 
         Short and long prefills have separate delays: engines schedule short
@@ -97,47 +97,49 @@
         none is lost with separate delays.
         """
         largest = max(0, len(self._route.sizes) - 1)
-        return self._delay_s(target, largest) / self.aim_s
+        return self._queue_delay_s(target, largest) / self.target_latency_s
 
-    def learn_answer(self, exchange: Exchange) -> None:
+    def record_answer_time(self, exchange: Exchange) -> None:
         """Record how long a complete answer took."""
-        answer_s = exchange.answering_s()
+        answer_s = exchange.answer_age_s()
         begin_s = self._attempts.call.log.elapsed_ms() / MS - answer_s
         answer = AnswerTime(begin_s, answer_s, exchange.event_count)
         self._context.answer_times.record_answer(self._route.name, answer)
 
-    def learn_reading(self, exchange: Exchange, size: int) -> None:
+    def record_prefill_time(self, exchange: Exchange, size: int) -> None:
         """Record how long the first event took."""
         sizes = self._route.sizes
         self._context.prefill_rates.observe(
-            _service(exchange.aim.target),
+            _service_of(exchange.destination.target),
             sizes[size] if sizes else "",
             self.prompt_tokens,
             self._context.now_s() - exchange.begin_s,
         )
 
-    def observe(self, exchange: Exchange, size: int) -> None:
+    def record_queue_delay(self, exchange: Exchange, size: int) -> None:
         """Record the queue delay at the server, also without an answer."""
         now_s = self._context.now_s()
-        read_s = self.prompt_tokens / PREFILL_TOKENS_PER_S
-        waited_s = now_s - exchange.begin_s - read_s
-        delay = self._delay(exchange.aim.target, size)
+        prefill_s = self.prompt_tokens / PREFILL_TOKENS_PER_S
+        waited_s = now_s - exchange.begin_s - prefill_s
+        delay = self._queue_delay(exchange.destination.target, size)
         delay.observe(now_s, waited_s)
 
-    def _delay_s(self, target: str, size: int) -> float:
-        return self._delay(target, size).delay_s(self._context.now_s())
+    def _queue_delay_s(self, target: str, size: int) -> float:
+        return self._queue_delay(target, size).delay_s(self._context.now_s())
 
-    def _delay(self, target: str, size: int) -> QueueDelay:
-        quick = has_short_prefill(self.aim_s, self.prefill_s(target, size))
-        return self._context.queue_delay(_service(target), quick)
+    def _queue_delay(self, target: str, size: int) -> QueueDelay:
+        short_prefill = has_short_prefill(
+            self.target_latency_s, self.prefill_s(target, size)
+        )
+        return self._context.queue_delay(_service_of(target), short_prefill)
 
 
-def _service(target: str) -> str:
+def _service_of(target: str) -> str:
     return target.partition(VERSION_SEPARATOR)[0]
 
 
 def _prompt_tokens(attempts: Attempts) -> int:
-    value = attempts.call.values.get(attempts.wire.token_counts, b"")
+    value = attempts.call.values.get(attempts.header_names.token_counts, b"")
     tokens = value.partition(b",")[0].strip()
     return int(tokens) if tokens.isdigit() else 0
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/event_order.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/event_order.py
@@ -14,29 +14,29 @@
 class EventOrder:
     """Check that a resumed stream continues without gaps or repeats.
 
-    ``last`` is the id of the last event that the caller has. A server that
+    ``last_id`` is the id of the last event that the caller has. A server that
     resumes the stream must continue with the next id. Without this check a
     server that restarts the answer, or skips events that it believes to
     have sent, would repeat or omit parts of a stream that looks complete.
     """
 
-    def __init__(self, last: bytes) -> None:
-        self.last = last
+    def __init__(self, last_id: bytes) -> None:
+        self.last_id = last_id
 
-    def take(self, events: bytes) -> int:
+    def accept(self, events: bytes) -> int:
         """Accept whole events and return how many of them have an id.
 
         Raises `MalformedAnswer` if a numeric id does not follow the one
         before it.
         """
-        last = self.last
+        last_id = self.last_id
         ids = _EVENT_ID.findall(events)
         for event_id in ids:
-            numbers = _is_number(event_id) and _is_number(last)
-            if numbers and int(event_id) != int(last) + 1:
+            numbers = _is_number(event_id) and _is_number(last_id)
+            if numbers and int(event_id) != int(last_id) + 1:
                 raise MalformedAnswer("its events are out of order")
-            last = event_id
-        self.last = last
+            last_id = event_id
+        self.last_id = last_id
         return len(ids)
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -14,10 +14,10 @@
 from sycamorestand_entry.routed.decision_log import MovedOn
 from sycamorestand_entry.routed.messages import answer_headers
 from sycamorestand_entry.routed.messages import encode_request
-from sycamorestand_entry.routed.messages import foreign
+from sycamorestand_entry.routed.messages import rejection_reason
 from sycamorestand_entry.routed.messages import says_not_run
 from sycamorestand_entry.routed.messages import WholeAnswer
-from sycamorestand_entry.routed.pace import Pace
+from sycamorestand_entry.routed.pace import InitialPace
 from sycamorestand_entry.routed.pace import PACE_CLASS
 from sycamorestand_entry.routed.pace import RecentPace
 from sycamorestand_entry.upstream import Echo
@@ -33,7 +33,7 @@
     from sycamorestand_entry.errors import RequestError
     from sycamorestand_entry.routed.call import RoutedCall
     from sycamorestand_entry.routed.header_names import HeaderNames
-    from sycamorestand_entry.routed.messages import Aim
+    from sycamorestand_entry.routed.messages import Destination
     from sycamorestand_entry.upstream import ResponseHead
     from sycamorestand_entry.upstream import UpstreamConnection
 
@@ -46,25 +46,25 @@
     def __init__(
         self,
         context: EntryContext,
-        wire: HeaderNames,
+        header_names: HeaderNames,
         call: RoutedCall,
-        aim: Aim,
+        destination: Destination,
         connection: UpstreamConnection,
     ) -> None:
-        self.aim = aim
+        self.destination = destination
         self.connection = connection
         self._context = context
-        self._wire = wire
+        self._header_names = header_names
         self._call = call
         self._outcome: Outcome = "cancelled"
         self.begin_s = 0.0
-        self._answered_s = 0.0
+        self._head_received_s = 0.0
         self._reported = False
-        self._pace = Pace()
-        self._recent = RecentPace()
+        self._pace = InitialPace()
+        self._recent_pace = RecentPace()
         self._closed = False
-        self._queued = False
-        self._early = False
+        self._was_queued = False
+        self._left_early = False
         self._first_byte_ms = -1
         self._status = 0
         self._reason = ""
@@ -75,11 +75,11 @@
         Raises the `RequestError` of a failed check before any byte is
         written.
         """
-        refusal = self._refusal()
+        refusal = self._check_dispatch()
         if refusal is not None:
             self._closed = True
             self._context.pool.release(
-                self.aim.server.address, self.connection
+                self.destination.server.address, self.connection
             )
             self._context.metrics.refused_dispatches.inc(
                 {"code": refusal.code}
@@ -87,21 +87,25 @@
             raise refusal
         self.begin_s = time.monotonic()
         self._context.servers.record_start(
-            self.aim.target, self.aim.server.name, self.begin_s
+            self.destination.target, self.destination.server.name, self.begin_s
+        )
+        self._context.metrics.dispatches.inc(
+            {"version": self.destination.target}
+        )
+        request = encode_request(
+            self._header_names, self._call, self.destination
         )
-        self._context.metrics.dispatches.inc({"version": self.aim.target})
-        request = encode_request(self._wire, self._call, self.aim)
         self.connection.send(
             request,
             self._call.method == b"HEAD",
-            Echo(self._wire.attempt, self._call.attempt),
+            Echo(self._header_names.attempt, self._call.attempt),
         )
 
-    def _refusal(self) -> RequestError | None:
+    def _check_dispatch(self) -> RequestError | None:
         if self._call.remaining_s() <= 0:
             return DeadlineExceeded("its time is over", None, "not_run")
         intent = RoutedIntent(
-            self._call.route, self._call.customer, self.aim.server.name
+            self._call.route, self._call.customer, self.destination.server.name
         )
         return check_routed_dispatch(self._context.control, intent)
 
@@ -116,34 +120,34 @@
         try:
             head = await self.connection.read_head(limit_s, soft)
         except UpstreamError as error:
-            self.failed(error)
+            self.record_failure(error)
             raise
-        fault = foreign(head, self._wire, self._call)
-        if fault:
+        rejection = rejection_reason(head, self._header_names, self._call)
+        if rejection:
             self.connection.close()
             self._outcome = "error"
-            self._reason = fault
-            raise MalformedAnswer(fault)
+            self._reason = rejection
+            raise MalformedAnswer(rejection)
         self._status = head.status
-        self._answered_s = time.monotonic()
+        self._head_received_s = time.monotonic()
         return head
 
-    def answering_s(self) -> float:
+    def answer_age_s(self) -> float:
         """Return the seconds since the answer's head came."""
-        return time.monotonic() - self._answered_s
+        return time.monotonic() - self._head_received_s
 
     @property
     def event_count(self) -> int:
         """Return the number of events received."""
-        return self._recent.events
+        return self._recent_pace.events
 
     def is_overtaken(self) -> bool:
         """Return whether the server has answered requests sent later."""
         return self._context.progress.has_overtaken(
-            self.aim.server.name, self.begin_s
+            self.destination.server.name, self.begin_s
         )
 
-    def given_up(self, early: bool = False) -> None:
+    def abandon(self, early: bool = False) -> None:
         """Record that the server was too slow; `close` cancels the attempt.
 
         An attempt that ends ``early``, because other servers may have a
@@ -158,17 +162,17 @@
         """
         self._outcome = "timeout"
         self._reason = "too slow"
-        self._early = early
-        self._queued = self._context.progress.is_serving_in_order(
-            self.aim.server.name, self.begin_s
+        self._left_early = early
+        self._was_queued = self._context.progress.is_serving_in_order(
+            self.destination.server.name, self.begin_s
         )
         waited_s = time.monotonic() - self.begin_s
         self._call.log.add(
             MovedOn(
-                self.aim.server.name,
+                self.destination.server.name,
                 int(waited_s * 1000),
                 self.is_overtaken(),
-                self._queued,
+                self._was_queued,
             )
         )
 
@@ -190,10 +194,10 @@
                     raise MalformedAnswer("its answer is too large")
         except UpstreamError as error:
             self.connection.close()
-            self.failed(error)
+            self.record_failure(error)
             raise
-        not_run = says_not_run(head, self._wire)
-        self.ended(head.status, not_run)
+        not_run = says_not_run(head, self._header_names)
+        self.record_status(head.status, not_run)
         body = b"".join(parts)
         bodiless = (
             self._call.method == b"HEAD" or head.status in BODILESS_STATUSES
@@ -203,14 +207,14 @@
             head.status, answer_headers(head, length), body, not_run
         )
 
-    def ended(self, status: int, not_run: bool) -> None:
-        """Record the outcome of a complete answer for server selection."""
+    def record_status(self, status: int, not_run: bool) -> None:
+        """Record the outcome of a complete answer, or of a refusal."""
         if not_run:
             self._outcome = "overloaded"
         else:
             self._outcome = "error" if status >= 500 else "ok"
 
-    def failed(self, error: UpstreamError) -> str:
+    def record_failure(self, error: UpstreamError) -> str:
         """Record that the answer broke off, and return the reason.
 
         An attempt that the end of this process cuts off counts as cancelled
@@ -218,30 +222,30 @@
         entries could roll back a good version.
         """
         silent = isinstance(error, SilentConnection)
-        over = self._call.why_over() if silent else ""
+        expiry = self._call.expiry_reason() if silent else ""
         self._outcome = "timeout" if silent else "error"
-        if over == PROCESS_ENDS:
+        if expiry == PROCESS_ENDS:
             self._outcome = "cancelled"
-        self._reason = over or str(error)
+        self._reason = expiry or str(error)
         return self._reason
 
-    def first_byte(self) -> None:
+    def record_first_byte(self) -> None:
         """Record that the first part of the answer came."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
         self._context.progress.record_first_event(
-            self.aim.server.name, self.begin_s, now_s
+            self.destination.server.name, self.begin_s, now_s
         )
         self._context.servers.record_first_byte(
-            self.aim.target,
-            self.aim.server.name,
+            self.destination.target,
+            self.destination.server.name,
             now_s,
             now_s - self.begin_s,
         )
         if self._call.route.kind == "stream":
-            self._sample(failed=False)
+            self._report_attempt(failed=False)
 
-    def events(self, count: int) -> None:
+    def record_events(self, count: int) -> None:
         """Record events and, once there are enough, the pause between them.
 
         The time to the first event does not reveal a slow version: an idle
@@ -252,10 +256,10 @@
         now_s = time.monotonic()
         pause_ms = self._pace.add(count, now_s)
         if pause_ms is not None:
-            self._report(PACE_CLASS, False, pause_ms)
-        pause_s = self._recent.add(count, now_s)
+            self._send_sample(PACE_CLASS, False, pause_ms)
+        pause_s = self._recent_pace.add(count, now_s)
         if pause_s is not None:
-            service = self.aim.target.partition(VERSION_SEPARATOR)[0]
+            service = self.destination.target.partition(VERSION_SEPARATOR)[0]
             self._context.event_gap(service).observe(now_s, pause_s)
 
     def close(self) -> None:
@@ -269,50 +273,58 @@
         self._closed = True
         now_s = time.monotonic()
         self._context.servers.record_finish(
-            self.aim.target,
-            self.aim.server.name,
+            self.destination.target,
+            self.destination.server.name,
             now_s,
             now_s - self.begin_s,
-            "cancelled" if self._queued else self._outcome,
+            "cancelled" if self._was_queued else self._outcome,
         )
         self._call.log.add(
             AttemptEnded(
-                self.aim.server.name,
+                self.destination.server.name,
                 self._outcome,
                 self._status,
                 self._first_byte_ms,
                 self._reason,
             )
         )
-        self._sample_end()
-        self._context.pool.release(self.aim.server.address, self.connection)
+        self._report_end()
+        self._context.pool.release(
+            self.destination.server.address, self.connection
+        )
 
-    def _sample_end(self) -> None:
-        """Report the attempt's end for its version, if it counts."""
+    def _report_end(self) -> None:
+        """Report a failure, or a success that is not reported yet.
+
+        Refusals by a full server and attempts that ended early do not count
+        for the version.
+        """
         if self._outcome in ("error", "timeout"):
-            if not self._early:
-                self._sample(failed=True)
+            if not self._left_early:
+                self._report_attempt(failed=True)
         elif self._outcome != "overloaded" and not self._reported:
-            self._sample(failed=False)
+            self._report_attempt(failed=False)
 
-    def _sample(self, failed: bool) -> None:
+    def _report_attempt(self, failed: bool) -> None:
         """Report this attempt as a sample of its version.
 
         Each attempt is a sample of its own, since a retry hides the failure
         of a bad version from the caller. A stream is reported at its first
         event, since its end comes seconds too late to stop a roll-out.
         """
-        if not self._answered_s and not failed:
+        if not self._head_received_s and not failed:
             return
         self._reported = True
-        first_s = (self._answered_s or time.monotonic()) - self.begin_s
-        self._report(self._call.route.name, failed, first_s * 1000)
+        first_s = (self._head_received_s or time.monotonic()) - self.begin_s
+        self._send_sample(self._call.route.name, failed, first_s * 1000)
 
-    def _report(self, name: str, failed: bool, latency_ms: float) -> None:
+    def _send_sample(
+        self, request_class: str, failed: bool, latency_ms: float
+    ) -> None:
         self._context.control.report(
             VersionSample(
-                self.aim.target,
-                name,
+                self.destination.target,
+                request_class,
                 failed,
                 latency_ms,
                 (time.monotonic() - self.begin_s) * 1000,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
@@ -22,11 +22,11 @@
 # Callers take these statuses to mean that the request did not run and never
 # will. A server that sends one without the ``not_run`` header may have run
 # the request, so the entry does not forward them.
-PROMISES: Final = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 IDENTITY: Final = b"identity"
 
 
-class Wanted(NamedTuple):
+class EngineOptions(NamedTuple):
     """Options of one attempt of a stream at an engine.
 
     ``model`` is the model that shall answer, empty if the caller named one;
@@ -43,7 +43,7 @@
     known: str = ""
 
 
-class Aim(NamedTuple):
+class Destination(NamedTuple):
     """The server of a service or version that an attempt goes to.
 
     ``wanted`` are the options for the engine there.
@@ -51,7 +51,7 @@
 
     target: str
     server: Announcement
-    wanted: Wanted
+    wanted: EngineOptions
 
 
 class WholeAnswer(NamedTuple):
@@ -67,12 +67,14 @@
     not_run: bool
 
 
-def says_not_run(head: ResponseHead, wire: HeaderNames) -> bool:
+def says_not_run(head: ResponseHead, names: HeaderNames) -> bool:
     """Return whether the server reports that it did not run the request."""
-    return head.status == WRONG_SERVER or wire.not_run in head.headers
+    return head.status == WRONG_SERVER or names.not_run in head.headers
 
 
-def foreign(head: ResponseHead, wire: HeaderNames, call: RoutedCall) -> str:
+def rejection_reason(
+    head: ResponseHead, names: HeaderNames, call: RoutedCall
+) -> str:
     """Return why an answer is not accepted for this call, empty if it is.
 
     An answer with a content encoding is rejected, as nobody asks for one.
@@ -80,14 +82,14 @@
     echo the attempt: without the echo it may be a late answer to an earlier
     request on the connection.
     """
-    coding = head.headers.get(b"content-encoding", IDENTITY)
-    if coding.lower() != IDENTITY:
+    encoding = head.headers.get(b"content-encoding", IDENTITY)
+    if encoding.lower() != IDENTITY:
         return "its body is encoded"
-    if not wire.stamp or not 200 <= head.status < 300:
+    if not names.stamp or not 200 <= head.status < 300:
         return ""
-    if wire.stamp not in head.headers:
+    if names.stamp not in head.headers:
         return "its success has no signature"
-    if call.attempt and wire.attempt not in head.headers:
+    if call.attempt and names.attempt not in head.headers:
         return "its success names no request"
     return ""
 
@@ -99,53 +101,55 @@
     without a body, such as one to ``HEAD``, and for a stream; no content
     length is added then.
     """
-    named = named_by_connection(list(head.headers.items()))
+    hop_names = named_by_connection(list(head.headers.items()))
     headers = [
         (name, value)
         for name, value in head.headers.items()
-        if name not in ANSWER_HOP_HEADERS and name not in named
+        if name not in ANSWER_HOP_HEADERS and name not in hop_names
     ]
     if length is not None:
         headers.append((b"content-length", b"%d" % length))
     return headers
 
 
-def encode_request(wire: HeaderNames, call: RoutedCall, aim: Aim) -> bytes:
+def encode_request(
+    names: HeaderNames, call: RoutedCall, destination: Destination
+) -> bytes:
     """Return the bytes of the request to a server.
 
     The deadline header carries the milliseconds left, at least 1.
     """
-    wanted = aim.wanted
+    wanted = destination.wanted
     lines = [b"%s %s HTTP/1.1" % (call.method, call.target)]
-    replaced = {wire.model} if wanted.model else set()
+    replaced = {names.model} if wanted.model else set()
     if wanted.last_event:
-        replaced.add(wire.last_event)
-        lines.append(b"%s: %s" % (wire.last_event, wanted.last_event))
+        replaced.add(names.last_event)
+        lines.append(b"%s: %s" % (names.last_event, wanted.last_event))
     for name, value in call.headers:
         if name not in replaced:
             lines.append(b"%s: %s" % (name, value))
     if wanted.model:
-        lines.append(b"%s: %s" % (wire.model, wanted.model))
+        lines.append(b"%s: %s" % (names.model, wanted.model))
     left_ms = max(1, int(call.remaining_s() * 1000))
-    lines.append(b"%s: %d" % (wire.deadline_ms, left_ms))
-    lines.append(b"%s: %s" % (wire.server, aim.server.name.encode()))
+    lines.append(b"%s: %d" % (names.deadline_ms, left_ms))
+    lines.append(b"%s: %s" % (names.server, destination.server.name.encode()))
     if call.customer:
-        lines.append(b"%s: %s" % (wire.customer, call.customer.encode()))
+        lines.append(b"%s: %s" % (names.customer, call.customer.encode()))
     if call.route.kind == "stream":
-        lines.append(b"%s: %d" % (wire.priority, wanted.rank))
+        lines.append(b"%s: %d" % (names.priority, wanted.rank))
     if call.body or call.method not in BODILESS_METHODS:
         lines.append(b"content-length: %d" % len(call.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + call.body
 
 
 __all__ = [
-    "Aim",
     "answer_headers",
+    "Destination",
     "encode_request",
-    "foreign",
-    "PROMISES",
+    "EngineOptions",
+    "NOT_RUN_STATUSES",
+    "rejection_reason",
     "RETRY_STATUSES",
     "says_not_run",
-    "Wanted",
     "WholeAnswer",
 ]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/pace.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/pace.py
@@ -14,7 +14,7 @@
 PACE_CLASS: Final = "pace"
 
 
-class Pace:
+class InitialPace:
     """Measure the mean pause between the first events of one stream."""
 
     def __init__(self) -> None:
@@ -61,13 +61,13 @@
             self._since_s = now_s
             self._since_events = self.events
             return None
-        new = self.events - self._since_events
-        if new < RECENT_EVENTS:
+        new_events = self.events - self._since_events
+        if new_events < RECENT_EVENTS:
             return None
-        pause_s = (now_s - self._since_s) / new
+        pause_s = (now_s - self._since_s) / new_events
         self._since_s = now_s
         self._since_events = self.events
         return pause_s
 
 
-__all__ = ["Pace", "PACE_CLASS", "PACE_EVENTS", "RecentPace"]
+__all__ = ["InitialPace", "PACE_CLASS", "PACE_EVENTS", "RecentPace"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
@@ -42,19 +42,19 @@
     }
 
 
-def stated_time_s(deadline_ms: bytes) -> float:
+def caller_timeout_s(deadline_ms: bytes) -> float:
     """Return the caller's timeout in seconds, 0 if it stated none."""
-    known = deadline_ms.isdigit() and len(deadline_ms) < MAX_DEADLINE_DIGITS
-    return int(deadline_ms) / 1000 if known else 0.0
+    is_valid = deadline_ms.isdigit() and len(deadline_ms) < MAX_DEADLINE_DIGITS
+    return int(deadline_ms) / 1000 if is_valid else 0.0
 
 
-def lease_retry_s(whole_s: float) -> float:
+def lease_retry_s(timeout_s: float) -> float:
     """Return the seconds after which to retry without a lease.
 
-    ``whole_s`` is the timeout that the caller stated, 0 if it stated none.
+    ``timeout_s`` is the timeout that the caller stated, 0 if it stated none.
     """
-    after_s = max(MIN_LEASE_RETRY_S, whole_s * LEASE_RETRY_SHARE)
+    after_s = max(MIN_LEASE_RETRY_S, timeout_s * LEASE_RETRY_SHARE)
     return min(MAX_LEASE_RETRY_S, after_s)
 
 
-__all__ = ["lease_retry_s", "refusal_fields", "refuse", "stated_time_s"]
+__all__ = ["caller_timeout_s", "lease_retry_s", "refusal_fields", "refuse"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
@@ -21,9 +21,9 @@
 from sycamorestand_entry.routed.engine_wait import EngineWait
 from sycamorestand_entry.routed.event_order import EventOrder
 from sycamorestand_entry.routed.messages import answer_headers
-from sycamorestand_entry.routed.messages import PROMISES
+from sycamorestand_entry.routed.messages import EngineOptions
+from sycamorestand_entry.routed.messages import NOT_RUN_STATUSES
 from sycamorestand_entry.routed.messages import RETRY_STATUSES
-from sycamorestand_entry.routed.messages import Wanted
 from sycamorestand_entry.routed.messages import WholeAnswer
 from sycamorestand_entry.upstream import BrokenConnection
 from sycamorestand_entry.upstream import MalformedAnswer
@@ -42,7 +42,7 @@
 MAX_EVENT_BYTES: Final = 1024 * 1024
 # Leaving a slow server costs a retry. If none is allowed now, the relay checks
 # again after this time.
-ASK_AGAIN_S: Final = 0.5
+RECHECK_S: Final = 0.5
 # A shorter wait is not worth a timer.
 MIN_WAIT_S: Final = 0.05
 
@@ -51,7 +51,7 @@
     """The stream ended early after a part of it was forwarded."""
 
 
-class _Climbs(Exception):
+class _Escalation(Exception):
     """The answer is dropped; the model with index ``size`` shall answer."""
 
     def __init__(self, size: int) -> None:
@@ -72,16 +72,16 @@
         self._responder = responder
         self._affinity_key = affinity_key
         self._sizes = attempts.call.route.sizes
-        self._size = first_size(self._sizes)
+        self._size_index = first_size(self._sizes)
         self._fell_back = False
-        self._read_at = ""
+        self._prefilled_server = ""
         call = attempts.call
-        self._order = EventOrder(
-            call.values.get(attempts.wire.last_event, b"")
+        self._event_order = EventOrder(
+            call.values.get(attempts.header_names.last_event, b"")
         )
-        self._rest = b""
-        self._wait = EngineWait(attempts)
-        call.log.prompt_tokens = self._wait.prompt_tokens
+        self._partial_event = b""
+        self._engine_wait = EngineWait(attempts)
+        call.log.prompt_tokens = self._engine_wait.prompt_tokens
 
     async def run(self, target: str) -> WholeAnswer | None:
         """Relay the stream to its end.
@@ -94,27 +94,27 @@
         while True:
             try:
                 exchange = await self._attempts.open(
-                    target, self._wanted(target)
+                    target, self._engine_options(target)
                 )
             except RequestError as error:
-                raise self._final(error) from None
+                raise self._final_error(error) from None
             try:
                 answer = await self._relay(exchange)
-            except _Climbs as climbs:
+            except _Escalation as escalation:
                 self._attempts.may_have_run = True
-                self._read_at = exchange.aim.server.name
-                self._size = climbs.size
+                self._prefilled_server = exchange.destination.server.name
+                self._size_index = escalation.size
                 continue
             except SlowAnswer:
                 self._attempts.may_have_run = True
-                self._rest = b""
+                self._partial_event = b""
                 continue
             except UpstreamError as error:
-                reason = exchange.failed(error)
+                reason = exchange.record_failure(error)
                 self._attempts.may_have_run = True
-                self._rest = b""
+                self._partial_event = b""
                 if not await self._may_resume(overloaded=False):
-                    raise self._broken(reason) from None
+                    raise self._broken_off_error(reason) from None
                 continue
             finally:
                 # The run at this server must be cancelled before the next
@@ -122,53 +122,55 @@
                 exchange.close()
             if answer is None:
                 return None
-            if not await self._try_another(answer):
-                return self._last_answer(answer)
+            if not await self._may_try_another(answer):
+                return self._final_answer(answer)
 
     async def _relay(self, exchange: Exchange) -> WholeAnswer | None:
         try:
             head = await self._read_head(exchange)
         finally:
-            self._wait.observe(exchange, self._size)
+            self._engine_wait.record_queue_delay(exchange, self._size_index)
         self._attempts.runs += 1
         kind = head.headers.get(b"content-type", b"")
         if head.status != 200 or not kind.startswith(EVENT_STREAM):
             return await exchange.read_whole(head)
-        self._wait.learn_reading(exchange, self._size)
-        await self._judge(head, exchange.aim.target)
+        self._engine_wait.record_prefill_time(exchange, self._size_index)
+        await self._escalate_poor_answer(head, exchange.destination.target)
         first = True
         while data := await self._read_part(exchange):
             if first:
-                exchange.first_byte()
+                exchange.record_first_byte()
                 first = False
-            exchange.events(await self._pass_on(head, data))
-        if self._rest:
+            exchange.record_events(await self._forward_events(head, data))
+        if self._partial_event:
             raise MalformedAnswer("it ended in the middle of an event")
-        exchange.ended(head.status, not_run=False)
-        self._wait.learn_answer(exchange)
+        exchange.record_status(head.status, not_run=False)
+        self._engine_wait.record_answer_time(exchange)
         if not self._responder.started:
             await self._start(head)
         await self._responder.finish()
         return None
 
     async def _read_head(self, exchange: Exchange) -> ResponseHead:
-        quick_s = self._wait.short_prefill_limit_s(
-            exchange.aim.target, self._size
+        early_limit_s = self._engine_wait.short_prefill_limit_s(
+            exchange.destination.target, self._size_index
         )
-        if quick_s is not None:
+        if early_limit_s is not None:
             try:
-                return await exchange.read_head(quick_s, soft=True)
+                return await exchange.read_head(early_limit_s, soft=True)
             except SlowAnswer:
-                await self._move_on(exchange, early=True)
-        return await self._read_slow_head(exchange, quick_s or 0.0)
+                await self._switch_server(exchange, is_early=True)
+        return await self._read_slow_head(exchange, early_limit_s or 0.0)
 
     async def _read_slow_head(
         self, exchange: Exchange, waited_s: float
     ) -> ResponseHead:
         call = self._attempts.call
         left_s = call.remaining_s()
-        wait_s, whole_s = first_event_limits_s(
-            self._wait.aim_s, left_s, self._wait.prompt_tokens
+        wait_s, move_after_s = first_event_limits_s(
+            self._engine_wait.target_latency_s,
+            left_s,
+            self._engine_wait.prompt_tokens,
         )
         wait_s = max(MIN_WAIT_S, wait_s - waited_s)
         while call.may_repeat and call.remaining_s() > 0:
@@ -178,9 +180,9 @@
             except SlowAnswer:
                 waited_s += limit_s
                 await self._fall_back(exchange)
-                if waited_s >= whole_s or exchange.is_overtaken():
-                    await self._move_on(exchange)
-            wait_s = ASK_AGAIN_S
+                if waited_s >= move_after_s or exchange.is_overtaken():
+                    await self._switch_server(exchange)
+            wait_s = RECHECK_S
         return await exchange.read_head(max(0.0, call.remaining_s()))
 
     async def _read_part(self, exchange: Exchange) -> bytes:
@@ -190,13 +192,13 @@
             try:
                 return await exchange.connection.read_body(limit_s, soft=True)
             except SlowAnswer:
-                if await self._is_lost(exchange):
+                if await self._is_server_lost(exchange):
                     if not self._attempts.left:
                         # The caller can resume once its stream has ended.
                         raise BrokenConnection("its server is lost") from None
-                    limit_s = ASK_AGAIN_S
+                    limit_s = RECHECK_S
                 await self._fall_back(exchange)
-                await self._move_on(exchange)
+                await self._switch_server(exchange)
         return await exchange.connection.read_body(
             max(0.0, call.remaining_s())
         )
@@ -205,138 +207,149 @@
         """Return the seconds until the fallback, infinity after it."""
         if self._fell_back:
             return math.inf
-        in_s = self._wait.fallback_in_s(self._responder.started)
-        return max(MIN_WAIT_S, in_s)
+        delay_s = self._engine_wait.fallback_in_s(self._responder.started)
+        return max(MIN_WAIT_S, delay_s)
 
     async def _fall_back(self, exchange: Exchange) -> None:
         """Raise `SlowAnswer` if the call shall fall back now.
 
-        The fallback asks the smallest model, after the caller has waited
-        for half of the silence that it tolerates. Without it, callers whose
-        first answer was dropped for a larger model, and whose prompt then
-        waited behind others, left without any answer.
+        The fallback begins after the caller has waited for half of the
+        silence that it tolerates. It asks the smallest model, or resumes
+        the stream with its model, at the first rank. Without it, callers
+        whose first answer was dropped for a larger model, and whose prompt
+        then waited behind others, left without any answer.
         """
         resumed = self._responder.started
-        if self._fell_back or self._wait.fallback_in_s(resumed) > 0:
+        if self._fell_back or self._engine_wait.fallback_in_s(resumed) > 0:
             return
-        if resumed and not self._order.last:
+        if resumed and not self._event_order.last_id:
             return
-        if not await self._attempts.may_fall_back(exchange.aim.target):
+        if not await self._attempts.may_fall_back(exchange.destination.target):
             return
         self._fell_back = True
         if not resumed:
-            self._size = first_size(self._sizes)
+            self._size_index = first_size(self._sizes)
         log = self._attempts.call.log
-        log.add(FellBack(exchange.aim.server.name, log.silent_ms()))
-        exchange.given_up()
-        raise SlowAnswer("falling back to the smallest model")
+        log.add(FellBack(exchange.destination.server.name, log.silent_ms()))
+        exchange.abandon()
+        raise SlowAnswer("falling back to the soonest answer")
 
-    async def _is_lost(self, exchange: Exchange) -> bool:
+    async def _is_server_lost(self, exchange: Exchange) -> bool:
         """Return whether the server was lost in the middle of its answer.
 
         A server that loses power does not close its connections. Treated as
         slow, it would keep its streams until their callers leave.
         """
-        if not self._order.last:
+        if not self._event_order.last_id:
             return False
-        lost = await self._attempts.is_lost(exchange.aim.server)
+        lost = await self._attempts.is_unreachable(exchange.destination.server)
         return lost and not exchange.connection.has_body
 
-    async def _move_on(self, exchange: Exchange, early: bool = False) -> None:
+    async def _switch_server(
+        self, exchange: Exchange, is_early: bool = False
+    ) -> None:
         """Raise `SlowAnswer` if the call may move to another server."""
-        resumable = self._order.last or not self._responder.started
-        if resumable and await self._attempts.may_move(exchange.aim.target):
-            exchange.given_up(early)
+        resumable = self._event_order.last_id or not self._responder.started
+        if resumable and await self._attempts.may_switch_server(
+            exchange.destination.target
+        ):
+            exchange.abandon(is_early)
             raise SlowAnswer("moving to another server")
 
-    def _wanted(self, target: str) -> Wanted:
-        model = self._sizes[self._size] if self._sizes else ""
+    def _engine_options(self, target: str) -> EngineOptions:
+        model = self._sizes[self._size_index] if self._sizes else ""
         resumed = self._responder.started
-        rank = self._wait.rank(target, self._size, resumed)
-        return Wanted(
+        rank = self._engine_wait.rank(target, self._size_index, resumed)
+        return EngineOptions(
             self._affinity_key,
             model.encode(),
-            self._order.last,
+            self._event_order.last_id,
             0 if self._fell_back else rank,
-            self._read_at if self._fell_back and not resumed else "",
+            self._prefilled_server if self._fell_back and not resumed else "",
         )
 
-    async def _judge(self, head: ResponseHead, target: str) -> None:
-        """Raise `_Climbs` if a larger model shall give the answer."""
+    async def _escalate_poor_answer(
+        self, head: ResponseHead, target: str
+    ) -> None:
+        """Raise `_Escalation` if a larger model shall give the answer."""
         if self._responder.started or not self._sizes or self._fell_back:
             return
-        value = head.headers.get(self._attempts.wire.confidence, b"")
+        value = head.headers.get(self._attempts.header_names.confidence, b"")
         confidence = int(value) if value.isdigit() else None
-        strain = self._wait.strain(target)
+        delay_ratio = self._engine_wait.delay_ratio(target)
         left = self._attempts.left
         log = self._attempts.call.log
-        size = next_size(self._sizes, self._size, confidence, left, strain)
-        if size is not None and await self._attempts.may_climb():
-            model = self._sizes[size]
-            known = -1 if confidence is None else confidence
-            log.add(Climbed(model, known, round(strain, 2)))
-            raise _Climbs(size)
-        calm = next_size(self._sizes, self._size, confidence, max(1, left))
-        if size is None and calm is not None:
+        size_index = next_size(
+            self._sizes, self._size_index, confidence, left, delay_ratio
+        )
+        if size_index is not None and await self._attempts.may_escalate():
+            model = self._sizes[size_index]
+            known_confidence = -1 if confidence is None else confidence
+            log.add(Climbed(model, known_confidence, round(delay_ratio, 2)))
+            raise _Escalation(size_index)
+        calm_size = next_size(
+            self._sizes, self._size_index, confidence, max(1, left)
+        )
+        if size_index is None and calm_size is not None:
             log.add(NotImproved("climb", "strain" if left else "no_attempt"))
 
-    async def _pass_on(self, head: ResponseHead, data: bytes) -> int:
+    async def _forward_events(self, head: ResponseHead, data: bytes) -> int:
         """Forward the whole events in ``data`` and return their number."""
-        if self._rest:
-            data = self._rest + data
+        if self._partial_event:
+            data = self._partial_event + data
         end = data.rfind(END_OF_EVENT)
         if end < 0:
             if len(data) > MAX_EVENT_BYTES:
                 raise MalformedAnswer("its event is too large")
-            self._rest = data
+            self._partial_event = data
             return 0
         end += len(END_OF_EVENT)
-        self._rest = data[end:]
-        events = data[:end] if self._rest else data
-        count = self._order.take(events)
+        self._partial_event = data[end:]
+        events = data[:end] if self._partial_event else data
+        count = self._event_order.accept(events)
         if not self._responder.started:
             await self._start(head)
-        self._attempts.call.log.events_passed_on()
+        self._attempts.call.log.record_events()
         write_now = self._responder.write_now
         if write_now is None or not write_now(events):
             await self._responder.write(events)
         return count
 
     async def _start(self, head: ResponseHead) -> None:
-        self._attempts.call.log.answer_began()
+        self._attempts.call.log.record_first_byte()
         await self._responder.start(head.status, answer_headers(head, None))
 
     async def _may_resume(self, overloaded: bool) -> bool:
-        if self._responder.started and not self._order.last:
+        if self._responder.started and not self._event_order.last_id:
             return False
-        return await self._attempts.may_go_on(overloaded)
+        return await self._attempts.may_retry(overloaded)
 
-    async def _try_another(self, answer: WholeAnswer) -> bool:
+    async def _may_try_another(self, answer: WholeAnswer) -> bool:
         if answer.not_run:
             return await self._may_resume(overloaded=True)
-        faulty = answer.status in RETRY_STATUSES | PROMISES
+        faulty = answer.status in RETRY_STATUSES | NOT_RUN_STATUSES
         if not faulty and not self._responder.started:
             return False
         self._attempts.may_have_run = True
         return await self._may_resume(overloaded=False)
 
-    def _last_answer(self, answer: WholeAnswer) -> WholeAnswer:
+    def _final_answer(self, answer: WholeAnswer) -> WholeAnswer:
         """Return the answer in place of a stream, or raise an error."""
         if self._responder.started:
             raise StreamBroken("no server resumes the stream")
-        if answer.not_run or answer.status in PROMISES:
-            raise self._attempts.failure("every backend server is full")
+        if answer.not_run or answer.status in NOT_RUN_STATUSES:
+            raise self._attempts.final_error("every backend server is full")
         return answer
 
-    def _broken(self, message: str) -> Exception:
+    def _broken_off_error(self, message: str) -> Exception:
         if self._responder.started:
             return StreamBroken(message)
-        return self._attempts.failure(message)
+        return self._attempts.final_error(message)
 
-    def _final(self, error: RequestError) -> Exception:
+    def _final_error(self, error: RequestError) -> Exception:
         if self._responder.started:
             return StreamBroken(error.message)
-        return self._attempts.truthful(error)
+        return self._attempts.correct_run_state(error)
 
 
 __all__ = ["StreamBroken", "StreamRelay"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -37,7 +37,7 @@
 VERSION_RETRY_S: Final = 1.0
 # Above this share the new version soon replaces the version in use. A
 # session that stayed would have to change its version shortly after.
-MAX_STAY_SHARE: Final = 0.5
+MAX_RETAINED_SHARE: Final = 0.5
 
 
 def choose_target(context: EntryContext, call: RoutedCall) -> str:
@@ -46,25 +46,25 @@
     Raises `NoVersion` if no version of the service may be used now.
     """
     in_force = context.control.in_force()
-    service = _service_of(call)
+    service = _choose_service(call)
     model = in_force.declarations.models.get(service)
     if model is None:
-        return _undeclared(context, service)
-    place = _place(call, service)
+        return _undeclared_target(context, service)
+    place = _session_place(call, service)
     call.log.in_session = bool(call.session)
     call.log.place = place / PLACE_COUNT
-    unit = 1.0 if _stays(context, call, service) else place / PLACE_COUNT
-    chosen = choose_version(model, in_force, unit)
+    position = (
+        1.0 if _is_retained(context, call, service) else place / PLACE_COUNT
+    )
+    chosen = choose_version(model, in_force, position)
     if chosen is None:
         raise NoVersion("no version may be used now", VERSION_RETRY_S)
-    if _takes_work(context, chosen):
+    if _has_capacity(context, chosen):
         return chosen
-    return _other(context, model, in_force, chosen) or chosen
+    return _fallback_version(context, model, in_force, chosen) or chosen
 
 
-def current_target(
-    context: EntryContext, call: RoutedCall, target: str
-) -> str:
+def next_target(context: EntryContext, call: RoutedCall, target: str) -> str:
     """Return the target of the next attempt, usually that of the last one.
 
     If the version was rolled back or disallowed since, choose again.
@@ -88,7 +88,9 @@
     return target
 
 
-def note_session(context: EntryContext, call: RoutedCall, target: str) -> None:
+def record_session(
+    context: EntryContext, call: RoutedCall, target: str
+) -> None:
     """Record that the version in use serves the call's session.
 
     That includes sessions that it serves because the new version has no
@@ -100,42 +102,51 @@
     stable = model and version_id(model.name, model.stable)
     if not call.session or (stable and target != stable):
         return
-    place = _place(call, service)
+    place = _session_place(call, service)
     context.staying.record_served(service, place, time.monotonic())
-    step = _step(context, service)
-    if step is not None and place < _share(context, service) * PLACE_COUNT:
-        _tell(context, step, context.staying.retain(step, (place,)))
+    step = _current_step(context, service)
+    if (
+        step is not None
+        and place < _rollout_share(context, service) * PLACE_COUNT
+    ):
+        _send_retained(context, step, context.staying.retain(step, (place,)))
 
 
-def _stays(context: EntryContext, call: RoutedCall, service: str) -> bool:
+def _is_retained(
+    context: EntryContext, call: RoutedCall, service: str
+) -> bool:
     """Return whether the session stays with the version in use."""
-    step = _step(context, service)
+    step = _current_step(context, service)
     if step is None or not call.session:
         return False
     staying = context.staying
-    share = _share(context, service)
-    _tell(context, step, staying.begin_step(step, share, time.monotonic()))
-    return staying.is_retained(step, _place(call, service))
+    share = _rollout_share(context, service)
+    _send_retained(
+        context, step, staying.begin_step(step, share, time.monotonic())
+    )
+    return staying.is_retained(step, _session_place(call, service))
 
 
-def _step(context: EntryContext, service: str) -> Step | None:
+def _current_step(context: EntryContext, service: str) -> Step | None:
     """Return the current roll-out step if sessions may stay during it."""
     rollout = context.control.in_force().shares.get(service)
-    if rollout is None or not 0 < rollout.share <= MAX_STAY_SHARE:
+    if rollout is None or not 0 < rollout.share <= MAX_RETAINED_SHARE:
         return None
     return Step(service, rollout.version, rollout.step)
 
 
-def _share(context: EntryContext, service: str) -> float:
+def _rollout_share(context: EntryContext, service: str) -> float:
     return context.control.in_force().shares[service].share
 
 
-def _tell(context: EntryContext, step: Step, places: tuple[int, ...]) -> None:
+def _send_retained(
+    context: EntryContext, step: Step, places: tuple[int, ...]
+) -> None:
     if places:
         context.control.send(SessionsStay(*step, places))
 
 
-def _undeclared(context: EntryContext, service: str) -> str:
+def _undeclared_target(context: EntryContext, service: str) -> str:
     """Return the target for a service without declared versions.
 
     That is the service itself, or its version with the most servers if
@@ -153,12 +164,12 @@
     return max(sorted(counts), key=lambda name: counts[name])
 
 
-def _takes_work(context: EntryContext, target: str) -> bool:
+def _has_capacity(context: EntryContext, target: str) -> bool:
     """Return whether a server of the target is known and not ejected."""
     return context.servers.capacity(target, time.monotonic()) > 0
 
 
-def _other(
+def _fallback_version(
     context: EntryContext, model: Model, in_force: InForce, chosen: str
 ) -> str | None:
     """Return the version that replaces a chosen one without servers.
@@ -175,15 +186,19 @@
     stable = choose_version(model, in_force, 1.0)
     if stable is None or stable == chosen:
         return None
-    return stable if _takes_work(context, stable) else None
+    return stable if _has_capacity(context, stable) else None
 
 
-def _service_of(call: RoutedCall) -> str:
+def _choose_service(call: RoutedCall) -> str:
     targets = call.route.targets
     if len(targets) == 1:
         return targets[0].service
-    whole = sum(target.weight for target in targets)
-    place = crc32(call.session.encode() or call.attempt) / PLACE_COUNT * whole
+    total_weight = sum(target.weight for target in targets)
+    place = (
+        crc32(call.session.encode() or call.attempt)
+        / PLACE_COUNT
+        * total_weight
+    )
     for target in targets:
         place -= target.weight
         if place < 0:
@@ -191,9 +206,9 @@
     return targets[-1].service
 
 
-def _place(call: RoutedCall, service: str) -> int:
+def _session_place(call: RoutedCall, service: str) -> int:
     name = call.session or call.attempt.decode("latin-1")
     return crc32(f"{name}/{service}".encode())
 
 
-__all__ = ["choose_target", "current_target", "note_session"]
+__all__ = ["choose_target", "next_target", "record_session"]
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/whole_answers.py
@@ -10,9 +10,9 @@
 
 from sycamorestand_decisions.attempt_timeouts import call_limit_s
 from sycamorestand_entry.errors import RequestError
-from sycamorestand_entry.routed.messages import PROMISES
+from sycamorestand_entry.routed.messages import EngineOptions
+from sycamorestand_entry.routed.messages import NOT_RUN_STATUSES
 from sycamorestand_entry.routed.messages import RETRY_STATUSES
-from sycamorestand_entry.routed.messages import Wanted
 from sycamorestand_entry.upstream import SlowAnswer
 from sycamorestand_entry.upstream import UpstreamError
 
@@ -23,54 +23,56 @@
     from sycamorestand_entry.upstream import ResponseHead
 
 
-async def whole_answer(attempts: Attempts, target: str) -> WholeAnswer:
+async def read_whole_answer(attempts: Attempts, target: str) -> WholeAnswer:
     """Return a server's complete answer.
 
     If retries bring no other answer, an answer with a status of
     `RETRY_STATUSES` is returned. Raises a `RequestError` if no server gave
     an answer that can be forwarded.
     """
-    kept: WholeAnswer | None = None
+    last_failure: WholeAnswer | None = None
     while True:
         try:
-            exchange = await attempts.open(target, Wanted())
+            exchange = await attempts.open(target, EngineOptions())
         except RequestError as error:
-            if kept is not None:
-                return kept
-            raise attempts.truthful(error) from None
+            if last_failure is not None:
+                return last_failure
+            raise attempts.correct_run_state(error) from None
         try:
-            answer = await _read(attempts, exchange)
+            answer = await _read_answer(attempts, exchange)
         except SlowAnswer:
             attempts.may_have_run = True
             continue
         if answer is not None and answer.not_run:
             message = "every backend server is full"
-            again = await attempts.may_go_on(overloaded=True)
-        elif answer is None or answer.status in PROMISES:
+            retry = await attempts.may_retry(overloaded=True)
+        elif answer is None or answer.status in NOT_RUN_STATUSES:
             attempts.may_have_run = True
             message = "the backend server gave no whole answer"
-            again = await attempts.may_go_on(overloaded=False)
+            retry = await attempts.may_retry(overloaded=False)
         elif answer.status in RETRY_STATUSES:
             attempts.may_have_run = True
-            kept = answer
-            again = await attempts.may_go_on(overloaded=False)
+            last_failure = answer
+            retry = await attempts.may_retry(overloaded=False)
         else:
             return answer
-        if again:
+        if retry:
             continue
-        if kept is not None:
-            return kept
-        raise attempts.failure(message)
+        if last_failure is not None:
+            return last_failure
+        raise attempts.final_error(message)
 
 
-async def _read(attempts: Attempts, exchange: Exchange) -> WholeAnswer | None:
+async def _read_answer(
+    attempts: Attempts, exchange: Exchange
+) -> WholeAnswer | None:
     """Return the answer, None if it broke off.
 
     Raises `SlowAnswer` if another server shall be asked instead.
     """
     try:
         head = await _read_head(attempts, exchange)
-        exchange.first_byte()
+        exchange.record_first_byte()
         return await exchange.read_whole(head)
     except UpstreamError:
         return None
@@ -86,10 +88,10 @@
             return await exchange.read_head(call_limit_s(left_s), soft=True)
         except SlowAnswer:
             # Without another server, keep waiting: this one may yet answer.
-            if await attempts.may_move(exchange.aim.target):
-                exchange.given_up()
+            if await attempts.may_switch_server(exchange.destination.target):
+                exchange.abandon()
                 raise
     return await exchange.read_head(max(0.0, call.remaining_s()))
 
 
-__all__ = ["whole_answer"]
+__all__ = ["read_whole_answer"]
--- a/packages/sycamorestand-entry/tests/routed/test_decision_log.py
+++ b/packages/sycamorestand-entry/tests/routed/test_decision_log.py
@@ -230,7 +230,7 @@
                 "sycamorestand_entry.routed.decision_log.LOG.info",
                 lambda message, extra: written.append(message),
             )
-            log.ended("no_lease", 503, {})
+            log.write("no_lease", 503, {})
         assert len(written) == MAX_DECISIONS
 
 
--- a/packages/sycamorestand-entry/tests/routed/test_escalation.py
+++ b/packages/sycamorestand-entry/tests/routed/test_escalation.py
@@ -51,8 +51,8 @@
         """
         async with start_routed() as loopback:
             add_queue_delay(loopback, quick=False)
-            reading = loopback.entry.context.prefill_rates
-            reading.observe("stock", "large", 40_000, 4.0)
+            prefill_rates = loopback.entry.context.prefill_rates
+            prefill_rates.observe("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
@@ -134,9 +134,9 @@
 
 def add_queue_delay(loopback: RoutedLoopback, quick: bool) -> None:
     """Record queue delays of seconds for short or long prefills."""
-    delay = loopback.entry.context.queue_delay("stock", quick)
+    queue_delay = loopback.entry.context.queue_delay("stock", quick)
     for _ in range(8):
-        delay.observe(time.monotonic(), 4.0)
+        queue_delay.observe(time.monotonic(), 4.0)
 
 
 async def ask_with_sizes(
--- a/packages/sycamorestand-entry/tests/routed/test_streams.py
+++ b/packages/sycamorestand-entry/tests/routed/test_streams.py
@@ -117,8 +117,8 @@
         """The prefill takes longer than the longest allowed pause."""
         async with start_routed() as loopback:
             set_missed_target_latency(loopback)
-            reading = loopback.entry.context.prefill_rates
-            reading.observe("stock", "", 40_000, 1.0)
+            prefill_rates = loopback.entry.context.prefill_rates
+            prefill_rates.observe("stock", "", 40_000, 1.0)
             handler = break_once(event(1) + event(2))
             answer = await ask_two(loopback, handler, x_tokens="40000,50")
             (_, second) = loopback.requests[1]
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -15,11 +15,11 @@
 from sycamorestand_decisions.retained_sessions import Step
 from sycamorestand_entry.routed.call import RoutedCall
 from sycamorestand_entry.routed.decision_log import DecisionLog
-from sycamorestand_entry.routed.pace import Pace
+from sycamorestand_entry.routed.pace import InitialPace
 from sycamorestand_entry.routed.pace import PACE_EVENTS
 from sycamorestand_entry.routed.targets import choose_target
-from sycamorestand_entry.routed.targets import current_target
-from sycamorestand_entry.routed.targets import note_session
+from sycamorestand_entry.routed.targets import next_target
+from sycamorestand_entry.routed.targets import record_session
 from sycamorestand_entry.servers import Servers
 from sycamorestand_model.backend_servers import Announcement
 from sycamorestand_model.declarations import Declarations
@@ -65,7 +65,7 @@
 
     def serve(self, session: str) -> str:
         target = self.choose(session)
-        note_session(self.context, make_call(session), target)
+        record_session(self.context, make_call(session), target)
         return target
 
     def receive_from(self, other: EntryScene) -> None:
@@ -179,7 +179,7 @@
     ) -> None:
         scene = EntryScene()
         scene.set_share(share)
-        assert current_target(scene.context, make_call("s"), NEW) == expected
+        assert next_target(scene.context, make_call("s"), NEW) == expected
 
 
 class TestActiveSessions:
@@ -229,13 +229,13 @@
 
 class TestPace:
     def test_mean_pause_is_returned_once(self) -> None:
-        pace = Pace()
+        pace = InitialPace()
         assert pace.add(4, 10.0) is None
         assert pace.add(PACE_EVENTS, 10.5) == 500.0 / PACE_EVENTS
         assert pace.add(PACE_EVENTS, 11.0) is None
 
     def test_reads_without_an_event_do_not_count(self) -> None:
-        pace = Pace()
+        pace = InitialPace()
         assert pace.add(0, 9.0) is None
         assert pace.add(1, 10.0) is None
         assert pace.add(0, 11.0) is None
