--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/messages.py
@@ -77,7 +77,7 @@
 ) -> str:
     """Return why an answer is not accepted for this call, empty if it is.
 
-    An answer with a content encoding is rejected, as nobody asks for one.
+    An answer with a content encoding is rejected, as callers request none.
     Where servers stamp their answers, a success must carry the stamp and
     echo the attempt: without the echo it may be a late answer to an earlier
     request on the connection.
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -20,7 +20,7 @@
 
 OWN = "10.0.0.1:7001"
 CONTROL = "10.0.0.2:7000"
-LEFT = "10.0.0.9:7000"
+FORMER_CONTROL = "10.0.0.9:7000"
 PEERS = ("10.0.0.3:7001", "10.0.0.4:7001")
 ADDRESS = EntryAddress("vm-1", "a", "10.0.0.1", 80, peer_address=OWN)
 
@@ -119,7 +119,7 @@
         settings = LinkSettings("vm-1", "a", OWN, (CONTROL,), (b"k" * 32,))
         link = ControlLink(settings, lambda: ADDRESS)
         link._handle_message(CONTROL, AddressList((ADDRESS,)))
-        link._handle_message(LEFT, AddressList(()))
+        link._handle_message(FORMER_CONTROL, AddressList(()))
         assert link.addresses() == (ADDRESS,)
 
 
@@ -158,9 +158,9 @@
     ) -> None:
         """Control sends a list once; callers of a data centre got none."""
         link = link_of(1)
-        link._handle_message(LEFT, AddressList((ADDRESS,)))
+        link._handle_message(FORMER_CONTROL, AddressList((ADDRESS,)))
         assert link.addresses() == ()
-        monkeypatch.setattr(link, "control_address", lambda: LEFT)
+        monkeypatch.setattr(link, "control_address", lambda: FORMER_CONTROL)
         assert link.addresses() == (ADDRESS,)
 
     def test_last_list_is_kept_without_a_new_one(
@@ -169,7 +169,7 @@
         link = link_of(1)
         link._handle_message(link.control_address(), AddressList((ADDRESS,)))
         assert link.addresses() == (ADDRESS,)
-        monkeypatch.setattr(link, "control_address", lambda: LEFT)
+        monkeypatch.setattr(link, "control_address", lambda: FORMER_CONTROL)
         assert link.addresses() == (ADDRESS,)
 
 
--- a/packages/sycamorestand-entry/tests/routed/test_attempts.py
+++ b/packages/sycamorestand-entry/tests/routed/test_attempts.py
@@ -29,12 +29,12 @@
         await loopback.add_server(f"s-{number}", handler)
 
 
-async def closes(request: bytes, stream: SocketStream) -> None:
+async def close_connection(request: bytes, stream: SocketStream) -> None:
     """Close the connection without an answer."""
     raise anyio.EndOfStream
 
 
-async def fails(request: bytes, stream: SocketStream) -> None:
+async def answer_with_500(request: bytes, stream: SocketStream) -> None:
     """Answer with status 500."""
     head = answer_head(request, b"content-length: 0", status=500)
     await stream.send(head)
@@ -43,7 +43,7 @@
 class TestRepeating:
     async def test_order_with_lost_answer_is_sent_once(self) -> None:
         async with start_routed() as loopback:
-            await add_servers(loopback, closes)
+            await add_servers(loopback, close_connection)
             answer = await loopback.ask("/order/1")
             assert len(loopback.requests) == 1
         assert answer.startswith(b"HTTP/1.1 502")
@@ -52,7 +52,7 @@
         self,
     ) -> None:
         async with start_routed() as loopback:
-            await add_servers(loopback, fails)
+            await add_servers(loopback, answer_with_500)
             answer = await loopback.ask("/stock/1")
             names = {name for name, _ in loopback.requests}
             assert len(names) == len(loopback.requests) == 2
@@ -92,7 +92,7 @@
 
     async def test_forwarded_deadline_shrinks_with_each_attempt(self) -> None:
         async with start_routed() as loopback:
-            await add_servers(loopback, fails)
+            await add_servers(loopback, answer_with_500)
             await loopback.ask("/stock/1", x_deadline_ms="700")
             left = [
                 int(re.findall(rb"x-deadline-ms: (\d+)", request)[0])
@@ -109,19 +109,19 @@
         request failed although one server was free.
         """
 
-        async def answer(request: bytes, stream: SocketStream) -> None:
+        async def respond(request: bytes, stream: SocketStream) -> None:
             await stream.send(answer_bytes(request))
 
         async with start_routed() as loopback:
-            await loopback.add_server("s-alive", answer)
+            await loopback.add_server("s-alive", respond)
             for number in range(6):
                 name = f"s-{number}"
                 loopback.control.servers[name] = Announcement(
                     name, "service", UNUSED, "marietta", 1, 1, ("stock",)
                 )
             for _ in range(3):
-                told = await loopback.ask("/order/1")
-                assert told.startswith(b"HTTP/1.1 200")
+                answer = await loopback.ask("/order/1")
+                assert answer.startswith(b"HTTP/1.1 200")
 
     async def test_request_is_refused_as_not_run_without_servers(self) -> None:
         async with start_routed() as loopback:
@@ -130,15 +130,15 @@
                 loopback.control.servers[name] = Announcement(
                     name, "service", UNUSED, "marietta", 1, 1, ("stock",)
                 )
-            told = await loopback.ask("/order/1")
-        assert told.startswith(b"HTTP/1.1 503")
+            answer = await loopback.ask("/order/1")
+        assert answer.startswith(b"HTTP/1.1 503")
 
 
 class TestSlowCaller:
     async def test_missing_body_is_refused_at_the_deadline(self) -> None:
         """A caller sends the headers of an order but not its body."""
         async with start_routed() as loopback:
-            await add_servers(loopback, closes, 1)
+            await add_servers(loopback, close_connection, 1)
             with anyio.fail_after(5):
                 answer = await loopback.ask(
                     "/order/1", x_deadline_ms="300", content_length="9"
@@ -181,7 +181,7 @@
         is refused as not run; a retry gets a 404 or the new route.
         """
         async with start_routed() as loopback:
-            await add_servers(loopback, closes, 1)
+            await add_servers(loopback, close_connection, 1)
             control = loopback.control
             reads = 0
 
--- a/packages/sycamorestand-entry/tests/routed/test_escalation.py
+++ b/packages/sycamorestand-entry/tests/routed/test_escalation.py
@@ -35,7 +35,7 @@
         and be late itself.
         """
         async with start_routed() as loopback:
-            add_queue_delay(loopback, quick=True)
+            add_queue_delay(loopback, short_prefill=True)
             answer, models = await ask_with_sizes(loopback)
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
@@ -50,7 +50,7 @@
         answer.
         """
         async with start_routed() as loopback:
-            add_queue_delay(loopback, quick=False)
+            add_queue_delay(loopback, short_prefill=False)
             prefill_rates = loopback.entry.context.prefill_rates
             prefill_rates.observe("stock", "large", 40_000, 4.0)
             answer, models = await ask_with_sizes(loopback, "40000,100")
@@ -59,7 +59,7 @@
 
     async def test_short_prompt_escalates_while_long_ones_wait(self) -> None:
         async with start_routed() as loopback:
-            add_queue_delay(loopback, quick=False)
+            add_queue_delay(loopback, short_prefill=False)
             _, models = await ask_with_sizes(loopback, "400,100")
         assert models == [b"small", b"large"]
 
@@ -117,7 +117,7 @@
     ) -> None:
         caplog.set_level("INFO")
         async with start_routed() as loopback:
-            add_queue_delay(loopback, quick=True)
+            add_queue_delay(loopback, short_prefill=True)
             await ask_with_sizes(loopback)
         assert "no-climb:strain" in path_of(caplog)
 
@@ -132,9 +132,9 @@
     return path
 
 
-def add_queue_delay(loopback: RoutedLoopback, quick: bool) -> None:
+def add_queue_delay(loopback: RoutedLoopback, short_prefill: bool) -> None:
     """Record queue delays of seconds for short or long prefills."""
-    queue_delay = loopback.entry.context.queue_delay("stock", quick)
+    queue_delay = loopback.entry.context.queue_delay("stock", short_prefill)
     for _ in range(8):
         queue_delay.observe(time.monotonic(), 4.0)
 
--- a/packages/sycamorestand-entry/tests/routed/test_fallback.py
+++ b/packages/sycamorestand-entry/tests/routed/test_fallback.py
@@ -64,9 +64,9 @@
     ) -> None:
         """The larger model never answers, and the caller would leave."""
         async with start_routed() as loopback:
-            got = await ask(loopback, answer_if_small, "s-1", "s-2")
+            received = await ask(loopback, answer_if_small, "s-1", "s-2")
             sent = loopback.requests
-        assert got.endswith(END)
+        assert received.endswith(END)
         models = [model_of(request) for _, request in sent]
         assert models == [b"small", b"large", b"small"]
         assert rank_of(sent[2][1]) == 0
@@ -75,9 +75,9 @@
     async def test_fallback_has_the_first_rank(self) -> None:
         """The engine keeps reading shorter prompts before this one."""
         async with start_routed() as loopback:
-            got = await ask(loopback, answer_if_first_rank, "s-1")
+            received = await ask(loopback, answer_if_first_rank, "s-1")
             ranks = [rank_of(request) for _, request in loopback.requests]
-        assert got.endswith(END)
+        assert received.endswith(END)
         assert ranks[0] > 0
         assert ranks[1:] == [0]
 
@@ -85,11 +85,11 @@
         """Three servers did not begin; a fourth may not be asked."""
         async with start_routed() as loopback:
             names = ("s-1", "s-2", "s-3", "s-4")
-            got = await ask(
+            received = await ask(
                 loopback, answer_if_first_rank, *names, tokens="400,100"
             )
             asked = {name for name, _ in loopback.requests}
-        assert got.endswith(END)
+        assert received.endswith(END)
         assert len(asked) <= 3
 
     async def test_no_fallback_after_max_attempts_runs(self) -> None:
@@ -120,9 +120,9 @@
             await answer(request, stream, confidence=90)
 
         async with start_routed() as loopback:
-            got = await ask(loopback, answer_late, "s-1")
+            received = await ask(loopback, answer_late, "s-1")
             assert len(loopback.requests) == 1
-        assert got.endswith(END)
+        assert received.endswith(END)
 
     async def test_fallback_reserves_the_duration_of_an_answer(self) -> None:
         """An answer takes a large part of the caller's timeout.
@@ -141,10 +141,10 @@
             loopback.entry.context.answer_times.record_answer(
                 "review", AnswerTime(0.0, 2.2, 1)
             )
-            got = await ask(
+            received = await ask(
                 loopback, answer_slowly, "s-1", silence_limit_ms=8000
             )
-        assert got.endswith(END)
+        assert received.endswith(END)
 
     async def test_escalations_leave_an_arrival_for_it(self) -> None:
         """Escalations of other requests had spent the arrival budget."""
@@ -155,9 +155,9 @@
             arrivals = loopback.entry.context.arrivals
             for _ in range(2):
                 arrivals.record_first_arrival("stock", time.monotonic())
-            got = await ask(loopback, answer_if_first_rank, "s-1", "s-2")
+            received = await ask(loopback, answer_if_first_rank, "s-1", "s-2")
             models = [model_of(request) for _, request in loopback.requests]
-        assert got.endswith(END)
+        assert received.endswith(END)
         assert models == [b"small", b"small"]
 
     async def test_fallback_spends_the_arrival_budget(self) -> None:
--- a/packages/sycamorestand-entry/tests/routed/test_foreign_answers.py
+++ b/packages/sycamorestand-entry/tests/routed/test_foreign_answers.py
@@ -18,7 +18,7 @@
 from sycamorestand_bench.fakes.routed import start_routed
 
 pytestmark = pytest.mark.anyio
-KEPT = SETTINGS._replace(silent_idle_s=5.0)
+REUSED = SETTINGS._replace(silent_idle_s=5.0)
 
 
 async def reset(stream: SocketStream) -> None:
@@ -56,7 +56,7 @@
             else:
                 await stream.send(answer_bytes(request, b"first"))
 
-        async with start_routed(KEPT) as loopback:
+        async with start_routed(REUSED) as loopback:
             await loopback.add_server("s-1", handler)
             first = await loopback.ask("/order/1", x_attempt="a1")
             second = await loopback.ask("/order/2", x_attempt="a2")
@@ -65,7 +65,7 @@
         assert b"of the first" not in second
 
     async def test_bytes_after_an_answer_are_dropped(self) -> None:
-        async with start_routed(KEPT) as loopback:
+        async with start_routed(REUSED) as loopback:
             whole = answer_bytes(b"x-attempt: a1", b"mine")
             answer = await ask_one(loopback, whole + whole)
         assert answer.endswith(b"\r\n\r\nmine")
--- a/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
+++ b/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
@@ -42,7 +42,7 @@
             await loopback.add_server("s-1", _answer)
             loopback.control.lease_s = 0.0
             async with anyio.create_task_group() as group:
-                group.start_soon(_lease_after, loopback.control, 0.1)
+                group.start_soon(_grant_lease_after, loopback.control, 0.1)
                 answer = await loopback.ask("/stock/1", x_deadline_ms="2500")
         assert answer.startswith(b"HTTP/1.1 200")
 
@@ -79,11 +79,15 @@
         """
         waits: list[float] = []
 
-        def later_s(since_start_s: float, left_s: float, held: int) -> float:
+        def hold_after_start_s(
+            since_start_s: float, left_s: float, held: int
+        ) -> float:
             waits.append(hold_s(since_start_s + STARTING_S, left_s, held))
             return waits[-1]
 
-        monkeypatch.setattr("sycamorestand_entry.start_hold.hold_s", later_s)
+        monkeypatch.setattr(
+            "sycamorestand_entry.start_hold.hold_s", hold_after_start_s
+        )
         async with start_routed() as loopback:
             loopback.control.lease_s = 0.0
             answer = await loopback.ask("/stock/1", x_deadline_ms="60000")
@@ -95,7 +99,7 @@
     await stream.send(answer_bytes(request))
 
 
-async def _lease_after(control: FakeControlPort, seconds: float) -> None:
+async def _grant_lease_after(control: FakeControlPort, seconds: float) -> None:
     await anyio.sleep(seconds)
     control.lease_s = 3.0
 
@@ -260,7 +264,7 @@
         """
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
-            begin_slow_stop(loopback, others=True, known=False)
+            begin_slow_stop(loopback, others=True, has_answers=False)
             answer = await loopback.ask("/review/1", x_deadline_ms="20000")
         assert answer.startswith(b"HTTP/1.1 503")
 
@@ -273,15 +277,15 @@
 
 
 def begin_slow_stop(
-    loopback: RoutedLoopback, others: bool, known: bool = True
+    loopback: RoutedLoopback, others: bool, has_answers: bool = True
 ) -> None:
     """Begin the stop of an entry whose last streams took long to answer.
 
-    With ``others``, another entry serves; without ``known``, no answer of
-    this entry has finished yet.
+    With ``others``, another entry serves. Without ``has_answers``, no answer
+    of this entry has finished yet.
     """
     context = loopback.entry.context
-    for _ in range(ANSWERS_KEPT if known else 0):
+    for _ in range(ANSWERS_KEPT if has_answers else 0):
         longest = AnswerTime(0.5, LIMITED.stop_limit_s, 10)
         context.answer_times.record_answer("review", longest)
         context.answer_times.record_answer("stock", AnswerTime(0.1, 0.0, 0))
