--- a/packages/sycamorestand-state/src/sycamorestand_state/claims.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/claims.py
@@ -1,14 +1,15 @@
-"""Claims of non-idempotent requests: each runs at most once.
-
-What it answers: a caller's retry, a resend on the way, two entries at
-once, an entry that dies at any point. The one step that lets bytes go to a
-backend server is `dispatch`, and it succeeds once for each attempt, and
-only for the attempt that owns the claim. Whoever gets no answer to it must
-not write. A claim goes back to be claimed again only from ``not_run``.
-
-An attempt's name is used for one claim: an old ``not_run`` or an old claim
-that arrives late names a spent attempt and cannot free, or take, what a
-later attempt holds.
+"""Claims that let each non-idempotent request run at most once.
+
+A request may reach several entries, by a caller's retry or a resend in the
+network, and an entry may die at any point. An entry may send bytes to a
+backend server only after a successful `dispatch`. A dispatch succeeds once
+for each attempt, and only for the attempt that owns the claim. An entry
+that gets no answer to its dispatch must not write. A claim that was
+dispatched can be claimed again only after the outcome ``not_run``.
+
+The name of an attempt is used for one claim only. A late ``not_run``, or a
+late claim, of an earlier attempt therefore names a spent attempt, and
+cannot release or take over the claim that a later attempt holds.
 """
 
 from __future__ import annotations
@@ -37,28 +38,28 @@
 UNKNOWN: Final = "unknown"
 NOT_RUN: Final = "not_run"
 
-# Nothing has been sent under a claim that was never dispatched, so this
-# need only spare a living owner that waits in a queue: it would get a
-# conflict at its dispatch and its caller a refusal.
+# After this time another attempt may take over a claim that was never
+# dispatched, as nothing was sent under it. The delay spares a live owner
+# that waits in a queue: after a takeover its dispatch gets a conflict, and
+# its caller a refusal.
 TAKEOVER_AGE_S: Final = 5.0
-# Longer than the default deadline and the time that an entry goes on
-# listening; a late answer of the owner still replaces ``unknown``.
+# After this time a dispatched claim without an outcome becomes ``unknown``.
+# It is longer than the default deadline and the time for which an entry
+# waits for an answer; a late answer of the owner still replaces ``unknown``.
 DISPATCHED_AGE_S: Final = 120.0
-# A claim that was stamped this long before the ledger's clock waited in
-# some suspended process; its key may have run and been forgotten since.
+# A claim with a time stamp this far behind the ledger's clock waited in a
+# suspended process. The request may have run meanwhile under another claim,
+# whose key has expired since, so the late claim is refused.
 MAX_DELAY_S: Final = 3_600.0
 MAX_CLAIMS: Final = 100_000
 MAX_ANSWER_BYTES: Final = 262_144
 MAX_ANSWERS_BYTES: Final = 33_554_432
-# Attempts that a claim remembers; a retry budget ends far below it.
+# How many spent attempts a claim can hold; a retry budget ends far below.
 MAX_ATTEMPTS: Final = 16
-# Takes the place of the content type where an answer was not, or is no
-# longer, kept. With the type left as it was, an entry would hand out an
-# empty body as the whole answer.
 
 
 class ClaimLimits(NamedTuple):
-    """Bounds of what is kept; the defaults are for one shard."""
+    """Bounds of one shard: number of claims, bytes of one and all answers."""
 
     claims: int = MAX_CLAIMS
     answer_bytes: int = MAX_ANSWER_BYTES
@@ -66,7 +67,7 @@
 
 
 class ClaimRecord(NamedTuple):
-    """A claim as it is kept; ``spent`` are attempts that did not run."""
+    """A stored claim; ``spent`` names earlier attempts that did not run."""
 
     fingerprint: str
     owner: str
@@ -84,8 +85,9 @@
 class ClaimsState(NamedTuple):
     """The part of a snapshot that holds the claims.
 
-    Two lists of what exists already: a list of new pairs made the garbage
-    collector walk the whole heap, 0.2 s for 50,000 claims.
+    The two lists refer to existing keys and records. A single list would
+    need a new pair for each claim, and so many new objects make the garbage
+    collector walk the whole heap: 0.2 s for 50,000 claims.
     """
 
     keys: list[ClaimKey]
@@ -93,7 +95,7 @@
 
 
 class ClaimBook:
-    """All claims of a shard, the one changed last at the end."""
+    """All claims of a shard, ordered by their last change, newest last."""
 
     def __init__(
         self, tombstones: Tombstones, limits: ClaimLimits | None = None
@@ -101,9 +103,9 @@
         self._limits = ClaimLimits() if limits is None else limits
         self._tombstones = tombstones
         self._records: dict[ClaimKey, ClaimRecord] = {}
-        # Keys with a recorded answer, oldest first, so that the bound on
-        # bytes need not search all claims.
-        self._answered: dict[ClaimKey, int] = {}
+        # Sizes in bytes of the recorded answers, oldest first, so that
+        # evicting answers need not search all claims.
+        self._answer_sizes: dict[ClaimKey, int] = {}
         self._answers_bytes = 0
 
     def __len__(self) -> int:
@@ -111,55 +113,63 @@
 
     @property
     def answers_bytes(self) -> int:
-        """How many bytes of recorded answers are kept."""
+        """The size of all recorded answers, in bytes."""
         return self._answers_bytes
 
     def claim(self, record: Claim, clock_s: float) -> LedgerResult:
-        """Get or create the claim for a request key."""
+        """Return the claim of a request key, or create or take it over.
+
+        The result is ``created`` for a new claim and for one that the
+        attempt took over, and ``exists``, with the state and any recorded
+        answer, for a claim that it may not take over. It is ``conflict``
+        if the key was used for other content or the attempt is spent,
+        ``expired`` if only a tombstone of the key is left or the claim's
+        time stamp is too old, and ``full`` if there is no room.
+        """
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
             return self._create(key, record, clock_s)
         if known.fingerprint != record.fingerprint:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         if record.owner in known.spent:
-            return _told(CONFLICT, known)
-        if self._may_take(known, record, clock_s):
-            return self._take(key, known, record, clock_s)
-        known = self._settle_abandoned(key, known, record, clock_s)
-        return _told(EXISTS, known)
+            return _existing_claim_result(CONFLICT, known)
+        if self._can_take_over(known, record, clock_s):
+            return self._take_over(key, known, record, clock_s)
+        known = self._mark_abandoned_unknown(key, known, record, clock_s)
+        return _existing_claim_result(EXISTS, known)
 
     def dispatch(self, record: Dispatch, clock_s: float) -> LedgerResult:
-        """Let the owner write to a backend server, once."""
+        """Permit the owner, once, to write to a backend server."""
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
-            return self._missing(key)
+            return self._missing_claim_result(key)
         if known.owner != record.owner or known.state != CLAIMED:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         self._put(key, known._replace(state=DISPATCHED, changed_s=clock_s))
         return LedgerResult(OK, DISPATCHED, record.owner)
 
     def outcome(self, record: Outcome, clock_s: float) -> LedgerResult:
-        """Record how the owner's attempt ended."""
+        """Record the outcome of the owner's attempt."""
         key = (record.customer, record.request_key)
         known = self._records.get(key)
         if known is None:
-            return self._missing(key)
+            return self._missing_claim_result(key)
         if known.owner != record.owner:
-            return _told(CONFLICT, known)
+            return _existing_claim_result(CONFLICT, known)
         if known.state == record.state:
             return LedgerResult(OK, known.state, known.owner)
         if (known.state, record.state) == (DONE, UNKNOWN):
             return LedgerResult(OK, DONE, known.owner)
-        if (known.state, record.state) not in _OUTCOMES:
-            return _told(CONFLICT, known)
-        self._put(key, self._ended(known, record, clock_s))
-        self._bound_answers()
+        if (known.state, record.state) not in _ALLOWED_OUTCOMES:
+            return _existing_claim_result(CONFLICT, known)
+        self._put(key, self._with_outcome(known, record, clock_s))
+        self._evict_answers()
         return LedgerResult(OK, record.state, known.owner)
 
     def expire(self, clock_s: float) -> None:
-        """Drop claims that were last changed before the window."""
+        """Drop claims whose last change is older than the window."""
         oldest_s = clock_s - WINDOW_S
         while self._records:
             key = next(iter(self._records))
@@ -168,13 +178,13 @@
             self._drop(key)
 
     def state(self) -> ClaimsState:
-        """Return all claims in order, as a snapshot holds them."""
+        """Return all claims in their order, for a snapshot."""
         return ClaimsState(list(self._records), list(self._records.values()))
 
     def load(self, state: ClaimsState) -> None:
-        """Take the claims of a snapshot in place of one's own."""
+        """Replace all claims by those of a snapshot."""
         self._records = {}
-        self._answered = {}
+        self._answer_sizes = {}
         self._answers_bytes = 0
         for key, record in zip(*state, strict=True):
             self._put(key, record)
@@ -194,7 +204,7 @@
         self._put(key, created)
         return LedgerResult(CREATED, CLAIMED, record.owner)
 
-    def _may_take(
+    def _can_take_over(
         self, known: ClaimRecord, record: Claim, clock_s: float
     ) -> bool:
         if known.state == NOT_RUN:
@@ -206,7 +216,7 @@
             and clock_s - known.changed_s >= TAKEOVER_AGE_S
         )
 
-    def _take(
+    def _take_over(
         self,
         key: ClaimKey,
         known: ClaimRecord,
@@ -222,15 +232,15 @@
         self._put(key, taken)
         return LedgerResult(CREATED, CLAIMED, record.owner)
 
-    def _settle_abandoned(
+    def _mark_abandoned_unknown(
         self,
         key: ClaimKey,
         known: ClaimRecord,
         record: Claim,
         clock_s: float,
     ) -> ClaimRecord:
-        # The owner may have died after the first byte was written: the
-        # request may have run, and no retry may find that out by running.
+        # The owner may have died after it wrote the first byte, so the
+        # request may have run, and a retry must not run it again.
         abandoned = (
             known.state == DISPATCHED
             and known.owner != record.owner
@@ -242,7 +252,7 @@
         self._put(key, settled)
         return settled
 
-    def _ended(
+    def _with_outcome(
         self, known: ClaimRecord, record: Outcome, clock_s: float
     ) -> ClaimRecord:
         ended = known._replace(state=record.state, changed_s=clock_s)
@@ -255,46 +265,47 @@
             content_type=record.content_type,
             answer=record.answer,
         )
-        small = len(record.answer) <= self._limits.answer_bytes
-        return done if small else _without_answer(done)
+        fits = len(record.answer) <= self._limits.answer_bytes
+        return done if fits else _without_answer(done)
 
     def _make_room(self) -> bool:
         if len(self._records) < self._limits.claims:
             return True
-        if self._tombstones.full:
+        if self._tombstones.is_full:
             return False
         key = next(iter(self._records))
         self._tombstones.add(*key, self._records[key].changed_s)
         self._drop(key)
         return True
 
-    def _bound_answers(self) -> None:
+    def _evict_answers(self) -> None:
         while self._answers_bytes > self._limits.answers_bytes:
-            key = next(iter(self._answered))
-            self._answers_bytes -= self._answered.pop(key)
-            # In its place, as the order is that of the last change.
+            key = next(iter(self._answer_sizes))
+            self._answers_bytes -= self._answer_sizes.pop(key)
+            # Dropping the answer keeps the claim's position, as records
+            # are ordered by their last change.
             self._records[key] = _without_answer(self._records[key])
 
     def _put(self, key: ClaimKey, record: ClaimRecord) -> None:
         self._drop(key)
         self._records[key] = record
         if record.answer:
-            self._answered[key] = len(record.answer)
+            self._answer_sizes[key] = len(record.answer)
             self._answers_bytes += len(record.answer)
 
     def _drop(self, key: ClaimKey) -> None:
         self._records.pop(key, None)
-        self._answers_bytes -= self._answered.pop(key, 0)
+        self._answers_bytes -= self._answer_sizes.pop(key, 0)
 
-    def _missing(self, key: ClaimKey) -> LedgerResult:
+    def _missing_claim_result(self, key: ClaimKey) -> LedgerResult:
         expired = self._tombstones.holds(*key)
         return LedgerResult(EXPIRED if expired else CONFLICT)
 
 
-# From a claim's state to the outcomes that its owner may record. ``done``
-# needs a dispatch before it; ``unknown`` is left only for ``done``, as a
-# caller may have been told not to try again.
-_OUTCOMES: Final = frozenset(
+# Pairs of a claim's state and an outcome that its owner may record then.
+# ``done`` needs a dispatch before it. ``unknown`` can change only to
+# ``done``, as a caller may have got the answer not to retry.
+_ALLOWED_OUTCOMES: Final = frozenset(
     {
         (CLAIMED, NOT_RUN),
         (CLAIMED, UNKNOWN),
@@ -307,10 +318,15 @@
 
 
 def _without_answer(record: ClaimRecord) -> ClaimRecord:
+    """Return the claim without its answer, marked as not kept.
+
+    The marker replaces the content type. With the original type, an entry
+    would return an empty body as the complete answer.
+    """
     return record._replace(content_type=NOT_KEPT, answer=b"")
 
 
-def _told(state: str, known: ClaimRecord) -> LedgerResult:
+def _existing_claim_result(state: str, known: ClaimRecord) -> LedgerResult:
     return LedgerResult(
         state=state,
         claim_state=known.state,
--- a/packages/sycamorestand-state/src/sycamorestand_state/difference.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/difference.py
@@ -1,4 +1,4 @@
-"""The difference of two declarations in lines for the audit trail."""
+"""Describe the difference of two declarations for the audit trail."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 
 from sycamorestand_model.declarations import Declarations
 
-# Bounds an entry of the audit trail; the first lines tell what was meant.
+# Bounds the size of an audit entry; the first lines show the intent.
 MAX_LINES: Final = 200
 MAX_VALUE_CHARACTERS: Final = 80
-# Salted hashes could still be tried against guessed keys by whoever may
-# read the audit trail, so only their number is told.
+# Readers of the audit trail could test guessed keys against salted hashes,
+# so the difference shows only the number of hashes.
 SECRET_FIELDS: Final = frozenset({"key_hashes"})
-# An operator's document may hold customers' keys as they are.
-UNTOLD_FIELDS: Final = frozenset({"content"})
+# Fields that the difference leaves out: an operator's document may hold
+# customers' keys in plain text.
+OMITTED_FIELDS: Final = frozenset({"content"})
 
 
 def describe_difference(
     old: Declarations, new: Declarations
 ) -> tuple[str, ...]:
-    """Return one line for each part that came, went or changed.
+    """Return a line for each part that was added, removed or changed.
+
+    At most `MAX_LINES` differences are listed; a last line counts the rest.
 
     Example: ``models.nest.stable: '1' -> '2'``.
     """
@@ -41,7 +44,7 @@
         for field in old._fields:
             yield from _field_differences(_join(path, field), field, old, new)
     else:
-        yield f"{path}: {_short(old)} -> {_short(new)}"
+        yield f"{path}: {_abbreviate(old)} -> {_abbreviate(new)}"
 
 
 def _mapping_differences(
@@ -62,7 +65,7 @@
 ) -> Iterator[str]:
     before = getattr(old, field)
     after = getattr(new, field)
-    if field in UNTOLD_FIELDS:
+    if field in OMITTED_FIELDS:
         return
     if field not in SECRET_FIELDS:
         yield from _differences(path, before, after)
@@ -74,7 +77,7 @@
     return f"{path}.{name}" if path else name
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     if len(text) <= MAX_VALUE_CHARACTERS:
         return text
