--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -1,4 +1,4 @@
-"""What one stream expects of the engines that it may run on."""
+"""Expected prefill times and queue delays for one stream."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 
 
 class EngineWait:
-    """Reading times and waits for the prompt of one call.
+    """Estimate prefill times and queue delays for the prompt of one call.
 
-    What it learns goes to the process's state, for all calls.
+    Observed times go to the state that all calls of the process share.
+    ``target_latency_s`` is the route's target latency in seconds.
     """
 
     def __init__(self, attempts: Attempts) -> None:
@@ -34,24 +35,26 @@
         self._context = attempts.context
         self._route = attempts.call.route
         self.prompt_tokens = _prompt_tokens(attempts)
-        self.aim_s = self._route.target_latency_ms / MS
+        self.target_latency_s = self._route.target_latency_ms / MS
 
     def rank(self, target: str, size: int, resumed: bool) -> int:
-        """Return the place in the engine's order of reading.
+        """Return the scheduling rank at the engine, 0 first.
 
-        A stream that is ``resumed`` has its caller's answer begun: by its
-        aim, over for long, it would be read last, and lost.
+        The target latency does not count for a ``resumed`` stream, whose
+        answer has begun. It has usually passed by then; the engine would
+        schedule the stream last and its caller would give up.
         """
         call = self._attempts.call
-        left_s = self.aim_s - call.log.elapsed_ms() / MS
+        left_s = self.target_latency_s - call.log.elapsed_ms() / MS
         if resumed:
             left_s = math.inf
         return engine_rank(self.prefill_s(target, size), call.priority, left_s)
 
     def fallback_in_s(self, resumed: bool) -> float:
-        """Return after how long to settle for what can be had soonest.
+        """Return the seconds until the call falls back, may be negative.
 
-        A stream that is ``resumed`` has a part of its answer.
+        A ``resumed`` stream has a part of its answer already, so the usual
+        duration of a complete answer is not reserved for it.
         """
         call = self._attempts.call
         silent_s = call.log.silent_ms() / MS
@@ -64,75 +67,79 @@
         return max(MIN_EVENT_S, after_s) - silent_s
 
     def prefill_s(self, target: str, size: int) -> float:
-        """Return how long reading the prompt is expected to take."""
+        """Return the expected prefill time of the prompt in seconds."""
         return self._context.prefill_rates.prefill_s(
-            _service(target), self._route.sizes, size, self.prompt_tokens
+            _service_of(target), self._route.sizes, size, self.prompt_tokens
         )
 
     def short_prefill_limit_s(self, target: str, size: int) -> float | None:
-        """Return after how long to ask elsewhere, None for no early move.
+        """Return the seconds after which to leave the server early.
 
-        An attempt for the climb must remain: without it a poor answer
-        could not be replaced.
+        Return None if the request shall not leave early. One attempt must
+        remain for an escalation to a larger model; without it a poor
+        answer could not be replaced.
         """
-        climbs = 1 if size + 1 < len(self._route.sizes) else 0
+        escalations = 1 if size + 1 < len(self._route.sizes) else 0
         attempts = self._attempts
-        if not attempts.call.may_repeat or attempts.left < 1 + climbs:
+        if not attempts.call.may_repeat or attempts.left < 1 + escalations:
             return None
-        delay_s = self._delay_s(target, size)
-        read_s = self.prefill_s(target, size)
-        return short_prefill_limit_s(self.aim_s, read_s, delay_s)
-
-    def strain(self, target: str) -> float:
-        """Return the wait before the largest model, by the aim.
-
-        Of readings as long as this one: short ones are read first and
-        wait little while long ones wait for seconds. By a mean over both
-        long prompts went on to climb under an overload, and of 350 of the
-        longest kind 17 to 27 had no answer, where none was lost before.
+        delay_s = self._queue_delay_s(target, size)
+        prefill_s = self.prefill_s(target, size)
+        return short_prefill_limit_s(self.target_latency_s, prefill_s, delay_s)
+
+    def delay_ratio(self, target: str) -> float:
+        """Return the queue delay at the largest model per target latency.
+
+        Short and long prefills have separate delays: engines schedule short
+        ones first, so that they wait little while long ones wait for
+        seconds. With a mean over both, long prompts still escalated under
+        overload, and 17 to 27 of 350 of the longest kind got no answer;
+        none is lost with separate delays.
         """
         largest = max(0, len(self._route.sizes) - 1)
-        return self._delay_s(target, largest) / self.aim_s
+        return self._queue_delay_s(target, largest) / self.target_latency_s
 
-    def learn_answer(self, exchange: Exchange) -> None:
-        """Take in how long a whole answer took."""
-        answer_s = exchange.answering_s()
+    def record_answer_time(self, exchange: Exchange) -> None:
+        """Record how long a complete answer took."""
+        answer_s = exchange.answer_age_s()
         begin_s = self._attempts.call.log.elapsed_ms() / MS - answer_s
         answer = AnswerTime(begin_s, answer_s, exchange.event_count)
         self._context.answer_times.record_answer(self._route.name, answer)
 
-    def learn_reading(self, exchange: Exchange, size: int) -> None:
-        """Take in how long the first event took."""
+    def record_prefill_time(self, exchange: Exchange, size: int) -> None:
+        """Record how long the first event took."""
         sizes = self._route.sizes
         self._context.prefill_rates.observe(
-            _service(exchange.aim.target),
+            _service_of(exchange.destination.target),
             sizes[size] if sizes else "",
             self.prompt_tokens,
             self._context.now_s() - exchange.begin_s,
         )
 
-    def observe(self, exchange: Exchange, size: int) -> None:
-        """Note how long the request waited there, or has in vain."""
+    def record_queue_delay(self, exchange: Exchange, size: int) -> None:
+        """Record the queue delay at the server, also without an answer."""
         now_s = self._context.now_s()
-        read_s = self.prompt_tokens / PREFILL_TOKENS_PER_S
-        waited_s = now_s - exchange.begin_s - read_s
-        delay = self._delay(exchange.aim.target, size)
+        prefill_s = self.prompt_tokens / PREFILL_TOKENS_PER_S
+        waited_s = now_s - exchange.begin_s - prefill_s
+        delay = self._queue_delay(exchange.destination.target, size)
         delay.observe(now_s, waited_s)
 
-    def _delay_s(self, target: str, size: int) -> float:
-        return self._delay(target, size).delay_s(self._context.now_s())
+    def _queue_delay_s(self, target: str, size: int) -> float:
+        return self._queue_delay(target, size).delay_s(self._context.now_s())
 
-    def _delay(self, target: str, size: int) -> QueueDelay:
-        quick = has_short_prefill(self.aim_s, self.prefill_s(target, size))
-        return self._context.queue_delay(_service(target), quick)
+    def _queue_delay(self, target: str, size: int) -> QueueDelay:
+        short_prefill = has_short_prefill(
+            self.target_latency_s, self.prefill_s(target, size)
+        )
+        return self._context.queue_delay(_service_of(target), short_prefill)
 
 
-def _service(target: str) -> str:
+def _service_of(target: str) -> str:
     return target.partition(VERSION_SEPARATOR)[0]
 
 
 def _prompt_tokens(attempts: Attempts) -> int:
-    value = attempts.call.values.get(attempts.wire.token_counts, b"")
+    value = attempts.call.values.get(attempts.header_names.token_counts, b"")
     tokens = value.partition(b",")[0].strip()
     return int(tokens) if tokens.isdigit() else 0
 
