--- a/packages/sycamorestand-model/src/sycamorestand_model/compression.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/compression.py
@@ -26,10 +26,10 @@
 MAX_BYTES: Final = 32 * 1024 * 1024
 
 
-def compress(content: bytes) -> bytes:
+def compress_content(content: bytes) -> bytes:
     """Return content made smaller, or as it is where that is shorter.
 
-    >>> decompress(compress(b"route " * 1000)) == b"route " * 1000
+    >>> decompress_content(compress_content(b"r " * 1000)) == b"r " * 1000
     True
     """
     if len(content) < LEAST_BYTES:
@@ -38,7 +38,7 @@
     return packed if len(packed) < len(content) else content
 
 
-def decompress(content: bytes) -> bytes:
+def decompress_content(content: bytes) -> bytes:
     """Return what was packed; raises `WireError` where it cannot be read."""
     if not content.startswith(COMPRESSED_MARKER):
         return content
@@ -54,4 +54,4 @@
     return whole
 
 
-__all__ = ["compress", "decompress"]
+__all__ = ["compress_content", "decompress_content"]
--- a/packages/sycamorestand-model/tests/test_compression.py
+++ b/packages/sycamorestand-model/tests/test_compression.py
@@ -8,9 +8,9 @@
 import pytest
 
 import sycamorestand_model.compression as compression
-from sycamorestand_model.compression import compress
+from sycamorestand_model.compression import compress_content
 from sycamorestand_model.compression import COMPRESSED_MARKER
-from sycamorestand_model.compression import decompress
+from sycamorestand_model.compression import decompress_content
 from sycamorestand_model.errors import WireError
 
 ROUTES = b"".join(
@@ -21,18 +21,18 @@
 
 class TestPack:
     def test_a_configuration_becomes_a_tenth(self) -> None:
-        assert len(compress(ROUTES)) < len(ROUTES) / 10
-        assert decompress(compress(ROUTES)) == ROUTES
+        assert len(compress_content(ROUTES)) < len(ROUTES) / 10
+        assert decompress_content(compress_content(ROUTES)) == ROUTES
 
     @given(strategies.binary(max_size=5000))
     def test_content_comes_back_as_it_was(self, content: bytes) -> None:
         if not content.startswith(COMPRESSED_MARKER):
-            assert decompress(compress(content)) == content
+            assert decompress_content(compress_content(content)) == content
 
     def test_small_and_random_content_stays(self) -> None:
         noise = b"." + os.urandom(5000)
-        assert compress(b"small") == b"small"
-        assert compress(noise) == noise
+        assert compress_content(b"small") == b"small"
+        assert compress_content(noise) == noise
 
 
 class TestUnpack:
@@ -41,12 +41,12 @@
         [
             COMPRESSED_MARKER,
             COMPRESSED_MARKER + b"noise",
-            compress(ROUTES)[:-5],
+            compress_content(ROUTES)[:-5],
         ],
     )
     def test_what_is_spoilt_is_refused(self, content: bytes) -> None:
         with pytest.raises(WireError):
-            decompress(content)
+            decompress_content(content)
 
     def test_what_would_fill_the_memory_is_refused(
         self, monkeypatch: pytest.MonkeyPatch
@@ -54,4 +54,4 @@
         # A few bytes claim to be gigabytes; nothing is made of them.
         monkeypatch.setattr(compression, "MAX_BYTES", 1000)
         with pytest.raises(WireError, match="too large"):
-            decompress(COMPRESSED_MARKER + zlib.compress(bytes(1001)))
+            decompress_content(COMPRESSED_MARKER + zlib.compress(bytes(1001)))
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sycamorestand_model.compression import compress
-from sycamorestand_model.compression import decompress
+from sycamorestand_model.compression import compress_content
+from sycamorestand_model.compression import decompress_content
 from sycamorestand_model.errors import WireError
 from sycamorestand_model.in_force import InForce
 from sycamorestand_peer.messages import AddressList
@@ -92,14 +92,14 @@
 
 def pack_configuration(in_force: InForce) -> ConfigurationPush:
     """Return the push of a configuration."""
-    packed = compress(msgspec.msgpack.encode(in_force))
+    packed = compress_content(msgspec.msgpack.encode(in_force))
     return ConfigurationPush(in_force.revision, packed)
 
 
 def unpack_configuration(push: ConfigurationPush) -> InForce:
     """Return what was pushed; raises `WireError`."""
     try:
-        return _IN_FORCE.decode(decompress(push.packed))
+        return _IN_FORCE.decode(decompress_content(push.packed))
     except (msgspec.MsgspecError, RecursionError) as error:
         raise WireError(f"configuration cannot be read: {error}") from error
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/codec.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/codec.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from sycamorestand_model.compression import compress
-from sycamorestand_model.compression import decompress
+from sycamorestand_model.compression import compress_content
+from sycamorestand_model.compression import decompress_content
 from sycamorestand_model.errors import WireError
 from sycamorestand_state.errors import MalformedCommand
 from sycamorestand_state.errors import SnapshotUnreadable
@@ -50,11 +50,11 @@
     }
 
     def encode(command: Any) -> bytes:
-        return compress(encode_fields((codes[type(command)], command)))
+        return compress_content(encode_fields((codes[type(command)], command)))
 
     def decode(data: bytes) -> Any:
         try:
-            code, fields = _ENVELOPE.decode(decompress(data))
+            code, fields = _ENVELOPE.decode(decompress_content(data))
         except (msgspec.MsgspecError, WireError) as error:
             raise MalformedCommand(f"not a command: {error}") from error
         return decode_fields(decoders, code, fields)
