--- a/packages/sycamorestand-model/src/sycamorestand_model/check_subject.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_context.py
@@ -13,12 +13,12 @@
 from sycamorestand_model.findings import Finding
 from sycamorestand_model.findings import Findings
 from sycamorestand_model.findings import Place
-from sycamorestand_model.load import Loaded
+from sycamorestand_model.load import LoadResult
 
 UNKNOWN_REMEDY: Final = "correct the name or declare it"
 
 
-class Subject(NamedTuple):
+class CheckContext(NamedTuple):
     """What the checks share: the declarations and where each stands.
 
     ``broken`` names those whose reading gave an error. What is left of
@@ -32,10 +32,10 @@
     findings: Findings
 
 
-def subject_of(loaded: Loaded, findings: Findings) -> Subject:
-    """Return the subject that every check gets."""
-    broken = _broken(loaded.findings, loaded.files)
-    return Subject(loaded.declarations, loaded.files, broken, findings)
+def make_context(loaded: LoadResult, findings: Findings) -> CheckContext:
+    """Return the context that every check gets."""
+    broken = _broken_declarations(loaded.findings, loaded.files)
+    return CheckContext(loaded.declarations, loaded.files, broken, findings)
 
 
 def usable_versions(model: Model, step: CascadeStep) -> list[str]:
@@ -49,24 +49,24 @@
 
 
 def report_unknown(
-    subject: Subject, section: str, name: str, place: Place
+    context: CheckContext, section: str, name: str, place: Place
 ) -> None:
     """Add a finding for a name that nothing declares."""
-    if f"{section}.{name}" in subject.files:
+    if f"{section}.{name}" in context.files:
         # It is declared but broken, which has its own finding.
         return
-    subject.findings.error(
+    context.findings.error(
         place, f"no {section} declares {name!r}", UNKNOWN_REMEDY
     )
 
 
-def place_of(subject: Subject, section: str, name: str) -> Place:
+def declaration_place(context: CheckContext, section: str, name: str) -> Place:
     """Return where a declaration stands."""
     key_path = f"{section}.{name}"
-    return Place(subject.files.get(key_path, ""), key_path)
+    return Place(context.files.get(key_path, ""), key_path)
 
 
-def _broken(
+def _broken_declarations(
     findings: Iterable[Finding], files: dict[str, str]
 ) -> frozenset[str]:
     paths = [f.key_path for f in findings if f.severity == ERROR]
@@ -78,10 +78,10 @@
 
 
 __all__ = [
-    "place_of",
+    "declaration_place",
     "report_unknown",
-    "Subject",
-    "subject_of",
+    "CheckContext",
+    "make_context",
     "UNKNOWN_REMEDY",
     "usable_versions",
 ]
--- a/packages/sycamorestand-model/src/sycamorestand_model/check_customers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_customers.py
@@ -2,131 +2,137 @@
 
 from __future__ import annotations
 
-from sycamorestand_model.check_subject import place_of
-from sycamorestand_model.check_subject import report_unknown
-from sycamorestand_model.check_subject import Subject
-from sycamorestand_model.check_subject import UNKNOWN_REMEDY
+from sycamorestand_model.check_context import CheckContext
+from sycamorestand_model.check_context import declaration_place
+from sycamorestand_model.check_context import report_unknown
+from sycamorestand_model.check_context import UNKNOWN_REMEDY
 from sycamorestand_model.declarations import CascadeStep
 from sycamorestand_model.declarations import Customer
 from sycamorestand_model.declarations import version_id
 from sycamorestand_model.declarations import VERSION_SEPARATOR
-from sycamorestand_model.findings import inside
-from sycamorestand_model.findings import item
+from sycamorestand_model.findings import item_place
+from sycamorestand_model.findings import key_place
 from sycamorestand_model.findings import Place
 
 
-def check_customers(subject: Subject) -> None:
+def check_customers(context: CheckContext) -> None:
     """Check the keys, names and allowed versions of every customer."""
-    for customer in subject.declarations.customers.values():
-        place = place_of(subject, "customers", customer.name)
-        _check_keys(subject, customer.key_hashes, place)
-        _check_names(subject, "profiles", customer.profiles, place)
-        _check_names(subject, "services", customer.services, place)
-        _check_allowed(subject, customer, place)
-        _check_customer_profiles(subject, customer, place)
+    for customer in context.declarations.customers.values():
+        place = declaration_place(context, "customers", customer.name)
+        _check_keys(context, customer.key_hashes, place)
+        _check_references(context, "profiles", customer.profiles, place)
+        _check_references(context, "services", customer.services, place)
+        _check_allowed_versions(context, customer, place)
+        _check_customer_profiles(context, customer, place)
 
 
-def check_operators(subject: Subject) -> None:
+def check_operators(context: CheckContext) -> None:
     """Check that operators can get in and that one may do everything."""
-    operators = subject.declarations.operators.values()
+    operators = context.declarations.operators.values()
     for operator in operators:
-        place = place_of(subject, "operators", operator.name)
-        _check_keys(subject, operator.key_hashes, place)
-    if any(broken.startswith("operators.") for broken in subject.broken):
+        place = declaration_place(context, "operators", operator.name)
+        _check_keys(context, operator.key_hashes, place)
+    if any(broken.startswith("operators.") for broken in context.broken):
         return
     if not any(o.role == "admin" and o.key_hashes for o in operators):
-        subject.findings.warning(
+        context.findings.warning(
             Place("", "operators"),
             "no operator with a key has the role admin",
             "declare one, or nobody can replace a voter",
         )
 
 
-def check_doubled_keys(subject: Subject) -> None:
+def check_duplicate_keys(context: CheckContext) -> None:
     """Report one hash at two owners, who could not be told apart."""
-    seen: dict[str, str] = {}
-    declarations = subject.declarations
+    owner_by_hash: dict[str, str] = {}
+    declarations = context.declarations
     for section in ("customers", "operators"):
         for name, owner in getattr(declarations, section).items():
-            here = inside(place_of(subject, section, name), "key_hashes")
+            hashes_place = key_place(
+                declaration_place(context, section, name), "key_hashes"
+            )
             for index, key_hash in enumerate(owner.key_hashes):
-                first = seen.setdefault(key_hash, f"{section}.{name}")
-                if first != f"{section}.{name}":
-                    subject.findings.error(
-                        item(here, index),
-                        f"{first} has the same key",
+                first_owner = owner_by_hash.setdefault(
+                    key_hash, f"{section}.{name}"
+                )
+                if first_owner != f"{section}.{name}":
+                    context.findings.error(
+                        item_place(hashes_place, index),
+                        f"{first_owner} has the same key",
                         "make one key for each",
                     )
 
 
-def _check_names(
-    subject: Subject, section: str, names: tuple[str, ...], place: Place
+def _check_references(
+    context: CheckContext, section: str, names: tuple[str, ...], place: Place
 ) -> None:
-    known = getattr(subject.declarations, section)
+    declared = getattr(context.declarations, section)
     for index, name in enumerate(names):
-        if name not in known:
-            here = item(inside(place, section), index)
-            report_unknown(subject, section, name, here)
+        if name not in declared:
+            name_place = item_place(key_place(place, section), index)
+            report_unknown(context, section, name, name_place)
 
 
-def _check_allowed(subject: Subject, customer: Customer, place: Place) -> None:
+def _check_allowed_versions(
+    context: CheckContext, customer: Customer, place: Place
+) -> None:
     for index, identity in enumerate(customer.versions):
-        here = item(inside(place, "versions"), index)
+        version_place = item_place(key_place(place, "versions"), index)
         name, separator, version = identity.partition(VERSION_SEPARATOR)
-        model = subject.declarations.models.get(name)
+        model = context.declarations.models.get(name)
         if model is None:
-            report_unknown(subject, "models", name, here)
+            report_unknown(context, "models", name, version_place)
         elif separator and version not in model.versions:
-            subject.findings.error(
-                here, f"unknown version of {name}", UNKNOWN_REMEDY
+            context.findings.error(
+                version_place, f"unknown version of {name}", UNKNOWN_REMEDY
             )
 
 
 def _check_customer_profiles(
-    subject: Subject, customer: Customer, place: Place
+    context: CheckContext, customer: Customer, place: Place
 ) -> None:
-    if place.key_path in subject.broken:
+    if place.key_path in context.broken:
         return
     allowed = frozenset(customer.versions)
     for index, name in enumerate(customer.profiles):
-        profile = subject.declarations.profiles.get(name)
+        profile = context.declarations.profiles.get(name)
         if profile is None:
             continue
-        here = item(inside(place, "profiles"), index)
-        refused = [
+        profile_place = item_place(key_place(place, "profiles"), index)
+        forbidden = [
             step.model
             for step in profile.steps
-            if not _step_allowed(subject, allowed, step)
+            if not _is_step_allowed(context, allowed, step)
         ]
-        if len(refused) == len(profile.steps):
-            subject.findings.error(
-                here,
+        if len(forbidden) == len(profile.steps):
+            context.findings.error(
+                profile_place,
                 f"{customer.name} may use no step of profile {name}",
                 "allow one of its models, or take the profile away",
             )
-        elif refused:
-            subject.findings.warning(
-                here,
-                f"{customer.name} skips steps on {', '.join(refused)}",
+        elif forbidden:
+            context.findings.warning(
+                profile_place,
+                f"{customer.name} skips steps on {', '.join(forbidden)}",
                 "allow these models unless that is meant",
             )
 
 
 def _check_keys(
-    subject: Subject, key_hashes: tuple[str, ...], place: Place
+    context: CheckContext, key_hashes: tuple[str, ...], place: Place
 ) -> None:
-    if not key_hashes and place.key_path not in subject.broken:
-        subject.findings.warning(
-            inside(place, "key_hashes"),
+    if not key_hashes and place.key_path not in context.broken:
+        context.findings.warning(
+            key_place(place, "key_hashes"),
             "holds no key, so every call is refused",
             "add one with 'sycactl new-key'",
         )
 
 
-def _step_allowed(
-    subject: Subject, allowed: frozenset[str], step: CascadeStep
+def _is_step_allowed(
+    context: CheckContext, allowed: frozenset[str], step: CascadeStep
 ) -> bool:
-    model = subject.declarations.models.get(step.model)
+    model = context.declarations.models.get(step.model)
     if model is None or model.name in allowed:
         # An unknown model is reported already; a second finding misleads.
         return True
@@ -134,4 +140,4 @@
     return any(version_id(model.name, name) in allowed for name in names)
 
 
-__all__ = ["check_customers", "check_doubled_keys", "check_operators"]
+__all__ = ["check_customers", "check_duplicate_keys", "check_operators"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/codec.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/codec.py
@@ -33,10 +33,10 @@
     """Return the JSON-able form, by section and name."""
     return {
         section: {
-            name: _table(value, _KEY_FIELDS[section])
+            name: _to_table(value, _KEY_FIELDS[section])
             for name, value in values.items()
         }
-        for section, values in _named_parts(declarations)
+        for section, values in _sections_of(declarations)
     }
 
 
@@ -53,28 +53,28 @@
         raise WireError(f"declarations cannot be read: {error}") from error
 
 
-def _named_parts(declarations: Declarations) -> list[tuple[str, Any]]:
+def _sections_of(declarations: Declarations) -> list[tuple[str, Any]]:
     return [(name, getattr(declarations, name)) for name in _KEY_FIELDS]
 
 
-def _table(value: Any, key_fields: tuple[str, ...]) -> dict[str, Any]:
+def _to_table(value: Any, key_fields: tuple[str, ...]) -> dict[str, Any]:
     return {
-        field: _plain(part)
+        field: _to_plain(part)
         for field, part in value._asdict().items()
         if field not in key_fields and part is not None
     }
 
 
-def _plain(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if hasattr(value, "_asdict"):
-        return _table(value, ())
+        return _to_table(value, ())
     if isinstance(value, dict):
         return {
-            key: _table(part, _VERSION_KEY_FIELDS)
+            key: _to_table(part, _VERSION_KEY_FIELDS)
             for key, part in value.items()
         }
     if isinstance(value, tuple):
-        return [_plain(part) for part in value]
+        return [_to_plain(part) for part in value]
     return value
 
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/compression.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/compression.py
@@ -17,41 +17,42 @@
 # A byte that no content of msgpack begins with.
 COMPRESSED_MARKER: Final = b"\xc1"
 # Below this a frame's own bytes weigh as much as what is saved.
-LEAST_BYTES: Final = 2048
+MIN_COMPRESS_BYTES: Final = 2048
 # Of the ten levels the fastest: it saves nine tenths of declarations, and
 # the slower ones cost three times as long for a few in a hundred more.
-LEVEL: Final = 1
+COMPRESSION_LEVEL: Final = 1
 # Eight times the largest declarations: what claims to be more is refused
 # before it fills the memory.
-MAX_BYTES: Final = 32 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES: Final = 32 * 1024 * 1024
 
 
 def compress_content(content: bytes) -> bytes:
     """Return content made smaller, or as it is where that is shorter.
 
-    >>> decompress_content(compress_content(b"r " * 1000)) == b"r " * 1000
+    >>> content = b"route " * 1000
+    >>> decompress_content(compress_content(content)) == content
     True
     """
-    if len(content) < LEAST_BYTES:
+    if len(content) < MIN_COMPRESS_BYTES:
         return content
-    packed = COMPRESSED_MARKER + zlib.compress(content, LEVEL)
-    return packed if len(packed) < len(content) else content
+    compressed = COMPRESSED_MARKER + zlib.compress(content, COMPRESSION_LEVEL)
+    return compressed if len(compressed) < len(content) else content
 
 
 def decompress_content(content: bytes) -> bytes:
     """Return what was packed; raises `WireError` where it cannot be read."""
     if not content.startswith(COMPRESSED_MARKER):
         return content
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        whole = unpacker.decompress(
-            content[len(COMPRESSED_MARKER) :], MAX_BYTES
+        decompressed = decompressor.decompress(
+            content[len(COMPRESSED_MARKER) :], MAX_DECOMPRESSED_BYTES
         )
     except zlib.error as error:
         raise WireError(f"content cannot be unpacked: {error}") from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise WireError("packed content is cut off or too large")
-    return whole
+    return decompressed
 
 
 __all__ = ["compress_content", "decompress_content"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/consequences.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/consequences.py
@@ -18,13 +18,13 @@
     return tuple(note for rule in _RULES for note in rule(old, new))
 
 
-def _of_models(old: Declarations, new: Declarations) -> Iterator[str]:
+def _model_consequences(old: Declarations, new: Declarations) -> Iterator[str]:
     for name, before in old.models.items():
         after = new.models.get(name)
         if after is None:
             yield f"model {name} is removed: its sessions will be refused"
             continue
-        yield from _of_versions(before, after)
+        yield from _version_consequences(before, after)
         if before.stable != after.stable:
             yield (
                 f"new work on {name} moves from {before.stable} to "
@@ -32,22 +32,24 @@
             )
 
 
-def _of_versions(before: Model, after: Model) -> Iterator[str]:
-    for name, version in before.versions.items():
+def _version_consequences(before: Model, after: Model) -> Iterator[str]:
+    for name, old_version in before.versions.items():
         identity = version_id(before.name, name)
-        kept = after.versions.get(name)
-        if kept is None:
+        new_version = after.versions.get(name)
+        if new_version is None:
             yield f"{identity} is removed: its sessions will be refused"
-        elif kept.withdrawn and not version.withdrawn:
+        elif new_version.withdrawn and not old_version.withdrawn:
             yield (
                 f"{identity} is withdrawn: it gets no new work and its "
                 "sessions will be refused"
             )
-        elif version.withdrawn and not kept.withdrawn:
+        elif old_version.withdrawn and not new_version.withdrawn:
             yield f"{identity} is reinstated: it gets new work again"
 
 
-def _of_customers(old: Declarations, new: Declarations) -> Iterator[str]:
+def _customer_consequences(
+    old: Declarations, new: Declarations
+) -> Iterator[str]:
     for name, before in old.customers.items():
         after = new.customers.get(name)
         if after is None:
@@ -68,42 +70,48 @@
 ) -> list[str]:
     if before.versions == after.versions:
         return []
-    had = frozenset(before.versions)
-    has = frozenset(after.versions)
+    old_allowed = frozenset(before.versions)
+    new_allowed = frozenset(after.versions)
     lost = []
     for model in old.models.values():
-        if model.name in has:
+        if model.name in new_allowed:
             continue
         for name in model.versions:
             identity = version_id(model.name, name)
-            allowed = model.name in had or identity in had
-            if allowed and identity not in has:
+            was_allowed = model.name in old_allowed or identity in old_allowed
+            if was_allowed and identity not in new_allowed:
                 lost.append(identity)
     return lost
 
 
-def _of_profiles(old: Declarations, new: Declarations) -> Iterator[str]:
-    for name in _removed(old.profiles, new.profiles):
+def _profile_consequences(
+    old: Declarations, new: Declarations
+) -> Iterator[str]:
+    for name in _removed_names(old.profiles, new.profiles):
         yield f"profile {name} is removed: requests naming it are refused"
 
 
-def _of_services(old: Declarations, new: Declarations) -> Iterator[str]:
-    for name in _removed(old.services, new.services):
+def _service_consequences(
+    old: Declarations, new: Declarations
+) -> Iterator[str]:
+    for name in _removed_names(old.services, new.services):
         yield f"service {name} is removed: requests to it are refused"
     for name, before in old.services.items():
         after = new.services.get(name)
         if after is None:
             continue
-        came = set(after.idempotent_methods) - set(before.idempotent_methods)
-        if came:
+        added = set(after.idempotent_methods) - set(before.idempotent_methods)
+        if added:
             yield (
-                f"{', '.join(sorted(came))} calls to {name} may now be "
+                f"{', '.join(sorted(added))} calls to {name} may now be "
                 "repeated: be sure that doing them twice is harmless"
             )
 
 
-def _of_rollouts(old: Declarations, new: Declarations) -> Iterator[str]:
-    for name in _removed(old.rollouts, new.rollouts):
+def _rollout_consequences(
+    old: Declarations, new: Declarations
+) -> Iterator[str]:
+    for name in _removed_names(old.rollouts, new.rollouts):
         yield f"roll-out of {name} ends: new work goes to its stable version"
     for name, before in old.rollouts.items():
         after = new.rollouts.get(name)
@@ -114,7 +122,9 @@
             )
 
 
-def _of_operators(old: Declarations, new: Declarations) -> Iterator[str]:
+def _operator_consequences(
+    old: Declarations, new: Declarations
+) -> Iterator[str]:
     for name, before in old.operators.items():
         after = new.operators.get(name)
         if after is None:
@@ -123,19 +133,19 @@
             yield f"operator {name} loses a key: it is refused"
 
 
-def _removed(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
+def _removed_names(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
     return [name for name in old if name not in new]
 
 
 _RULES: Final[
     tuple[Callable[[Declarations, Declarations], Iterator[str]], ...]
 ] = (
-    _of_models,
-    _of_customers,
-    _of_profiles,
-    _of_services,
-    _of_rollouts,
-    _of_operators,
+    _model_consequences,
+    _customer_consequences,
+    _profile_consequences,
+    _service_consequences,
+    _rollout_consequences,
+    _operator_consequences,
 )
 
 __all__ = ["consequences"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/findings.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/findings.py
@@ -79,13 +79,13 @@
             )
 
 
-def inside(place: Place, key: str) -> Place:
+def key_place(place: Place, key: str) -> Place:
     """Return the place of a key of the table that stands at ``place``."""
     path = f"{place.key_path}.{key}" if place.key_path else key
     return place._replace(key_path=path[:MAX_KEY_PATH_CHARACTERS])
 
 
-def item(place: Place, index: int) -> Place:
+def item_place(place: Place, index: int) -> Place:
     """Return the place of an item of the list that stands at ``place``."""
     return place._replace(key_path=f"{place.key_path}[{index}]")
 
@@ -109,8 +109,8 @@
     "finding_line",
     "Findings",
     "has_errors",
-    "inside",
-    "item",
+    "key_place",
+    "item_place",
     "Place",
     "Severity",
     "WARNING",
--- a/packages/sycamorestand-model/src/sycamorestand_model/keys.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/keys.py
@@ -20,14 +20,14 @@
 
     Example: ``hash_key("guild-1", b"12345678")`` starts with ``b2$``.
     """
-    chosen = secrets.token_bytes(SALT_BYTES) if salt is None else salt
-    digest = _digest(key, chosen)
-    return f"{HASH_SCHEME}${chosen.hex()}${digest.hex()}"
+    salt_bytes = secrets.token_bytes(SALT_BYTES) if salt is None else salt
+    digest = _digest(key, salt_bytes)
+    return f"{HASH_SCHEME}${salt_bytes.hex()}${digest.hex()}"
 
 
-def key_matches(key: str, stored: str) -> bool:
+def key_matches(key: str, stored_hash: str) -> bool:
     """Compare a presented key with a stored hash in constant time."""
-    scheme, _, rest = stored.partition("$")
+    scheme, _, rest = stored_hash.partition("$")
     salt_text, _, digest_text = rest.partition("$")
     if scheme != HASH_SCHEME:
         return False
--- a/packages/sycamorestand-model/src/sycamorestand_model/limits.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/limits.py
@@ -25,7 +25,7 @@
 MAX_STEP_S: Final = 604_800.0
 MAX_SAMPLES: Final = 10_000_000
 # 1,000 currency units a million tokens; a higher price is a slip of units.
-MAX_MICROS: Final = 1_000_000_000
+MAX_PRICE_MICROS: Final = 1_000_000_000
 MAX_PINNED_SERVERS: Final = 1_000
 MAX_CONNECTIONS: Final = 1_000_000
 # A finding for each line of a large wrong file would hide the first ones.
@@ -51,7 +51,7 @@
     "MAX_FOLDER_DEPTH",
     "MAX_KEYS",
     "MAX_LIST_ITEMS",
-    "MAX_MICROS",
+    "MAX_PRICE_MICROS",
     "MAX_NAME_CHARACTERS",
     "MAX_PINNED_SERVERS",
     "MAX_SAMPLES",
--- a/packages/sycamorestand-model/src/sycamorestand_model/load.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/load.py
@@ -25,21 +25,21 @@
 from sycamorestand_model.declarations import Declarations
 from sycamorestand_model.findings import Finding
 from sycamorestand_model.findings import Findings
-from sycamorestand_model.findings import inside
+from sycamorestand_model.findings import key_place
 from sycamorestand_model.findings import Place
 from sycamorestand_model.limits import MAX_DECLARATIONS
 from sycamorestand_model.limits import MAX_FILE_BYTES
 from sycamorestand_model.limits import MAX_FILES
 from sycamorestand_model.limits import MAX_FOLDER_DEPTH
 from sycamorestand_model.limits import MAX_TOTAL_BYTES
-from sycamorestand_model.shapes import SECTIONS
+from sycamorestand_model.schemas import SECTIONS
 
 SUFFIX: Final = ".toml"
 # Other files that may lie beside the declarations without a finding.
 COMPANION_SUFFIXES: Final = (".md", ".txt")
 
 
-class Loaded(NamedTuple):
+class LoadResult(NamedTuple):
     """What could be read, and every finding of the reading.
 
     ``files`` gives the file of each declaration by ``section.name``, also
@@ -58,24 +58,24 @@
     place: Place
 
 
-def load_folder(folder: Path) -> Loaded:
+def load_folder(folder: Path) -> LoadResult:
     """Read every declaration under a folder."""
     findings = Findings()
     raw: list[_RawDeclaration] = []
-    for path in _files_of(folder, findings):
+    for path in _find_files(folder, findings):
         relative = path.relative_to(folder).as_posix()
         document = _parse(path, Place(relative), findings)
         raw.extend(_raw_declarations(document, relative, findings))
     return _assemble(raw, findings)
 
 
-def load_document(document: object) -> Loaded:
+def load_document(document: object) -> LoadResult:
     """Read declarations from one JSON-able object."""
     findings = Findings()
     return _assemble(_raw_declarations(document, "", findings), findings)
 
 
-def _files_of(folder: Path, findings: Findings) -> list[Path]:
+def _find_files(folder: Path, findings: Findings) -> list[Path]:
     if not folder.is_dir():
         findings.error(
             Place(str(folder)), "is no folder", "name the declarations folder"
@@ -95,7 +95,7 @@
             findings.error(place, "is no file", "mend the link or remove it")
         else:
             files.append(path)
-    return _bounded(files, folder, findings)
+    return _check_limits(files, folder, findings)
 
 
 def _walk(root: Path, folder: Path, findings: Findings) -> Iterator[Path]:
@@ -120,7 +120,7 @@
             yield from _walk(root, path, findings)
 
 
-def _bounded(
+def _check_limits(
     files: list[Path], folder: Path, findings: Findings
 ) -> list[Path]:
     if not files:
@@ -181,15 +181,15 @@
         elif not isinstance(tables, dict):
             findings.error(place, "is no table", f"use [{section}.NAME]")
         else:
-            _report_misplaced(section, place, findings)
+            _check_folder_name(section, place, findings)
             raw.extend(
-                _RawDeclaration(section, name, table, inside(place, name))
+                _RawDeclaration(section, name, table, key_place(place, name))
                 for name, table in tables.items()
             )
     return raw
 
 
-def _report_misplaced(section: str, place: Place, findings: Findings) -> None:
+def _check_folder_name(section: str, place: Place, findings: Findings) -> None:
     folder = place.file.rpartition("/")[0]
     if folder in SECTIONS and folder != section:
         findings.error(
@@ -199,7 +199,7 @@
         )
 
 
-def _assemble(raw: list[_RawDeclaration], findings: Findings) -> Loaded:
+def _assemble(raw: list[_RawDeclaration], findings: Findings) -> LoadResult:
     sections: dict[str, Any] = {key: {} for key in SECTIONS}
     files: dict[str, str] = {}
     for declaration in raw:
@@ -216,19 +216,21 @@
         value = SECTIONS[section](name, table, place, findings)
         if value is not None:
             sections[section][name] = value
-    _report_too_many(files, findings)
-    return Loaded(Declarations(**sections), findings.all(), files)
+    _check_declaration_counts(files, findings)
+    return LoadResult(Declarations(**sections), findings.all(), files)
 
 
-def _report_too_many(files: dict[str, str], findings: Findings) -> None:
-    for section, bound in MAX_DECLARATIONS.items():
+def _check_declaration_counts(
+    files: dict[str, str], findings: Findings
+) -> None:
+    for section, limit in MAX_DECLARATIONS.items():
         count = sum(key.startswith(f"{section}.") for key in files)
-        if count > bound:
+        if count > limit:
             findings.error(
                 Place("", section),
                 f"{count} declarations are too many",
-                f"use at most {bound}",
+                f"use at most {limit}",
             )
 
 
-__all__ = ["load_document", "load_folder", "Loaded"]
+__all__ = ["load_document", "load_folder", "LoadResult"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/plan.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/plan.py
@@ -51,12 +51,12 @@
 
 def _differences(path: str, old: Any, new: Any) -> list[PlanLine]:
     if path.rpartition(".")[2] in SECRET_FIELDS:
-        return _key_differences(path, old, new)
+        return _key_hash_differences(path, old, new)
     if isinstance(old, dict) and isinstance(new, dict):
         return _table_differences(path, old, new)
     if old == new:
         return []
-    return [PlanLine("changed", path, _text(old), _text(new))]
+    return [PlanLine("changed", path, _format_value(old), _format_value(new))]
 
 
 def _table_differences(
@@ -64,29 +64,29 @@
 ) -> list[PlanLine]:
     lines: list[PlanLine] = []
     for key in sorted({**old, **new}):
-        here = f"{path}.{key}" if path else key
+        key_path = f"{path}.{key}" if path else key
         if key not in old:
-            lines.append(PlanLine("added", here))
+            lines.append(PlanLine("added", key_path))
         elif key not in new:
-            lines.append(PlanLine("removed", here))
+            lines.append(PlanLine("removed", key_path))
         else:
-            lines.extend(_differences(here, old[key], new[key]))
+            lines.extend(_differences(key_path, old[key], new[key]))
     return lines
 
 
-def _key_differences(
+def _key_hash_differences(
     path: str, old: list[str], new: list[str]
 ) -> list[PlanLine]:
     if old == new:
         return []
-    gone = len(set(old) - set(new))
-    came = len(set(new) - set(old))
+    removed_count = len(set(old) - set(new))
+    added_count = len(set(new) - set(old))
     before = f"{len(old)} keys"
-    after = f"{len(new)} keys ({came} new, {gone} removed)"
+    after = f"{len(new)} keys ({added_count} new, {removed_count} removed)"
     return [PlanLine("changed", path, before, after)]
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = repr(value)
     if len(text) <= MAX_TEXT_CHARACTERS:
         return text
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -17,8 +17,8 @@
 from typing import NamedTuple
 
 from sycamorestand_model.findings import Findings
-from sycamorestand_model.findings import inside
-from sycamorestand_model.findings import item
+from sycamorestand_model.findings import item_place
+from sycamorestand_model.findings import key_place
 from sycamorestand_model.findings import Place
 
 Reader = Callable[[object, Place, Findings], Any]
@@ -39,7 +39,7 @@
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if check_name(raw, max_characters, place, findings):
             return raw
@@ -53,7 +53,7 @@
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if len(raw) > max_characters:
             findings.error(
@@ -100,10 +100,10 @@
 
     def read(raw: object, place: Place, findings: Findings) -> int | None:
         if isinstance(raw, bool) or not isinstance(raw, int):
-            _wrong_type(raw, "a whole number", place, findings)
+            _report_wrong_type(raw, "a whole number", place, findings)
             return None
         if not low <= raw <= high:
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         return raw
 
@@ -115,13 +115,13 @@
 
     def read(raw: object, place: Place, findings: Findings) -> float | None:
         if isinstance(raw, bool) or not isinstance(raw, int | float):
-            _wrong_type(raw, "a number", place, findings)
+            _report_wrong_type(raw, "a number", place, findings)
             return None
         if isinstance(raw, float) and not math.isfinite(raw):
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         if not low <= raw <= high:
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         return float(raw)
 
@@ -131,7 +131,7 @@
 def flag(raw: object, place: Place, findings: Findings) -> bool | None:
     """Read true or false."""
     if not isinstance(raw, bool):
-        _wrong_type(raw, "true or false", place, findings)
+        _report_wrong_type(raw, "true or false", place, findings)
         return None
     return raw
 
@@ -141,7 +141,7 @@
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if raw not in allowed:
             findings.error(
@@ -175,7 +175,7 @@
         raw: object, place: Place, findings: Findings
     ) -> tuple[Any, ...] | None:
         if not isinstance(raw, list | tuple):
-            _wrong_type(raw, "a list", place, findings)
+            _report_wrong_type(raw, "a list", place, findings)
             return None
         if not min_items <= len(raw) <= max_items:
             findings.error(
@@ -185,18 +185,18 @@
             )
             return None
         values = [
-            reader(each, item(place, index), findings)
+            reader(each, item_place(place, index), findings)
             for index, each in enumerate(raw)
         ]
         kept = [value for value in values if value is not None]
         if unique:
-            _report_doubled(kept, place, findings)
+            _report_duplicates(kept, place, findings)
         return tuple(kept)
 
     return read
 
 
-def record(make: Callable[..., Any], fields: dict[str, Field]) -> Reader:
+def record(factory: Callable[..., Any], fields: dict[str, Field]) -> Reader:
     """Read a table into a typed tuple; unknown fields are findings.
 
     Fields that a table leaves out keep the default of the tuple.
@@ -204,30 +204,30 @@
 
     def read(raw: object, place: Place, findings: Findings) -> Any:
         if not isinstance(raw, dict):
-            _wrong_type(raw, "a table", place, findings)
+            _report_wrong_type(raw, "a table", place, findings)
             return None
-        _report_unknown(raw, fields, place, findings)
+        _report_unknown_fields(raw, fields, place, findings)
         values: dict[str, Any] = {}
         whole_record = True
         for key, field in fields.items():
             if key not in raw:
                 if field.required:
                     findings.error(
-                        inside(place, key), "missing", "add this field"
+                        key_place(place, key), "missing", "add this field"
                     )
                     whole_record = False
                 continue
-            value = field.reader(raw[key], inside(place, key), findings)
+            value = field.reader(raw[key], key_place(place, key), findings)
             if value is None:
                 whole_record = False
             else:
                 values[key] = value
-        return make(**values) if whole_record else None
+        return factory(**values) if whole_record else None
 
     return read
 
 
-def _report_unknown(
+def _report_unknown_fields(
     raw: dict[Any, Any],
     fields: dict[str, Field],
     place: Place,
@@ -236,31 +236,33 @@
     for key in raw:
         if key not in fields:
             findings.error(
-                inside(place, str(key)),
+                key_place(place, str(key)),
                 "unknown field",
                 f"known are {', '.join(fields)}",
             )
 
 
-def _report_doubled(
+def _report_duplicates(
     values: list[Any], place: Place, findings: Findings
 ) -> None:
     seen = set()
     for index, value in enumerate(values):
         if value in seen:
             findings.error(
-                item(place, index), "given twice", "remove one of them"
+                item_place(place, index), "given twice", "remove one of them"
             )
         seen.add(value)
 
 
-def _wrong_type(
-    raw: object, wanted: str, place: Place, findings: Findings
+def _report_wrong_type(
+    raw: object, expected: str, place: Place, findings: Findings
 ) -> None:
-    findings.error(place, f"is {type(raw).__name__}", f"give {wanted} instead")
+    findings.error(
+        place, f"is {type(raw).__name__}", f"give {expected} instead"
+    )
 
 
-def _out_of_range(
+def _report_out_of_range(
     low: float, high: float, place: Place, findings: Findings
 ) -> None:
     findings.error(
--- a/packages/sycamorestand-model/src/sycamorestand_model/shapes_routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/route_schemas.py
@@ -31,11 +31,11 @@
 MAX_TARGETS: Final = 16
 MAX_COUNT: Final = 1_000_000_000
 MAX_COST: Final = 1_000_000.0
-_HOST: Final = re.compile(r"[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
+_HOST_PATTERN: Final = re.compile(r"[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
 
 
-def _host(raw: object, place: Place, findings: Findings) -> str | None:
-    if isinstance(raw, str) and _HOST.fullmatch(raw):
+def _read_host(raw: object, place: Place, findings: Findings) -> str | None:
+    if isinstance(raw, str) and _HOST_PATTERN.fullmatch(raw):
         return raw
     findings.error(
         place, "is no host name", "use lower case letters, digits, '.', '-'"
@@ -43,7 +43,9 @@
     return None
 
 
-def _prefix(raw: object, place: Place, findings: Findings) -> str | None:
+def _read_path_prefix(
+    raw: object, place: Place, findings: Findings
+) -> str | None:
     if not isinstance(raw, str) or len(raw) > MAX_PATH_CHARACTERS:
         findings.error(
             place,
@@ -63,7 +65,7 @@
 
 _COUNT: Final[Reader] = integer(0, MAX_COUNT)
 _NAME: Final[Reader] = name(MAX_NAME_CHARACTERS)
-_MS: Final[Reader] = number(0.0, float(MAX_DEADLINE_MS))
+_DURATION_MS: Final[Reader] = number(0.0, float(MAX_DEADLINE_MS))
 
 _TARGET: Final[Reader] = record(
     RouteTarget,
@@ -81,7 +83,7 @@
     },
 )
 
-ENGINE: Final[Reader] = record(
+ENGINE_READER: Final[Reader] = record(
     EngineTraits,
     {
         "slots": Field(integer(1, 100_000), required=True),
@@ -92,16 +94,16 @@
         "can_back_up": Field(flag),
         "event_tokens": Field(integer(1, 100_000)),
         "max_event_calls": Field(integer(0, 100_000)),
-        "pin_ms": Field(_MS),
-        "hold_ms": Field(_MS),
+        "pin_ms": Field(_DURATION_MS),
+        "hold_ms": Field(_DURATION_MS),
         "handle_s": Field(number(0.0, 3_600.0)),
         "sizes": Field(array(_SIZE, MAX_STEPS)),
     },
 )
 
 ROUTE_FIELDS: Final[dict[str, Field]] = {
-    "host": Field(_host, required=True),
-    "path_prefix": Field(_prefix, required=True),
+    "host": Field(_read_host, required=True),
+    "path_prefix": Field(_read_path_prefix, required=True),
     "targets": Field(array(_TARGET, MAX_TARGETS, 1), required=True),
     "kind": Field(choice("idempotent", "once", "stream"), required=True),
     "timeout_ms": Field(integer(1, MAX_DEADLINE_MS), required=True),
@@ -118,4 +120,4 @@
 
 RouteValues = dict[str, Any]
 
-__all__ = ["ENGINE", "ROUTE_FIELDS", "RouteValues"]
+__all__ = ["ENGINE_READER", "ROUTE_FIELDS", "RouteValues"]
--- a/packages/sycamorestand-model/src/sycamorestand_model/shapes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/schemas.py
@@ -17,15 +17,15 @@
 from sycamorestand_model.declarations import Version
 from sycamorestand_model.declarations import VERSION_SEPARATOR
 from sycamorestand_model.findings import Findings
-from sycamorestand_model.findings import inside
+from sycamorestand_model.findings import key_place
 from sycamorestand_model.findings import Place
 from sycamorestand_model.limits import MAX_CONNECTIONS
 from sycamorestand_model.limits import MAX_DEADLINE_MS
 from sycamorestand_model.limits import MAX_KEYS
 from sycamorestand_model.limits import MAX_LIST_ITEMS
-from sycamorestand_model.limits import MAX_MICROS
 from sycamorestand_model.limits import MAX_NAME_CHARACTERS
 from sycamorestand_model.limits import MAX_PINNED_SERVERS
+from sycamorestand_model.limits import MAX_PRICE_MICROS
 from sycamorestand_model.limits import MAX_SAMPLES
 from sycamorestand_model.limits import MAX_SHARES
 from sycamorestand_model.limits import MAX_STEP_S
@@ -46,10 +46,10 @@
 from sycamorestand_model.readers import Reader
 from sycamorestand_model.readers import record
 from sycamorestand_model.readers import text
+from sycamorestand_model.route_schemas import ENGINE_READER
+from sycamorestand_model.route_schemas import MAX_PATH_CHARACTERS
+from sycamorestand_model.route_schemas import ROUTE_FIELDS
 from sycamorestand_model.routes import Route
-from sycamorestand_model.shapes_routes import ENGINE
-from sycamorestand_model.shapes_routes import MAX_PATH_CHARACTERS
-from sycamorestand_model.shapes_routes import ROUTE_FIELDS
 
 PATTERN_CHARACTERS: Final = "*?[]^$|"
 HTTP_METHODS: Final = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST")
@@ -58,7 +58,7 @@
 DeclarationReader = Callable[[str, object, Place, Findings], Any]
 
 
-def _allowed_version(
+def _read_allowed_version(
     raw: object, place: Place, findings: Findings
 ) -> str | None:
     """Read ``model`` or ``model@version``; patterns are not authorised.
@@ -77,15 +77,15 @@
         findings.error(place, "is not a text", "give model or model@version")
         return None
     model, separator, version = raw.partition(VERSION_SEPARATOR)
-    whole_name = check_name(model, MAX_NAME_CHARACTERS, place, findings)
+    is_valid = check_name(model, MAX_NAME_CHARACTERS, place, findings)
     if separator:
-        whole_name &= check_name(
+        is_valid &= check_name(
             version, MAX_VERSION_CHARACTERS, place, findings
         )
-    return raw if whole_name else None
+    return raw if is_valid else None
 
 
-def _versions(
+def _read_versions(
     raw: object, place: Place, findings: Findings
 ) -> dict[str, dict[str, Any]] | None:
     if not isinstance(raw, dict) or not raw:
@@ -100,15 +100,19 @@
         return None
     versions = {}
     for key, table in raw.items():
-        here = inside(place, key)
-        named = check_name(key, MAX_VERSION_CHARACTERS, here, findings)
-        values = _VERSION(table, here, findings)
-        if named and values is not None:
+        version_place = key_place(place, key)
+        is_name_valid = check_name(
+            key, MAX_VERSION_CHARACTERS, version_place, findings
+        )
+        values = _VERSION(table, version_place, findings)
+        if is_name_valid and values is not None:
             versions[key] = values
     return versions
 
 
-def _named(make: Callable[..., Any], fields: dict[str, Field]) -> Any:
+def _named_reader(
+    factory: Callable[..., Any], fields: dict[str, Field]
+) -> Any:
     read_table = record(dict, fields)
 
     def read(key: str, raw: object, place: Place, findings: Findings) -> Any:
@@ -116,7 +120,7 @@
         values = read_table(raw, place, findings)
         if values is None or not named:
             return None
-        return make(key, values)
+        return factory(key, values)
 
     return read
 
@@ -132,7 +136,7 @@
 _NAME: Final[Reader] = name(MAX_NAME_CHARACTERS)
 _VERSION_NAME: Final[Reader] = name(MAX_VERSION_CHARACTERS)
 _NAMES: Final[Reader] = array(_NAME, MAX_LIST_ITEMS)
-_MICROS: Final[Reader] = integer(0, MAX_MICROS)
+_MICROS: Final[Reader] = integer(0, MAX_PRICE_MICROS)
 _WEIGHT: Final[Reader] = number(0.0, MAX_WEIGHT)
 _DEADLINE_MS: Final[Reader] = integer(1, MAX_DEADLINE_MS)
 _KEY_HASHES: Final[Reader] = array(key_hash, MAX_KEYS)
@@ -163,17 +167,17 @@
     },
 )
 
-_MODEL: Final[DeclarationReader] = _named(
+_MODEL: Final[DeclarationReader] = _named_reader(
     _make_model,
     {
         "stable": Field(_VERSION_NAME, required=True),
-        "versions": Field(_versions, required=True),
+        "versions": Field(_read_versions, required=True),
         "pinned_servers": Field(integer(0, MAX_PINNED_SERVERS)),
         "fallback": Field(optional(_VERSION_NAME)),
     },
 )
 
-_PROFILE: Final[DeclarationReader] = _named(
+_PROFILE: Final[DeclarationReader] = _named_reader(
     lambda key, values: Profile(name=key, **values),
     {
         "steps": Field(
@@ -186,13 +190,13 @@
     },
 )
 
-_CUSTOMER: Final[DeclarationReader] = _named(
+_CUSTOMER: Final[DeclarationReader] = _named_reader(
     lambda key, values: Customer(name=key, **values),
     {
         "key_hashes": Field(_KEY_HASHES, required=True),
         "profiles": Field(_NAMES, required=True),
         "versions": Field(
-            array(_allowed_version, MAX_LIST_ITEMS), required=True
+            array(_read_allowed_version, MAX_LIST_ITEMS), required=True
         ),
         "services": Field(_NAMES),
         # Fair queueing divides by the weight, so it cannot be zero.
@@ -201,7 +205,7 @@
     },
 )
 
-_SERVICE: Final[DeclarationReader] = _named(
+_SERVICE: Final[DeclarationReader] = _named_reader(
     lambda key, values: Service(name=key, **values),
     {
         "idempotent_methods": Field(
@@ -211,15 +215,15 @@
         "default_deadline_ms": Field(_DEADLINE_MS),
         "health_path": Field(text(MAX_PATH_CHARACTERS)),
         "max_connections": Field(integer(0, MAX_CONNECTIONS)),
-        "engine": Field(ENGINE),
+        "engine": Field(ENGINE_READER),
     },
 )
 
-_ROUTE: Final[DeclarationReader] = _named(
+_ROUTE: Final[DeclarationReader] = _named_reader(
     lambda key, values: Route(name=key, **values), ROUTE_FIELDS
 )
 
-_ROLLOUT: Final[DeclarationReader] = _named(
+_ROLLOUT: Final[DeclarationReader] = _named_reader(
     lambda key, values: Rollout(model=key, **values),
     {
         "version": Field(_VERSION_NAME, required=True),
@@ -235,7 +239,7 @@
     },
 )
 
-_OPERATOR: Final[DeclarationReader] = _named(
+_OPERATOR: Final[DeclarationReader] = _named_reader(
     lambda key, values: Operator(name=key, **values),
     {
         "key_hashes": Field(_KEY_HASHES, required=True),
--- a/packages/sycamorestand-model/tests/test_compression.py
+++ b/packages/sycamorestand-model/tests/test_compression.py
@@ -52,6 +52,6 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # A few bytes claim to be gigabytes; nothing is made of them.
-        monkeypatch.setattr(compression, "MAX_BYTES", 1000)
+        monkeypatch.setattr(compression, "MAX_DECOMPRESSED_BYTES", 1000)
         with pytest.raises(WireError, match="too large"):
             decompress_content(COMPRESSED_MARKER + zlib.compress(bytes(1001)))
