--- a/packages/sycamorestand-model/src/sycamorestand_model/__init__.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations as typed data, their check and their difference."""
+"""Typed declarations, their readers and checks, and plans of changes."""
--- a/packages/sycamorestand-model/src/sycamorestand_model/backend_servers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/backend_servers.py
@@ -1,4 +1,4 @@
-"""What backend servers announce about themselves."""
+"""Announcements of backend servers and their load reports."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class LoadReport(NamedTuple):
-    """A backend server's own view of its load; it comes late.
+    """The load of a backend server, as the server itself reported it.
 
-    ``running`` and ``queued`` count requests; ``age_s`` is how old the
-    report was when it was sent.
+    The report is out of date when it arrives; ``age_s`` is its age when it
+    was sent. ``running`` and ``queued`` count requests.
     """
 
     running: int = 0
@@ -20,14 +20,15 @@
 
 
 class Announcement(NamedTuple):
-    """One announcement of a backend server, renewed while it lives.
-
-    ``incarnation`` grows with every start of the server and ``sequence``
-    with every announcement, so late and doubled ones are told apart.
-    ``lease_s`` is how long it holds without renewal. ``versions`` are
-    version identities for engines, service names for plain services.
-    ``max_versions`` is how many an engine that takes load orders holds at
-    once; 0 takes none. New fields go last: they travel by position.
+    """One announcement of a backend server, which the server renews.
+
+    ``incarnation`` grows with each start of the server and ``sequence``
+    with each announcement, so receivers recognise late and duplicate
+    ones. ``lease_s`` is how long the announcement holds without renewal.
+    ``versions`` holds version identities for an engine, and service names
+    for a plain service. ``max_versions`` is how many versions an engine
+    that accepts load orders holds at once; 0 means that it accepts none.
+    New fields must come last, as fields are encoded by their position.
     """
 
     name: str
@@ -50,7 +51,7 @@
 
 
 def supersedes(new: Announcement, old: Announcement) -> bool:
-    """Tell whether an announcement is newer than the one that is known."""
+    """Return whether ``new`` is a later announcement of the server."""
     return (new.incarnation, new.sequence) > (old.incarnation, old.sequence)
 
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/check.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check.py
@@ -1,8 +1,9 @@
-"""Checks across declarations: references, order, shares and prices.
+"""Check declarations: references, order of steps, shares and prices.
 
-``check`` works offline and reports every finding of the reading and of
-the references together. For example ``check(load_folder(Path("guild")))``
-returns an empty tuple for a folder that can be applied as it is.
+``check`` needs no running cluster. It returns the findings of the readers
+together with those of the checks across declarations. For example,
+``check(load_folder(Path("guild")))`` returns an empty tuple for a folder
+that can be applied without changes.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def check(loaded: LoadResult) -> tuple[Finding, ...]:
-    """Return all findings: those of the reading and of the references."""
+    """Return the findings of the readers and of all checks, in this order."""
     findings = Findings()
     findings.extend(loaded.findings)
     context = make_context(loaded, findings)
@@ -45,7 +46,10 @@
 
 
 def check_declarations(declarations: Declarations) -> tuple[Finding, ...]:
-    """Return the findings of declarations that are typed already."""
+    """Return the findings of declarations that are already typed.
+
+    Their places name no file.
+    """
     return check(LoadResult(declarations))
 
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/check_context.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_context.py
@@ -1,4 +1,4 @@
-"""What the checks of declarations share."""
+"""The context that all checks of declarations share."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 
 class CheckContext(NamedTuple):
-    """What the checks share: the declarations and where each stands.
+    """The declarations to check, their files, and the findings so far.
 
-    ``broken`` names those whose reading gave an error. What is left of
-    them says nothing about what they lack, so checks for something
-    missing pass over them.
+    ``files`` maps ``section.name`` to the file of a declaration, also of
+    one that could not be read. ``broken`` holds the ``section.name`` of
+    the declarations that have reading errors. They may lack fields that
+    their file contains, so checks for missing items skip them.
     """
 
     declarations: Declarations
@@ -33,13 +34,17 @@
 
 
 def make_context(loaded: LoadResult, findings: Findings) -> CheckContext:
-    """Return the context that every check gets."""
+    """Return the context of the checks; they add to ``findings``."""
     broken = _broken_declarations(loaded.findings, loaded.files)
     return CheckContext(loaded.declarations, loaded.files, broken, findings)
 
 
 def usable_versions(model: Model, step: CascadeStep) -> list[str]:
-    """Return the versions that a step may use and that are in service."""
+    """Return the declared versions that a step allows and may run.
+
+    Withdrawn versions are left out. A step that lists no versions allows
+    every version of the model.
+    """
     names = step.versions or tuple(model.versions)
     return [
         name
@@ -51,9 +56,9 @@
 def report_unknown(
     context: CheckContext, section: str, name: str, place: Place
 ) -> None:
-    """Add a finding for a name that nothing declares."""
+    """Add a finding for a reference to a name that is not declared."""
     if f"{section}.{name}" in context.files:
-        # It is declared but broken, which has its own finding.
+        # The declaration exists but has errors, which are reported already.
         return
     context.findings.error(
         place, f"no {section} declares {name!r}", UNKNOWN_REMEDY
@@ -61,7 +66,7 @@
 
 
 def declaration_place(context: CheckContext, section: str, name: str) -> Place:
-    """Return where a declaration stands."""
+    """Return the file and the key path of a declaration."""
     key_path = f"{section}.{name}"
     return Place(context.files.get(key_path, ""), key_path)
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/check_customers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_customers.py
@@ -1,4 +1,4 @@
-"""Checks of customers and operators: keys, names and allowed versions."""
+"""Check customers and operators: keys, references, allowed versions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def check_customers(context: CheckContext) -> None:
-    """Check the keys, names and allowed versions of every customer."""
+    """Check each customer's keys, profiles, services and versions."""
     for customer in context.declarations.customers.values():
         place = declaration_place(context, "customers", customer.name)
         _check_keys(context, customer.key_hashes, place)
@@ -27,7 +27,11 @@
 
 
 def check_operators(context: CheckContext) -> None:
-    """Check that operators can get in and that one may do everything."""
+    """Check that operators have keys and that an admin is among them.
+
+    The check for an admin is skipped while an operator's declaration has
+    errors, as that operator may be the admin.
+    """
     operators = context.declarations.operators.values()
     for operator in operators:
         place = declaration_place(context, "operators", operator.name)
@@ -43,7 +47,10 @@
 
 
 def check_duplicate_keys(context: CheckContext) -> None:
-    """Report one hash at two owners, who could not be told apart."""
+    """Report a key hash that two owners share.
+
+    A call with that key could not be attributed to one of them.
+    """
     owner_by_hash: dict[str, str] = {}
     declarations = context.declarations
     for section in ("customers", "operators"):
@@ -134,7 +141,8 @@
 ) -> bool:
     model = context.declarations.models.get(step.model)
     if model is None or model.name in allowed:
-        # An unknown model is reported already; a second finding misleads.
+        # `_check_step` reports an unknown model; a second finding here
+        # would blame the customer for it.
         return True
     names = step.versions or tuple(model.versions)
     return any(version_id(model.name, name) in allowed for name in names)
--- a/packages/sycamorestand-model/src/sycamorestand_model/check_routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_routes.py
@@ -1,4 +1,4 @@
-"""Checks of routes: what they lead to, and that no two are the same."""
+"""Check routes: targets, sizes, kinds and duplicate prefixes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def check_routes(context: CheckContext) -> None:
-    """Check the targets, sizes and places of every route."""
+    """Check every route, and that no two share a host and a path prefix."""
     route_by_prefix: dict[tuple[str, str], str] = {}
     for route in context.declarations.routes.values():
         place = declaration_place(context, "routes", route.name)
--- a/packages/sycamorestand-model/src/sycamorestand_model/codec.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/codec.py
@@ -1,9 +1,9 @@
-"""Declarations as a document for JSON and as msgpack for the log.
+"""Encode declarations as a JSON-able document and as msgpack.
 
-The document is the form that TOML files have, so ``load_document`` reads
-it back with findings: ``load_document(to_document(d)).declarations == d``.
-In msgpack every named tuple is an array, which is small and lets a newer
-reader take what an older writer left out at the end.
+The document has the structure of the TOML files, so ``load_document``
+reads it back: ``load_document(to_document(d)).declarations == d``. In
+msgpack every named tuple is an array. That is small, and a newer reader
+fills fields that an older writer did not have at the end with defaults.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from sycamorestand_model.declarations import Declarations
 from sycamorestand_model.errors import WireError
 
-# The key of a declaration's table says these already.
+# Fields that the key of a declaration's table already holds.
 _KEY_FIELDS: Final = {
     "models": ("name",),
     "profiles": ("name",),
@@ -30,7 +30,7 @@
 
 
 def to_document(declarations: Declarations) -> dict[str, Any]:
-    """Return the JSON-able form, by section and name."""
+    """Return the declarations as a JSON-able dict by section and name."""
     return {
         section: {
             name: _to_table(value, _KEY_FIELDS[section])
@@ -41,12 +41,15 @@
 
 
 def to_msgpack(declarations: Declarations) -> bytes:
-    """Return the form that travels in the log and to entries."""
+    """Return the declarations as msgpack, for the log and for entries."""
     return msgspec.msgpack.encode(declarations)
 
 
 def from_msgpack(content: bytes) -> Declarations:
-    """Read what `to_msgpack` wrote; raises `WireError` on anything else."""
+    """Decode what `to_msgpack` encoded.
+
+    Raises `WireError` if the content cannot be decoded.
+    """
     try:
         return msgspec.msgpack.decode(content, type=Declarations)
     except (msgspec.DecodeError, RecursionError) as error:
--- a/packages/sycamorestand-model/src/sycamorestand_model/compression.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/compression.py
@@ -1,10 +1,10 @@
-"""Large content made small for the links between data centres.
+"""Compress large content for the links between data centres.
 
-A configuration of a thousand routes is half a megabyte, most of it the same
-words again and again, and goes to each voter and each entry at each change:
-most of the bytes between data centres where there are hundreds of entries,
-and 0.2 s of a link of 5 Mbit/s. A changed part
-alone would be smaller still, but whoever misses one needs the whole again.
+A configuration of a thousand routes is half a megabyte of mostly repeated
+words. It is sent to each voter and each entry at each change. With
+hundreds of entries this is most of the traffic between data centres, and
+it takes 0.2 s of a link of 5 Mbit/s. Sending only the changed part would
+take less, but a receiver that misses one needs the whole configuration.
 """
 
 from __future__ import annotations
@@ -14,20 +14,21 @@
 
 from sycamorestand_model.errors import WireError
 
-# A byte that no content of msgpack begins with.
+# Marks compressed content. No msgpack content begins with this byte.
 COMPRESSED_MARKER: Final = b"\xc1"
-# Below this a frame's own bytes weigh as much as what is saved.
+# In bytes. For smaller content, the overhead of a frame is as large as the
+# saving.
 MIN_COMPRESS_BYTES: Final = 2048
-# Of the ten levels the fastest: it saves nine tenths of declarations, and
-# the slower ones cost three times as long for a few in a hundred more.
+# zlib's fastest level. It reduces declarations to a tenth of their size;
+# the slower levels take three times as long and save a few per cent more.
 COMPRESSION_LEVEL: Final = 1
-# Eight times the largest declarations: what claims to be more is refused
-# before it fills the memory.
+# Eight times the largest declarations. Content that would decompress to
+# more bytes is refused before it exhausts the memory.
 MAX_DECOMPRESSED_BYTES: Final = 32 * 1024 * 1024
 
 
 def compress_content(content: bytes) -> bytes:
-    """Return content made smaller, or as it is where that is shorter.
+    """Return the content compressed, or unchanged if that is not shorter.
 
     >>> content = b"route " * 1000
     >>> decompress_content(compress_content(content)) == content
@@ -40,7 +41,10 @@
 
 
 def decompress_content(content: bytes) -> bytes:
-    """Return what was packed; raises `WireError` where it cannot be read."""
+    """Return the content that `compress_content` was given.
+
+    Raises `WireError` if it is corrupt, truncated or too large.
+    """
     if not content.startswith(COMPRESSED_MARKER):
         return content
     decompressor = zlib.decompressobj()
@@ -49,9 +53,9 @@
             content[len(COMPRESSED_MARKER) :], MAX_DECOMPRESSED_BYTES
         )
     except zlib.error as error:
-        raise WireError(f"content cannot be unpacked: {error}") from error
+        raise WireError(f"content cannot be decompressed: {error}") from error
     if not decompressor.eof:
-        raise WireError("packed content is cut off or too large")
+        raise WireError("compressed content is truncated or too large")
     return decompressed
 
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/consequences.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/consequences.py
@@ -1,4 +1,4 @@
-"""What a change of declarations does to requests and sessions."""
+"""Notes on the effects of a change on requests and sessions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def consequences(old: Declarations, new: Declarations) -> tuple[str, ...]:
-    """Return notes for the operator who is about to apply ``new``."""
+    """Return notes for an operator on the effects of applying ``new``."""
     return tuple(note for rule in _RULES for note in rule(old, new))
 
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
@@ -1,4 +1,4 @@
-"""What operators declare: models, versions, profiles, customers, services."""
+"""Types of declarations, such as models, profiles, customers, services."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class Version(NamedTuple):
-    """One version of a model and its prices in micro-units of currency.
+    """One version of a model and its prices.
 
-    A version is known everywhere by its identity ``model@name``, see
-    `version_id`.
+    Prices are in micro-units of currency for a million tokens. All
+    processes name a version by its identity ``model@name``, see
+    `version_id`. A version that is ``withdrawn`` gets no new work.
     """
 
     model: str
@@ -30,10 +31,11 @@
 
 
 class Model(NamedTuple):
-    """A model, its versions by name, and the one that new work goes to.
+    """A model, its versions by name, and the version for new work.
 
-    ``fallback`` takes the new work while ``stable`` is quarantined or
-    withdrawn; empty means that such work is turned away.
+    New work goes to ``stable``, or to ``fallback`` while ``stable`` is
+    quarantined or withdrawn. If ``fallback`` is empty, that work is refused.
+    ``pinned_servers`` is the least number of servers that hold the model.
     """
 
     name: str
@@ -44,7 +46,7 @@
 
 
 class CascadeStep(NamedTuple):
-    """One step of a profile: a model and which versions it may use.
+    """One step of a profile: a model and the versions that it may use.
 
     An empty ``versions`` allows every version of the model.
     """
@@ -54,7 +56,11 @@
 
 
 class Objective(NamedTuple):
-    """Weights of what a profile's user wants least of; they need no sum."""
+    """Relative weights of cost, latency and exposure in decisions.
+
+    Exposure is to bad versions during a roll-out. The weights need not add
+    up to 1.
+    """
 
     cost_weight: float = 1.0
     latency_weight: float = 1.0
@@ -62,11 +68,11 @@
 
 
 class Profile(NamedTuple):
-    """A named way to answer requests, from cheaper to stronger models.
+    """A named cascade of models, from cheaper to stronger ones.
 
     ``quality_target`` is the share of answers, 0 to 1, that must pass the
-    rating. ``max_added_latency_ms`` bounds what earlier steps of the
-    cascade may add before the last one starts.
+    rating. ``max_added_latency_ms`` limits the time that earlier steps may
+    take before the last step starts.
     """
 
     name: str
@@ -78,10 +84,11 @@
 
 
 class Customer(NamedTuple):
-    """Who may call, with what, and with which share of the servers.
+    """A caller, its keys, what it may use, and its share of the servers.
 
-    ``key_hashes`` are salted hashes, see `sycamorestand_model.keys`. An
-    entry of ``versions`` is a model name or ``model@version``.
+    ``key_hashes`` are salted hashes, see `sycamorestand_model.keys`. Each
+    item of ``versions`` is a model name or ``model@version``. ``weight`` is
+    the customer's share in fair queueing.
     """
 
     name: str
@@ -94,11 +101,12 @@
 
 
 class Service(NamedTuple):
-    """A plain service: which of its calls may be repeated, and its price.
+    """A plain service, its idempotent methods and the price of a call.
 
-    One with an ``engine`` is a service of model engines that routes lead
-    to. ``max_connections`` is what one of its servers accepts from all
-    callers together; 0 tells nothing.
+    Calls with a method in ``idempotent_methods`` may be repeated. With an
+    ``engine`` it is a service of model engines that routes lead to.
+    ``max_connections`` is how many connections one of its servers accepts
+    from all callers together; 0 means that the limit is unknown.
     """
 
     name: str
@@ -111,12 +119,14 @@
 
 
 class Rollout(NamedTuple):
-    """A declared roll-out: new work moves to ``version`` in these shares.
-
-    ``steps_s`` gives each step its own least time in place of
-    ``min_step_s``. A step that lacks evidence waits for it without end,
-    or, where ``patience_s`` is above 0, that much longer; then it goes on,
-    or the roll-out stops if the version is suspect.
+    """A roll-out that moves a model's new work to ``version`` in steps.
+
+    ``shares`` holds the share of new work for each step. A step lasts at
+    least ``min_step_s``, or its own time in ``steps_s`` if that is given,
+    and needs enough evidence, such as ``min_samples`` requests. A step
+    that lacks evidence waits for it without a limit if ``patience_s`` is
+    0. Otherwise it waits ``patience_s`` longer than its least time; then
+    the next step begins, or the roll-out stops if the version is suspect.
     """
 
     model: str
@@ -128,12 +138,12 @@
     patience_s: float = 0.0
 
     def step_s(self, step: int) -> float:
-        """Return the least time of one step."""
+        """Return the least duration of a step in seconds."""
         return self.steps_s[step] if self.steps_s else self.min_step_s
 
 
 class Operator(NamedTuple):
-    """Who may read or change the configuration."""
+    """A person who may read or, by the role, change the configuration."""
 
     name: str
     key_hashes: tuple[str, ...]
@@ -141,9 +151,10 @@
 
 
 class Declarations(NamedTuple):
-    """Everything that one revision declares, each part by its name.
+    """All declarations of one revision, by section and name.
 
-    ``limits`` and ``document`` have no names; they belong to routes.
+    ``limits`` and ``document`` are not sections of named items; they
+    belong to the routes.
     """
 
     models: dict[str, Model] = {}
@@ -157,7 +168,7 @@
     document: SourceDocument = SourceDocument()
 
 
-# The parts of `Declarations` that hold named items.
+# Fields of `Declarations` that hold named items.
 SECTIONS: Final = (
     "models",
     "profiles",
@@ -175,14 +186,17 @@
 
 
 def find_version(declarations: Declarations, identity: str) -> Version | None:
-    """Return the declared version for ``model@name``, None if unknown."""
+    """Return the declared version of an identity, None if there is none."""
     model_name, _, name = identity.partition(VERSION_SEPARATOR)
     model = declarations.models.get(model_name)
     return None if model is None else model.versions.get(name)
 
 
 def is_version_allowed(customer: Customer, identity: str) -> bool:
-    """Tell whether the customer's list names this version or its model."""
+    """Return whether the customer may use this version.
+
+    The customer's list names either the version or its model.
+    """
     model_name = identity.partition(VERSION_SEPARATOR)[0]
     return identity in customer.versions or model_name in customer.versions
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/entry_reports.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/entry_reports.py
@@ -1,4 +1,4 @@
-"""What entries tell of themselves and of the versions that they used."""
+"""Records that entries report: their addresses, samples and ratings."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class EntryAddress(NamedTuple):
-    """An address that callers may connect to, and what is known of it.
+    """An address where callers connect to an entry, and the entry's state.
 
-    ``peer_address`` is where other processes of the system reach it.
+    ``peer_address`` is where the system's other processes connect to it.
     """
 
     vm: str
@@ -21,10 +21,10 @@
 
 
 class VersionSample(NamedTuple):
-    """What one attempt on a version showed, for roll-outs and cascades.
+    """The result of one attempt on a version, for roll-outs and cascades.
 
-    ``rating`` is 0 to 1, or None where none came. ``request_class`` is
-    the class that the cascade learns by.
+    ``rating`` is 0 to 1, or None if the attempt was not rated.
+    ``request_class`` is the class for which the cascade keeps statistics.
     """
 
     version: str
@@ -38,10 +38,11 @@
 
 
 class RatingCount(NamedTuple):
-    """Ratings of one subject and class, counted since the last message.
+    """The ratings of a version and a class since the last message.
 
-    ``escalated`` counts answers to requests that an earlier step failed;
-    those are harder, so a version's rate is learned apart for them.
+    If ``escalated`` is true, the counts are of requests that an earlier
+    step of the cascade failed. These are harder, so a version's pass rate
+    is estimated separately for them.
     """
 
     version: str
--- a/packages/sycamorestand-model/src/sycamorestand_model/errors.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/errors.py
@@ -1,26 +1,29 @@
-"""Root of the exception tree; every error carries the user's message."""
+"""Base exceptions; each message is written for its reader."""
 
 from __future__ import annotations
 
 
 class SycamorestandError(Exception):
-    """Base of every error that the system raises on purpose.
+    """Base of all errors that the system raises itself.
 
-    The message is written for the person who reads it: an operator for
-    settings and declarations, a caller for requests.
+    The message is for the person who reads it: an operator for settings
+    and declarations, a caller for requests.
     """
 
 
 class DeclarationError(SycamorestandError):
-    """Declarations cannot be used; the message lists every finding."""
+    """Declarations have errors; the message lists every finding."""
 
 
 class WireError(SycamorestandError):
-    """Bytes from another process could not be read as a known message."""
+    """Bytes from another process cannot be decoded as a known message."""
 
 
 class LedgerUnavailable(SycamorestandError):
-    """The ledger gave no answer in time; the records may be durable."""
+    """The ledger did not answer in time.
+
+    It may have stored the records nevertheless.
+    """
 
 
 __all__ = [
--- a/packages/sycamorestand-model/src/sycamorestand_model/findings.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what a check has to say, each with its place and a remedy."""
+"""Findings of readers and checks, each with its place and a remedy."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 
 class Finding(NamedTuple):
-    """One fault, where it is and what to do about it.
+    """One error or warning, its place and its remedy.
 
-    ``file`` is relative to the declarations folder and empty where the
+    ``file`` is relative to the declarations folder, and empty if the
     declarations came as one document. ``key_path`` is dotted, for example
-    ``customers.acme.profiles[0]``. Messages never repeat a key.
+    ``customers.acme.profiles[0]``. A message never contains the key of a
+    customer or operator, as findings are printed and sent to operators.
     """
 
     severity: Severity
@@ -32,7 +33,7 @@
 
 
 class Place(NamedTuple):
-    """Where a value stands: its file and the path of keys to it."""
+    """The file and the dotted key path of a value."""
 
     file: str = ""
     key_path: str = ""
@@ -41,18 +42,19 @@
 class Findings:
     """Collects findings, so that one run reports all of them.
 
-    After `MAX_FINDINGS` it keeps one more that says so and drops the rest.
+    It keeps the first `MAX_FINDINGS`, adds one error that says that there
+    are more, and drops the rest.
     """
 
     def __init__(self) -> None:
         self._findings: list[Finding] = []
 
     def error(self, place: Place, message: str, remedy: str = "") -> None:
-        """Add a fault that keeps the declarations from being applied."""
+        """Add an error; declarations with an error cannot be applied."""
         self._add(Finding(ERROR, *place, message, remedy))
 
     def warning(self, place: Place, message: str, remedy: str = "") -> None:
-        """Add a doubt that does not stop the operator."""
+        """Add a warning; declarations with warnings can be applied."""
         self._add(Finding(WARNING, *place, message, remedy))
 
     def extend(self, findings: Iterable[Finding]) -> None:
@@ -61,7 +63,7 @@
             self._add(finding)
 
     def all(self) -> tuple[Finding, ...]:
-        """Return the findings in the order in which they were found."""
+        """Return the findings in the order in which they were added."""
         return tuple(self._findings)
 
     def _add(self, finding: Finding) -> None:
@@ -80,23 +82,26 @@
 
 
 def key_place(place: Place, key: str) -> Place:
-    """Return the place of a key of the table that stands at ``place``."""
+    """Return the place of ``key`` in the table at ``place``.
+
+    The key path is cut at `MAX_KEY_PATH_CHARACTERS`.
+    """
     path = f"{place.key_path}.{key}" if place.key_path else key
     return place._replace(key_path=path[:MAX_KEY_PATH_CHARACTERS])
 
 
 def item_place(place: Place, index: int) -> Place:
-    """Return the place of an item of the list that stands at ``place``."""
+    """Return the place of item ``index`` of the list at ``place``."""
     return place._replace(key_path=f"{place.key_path}[{index}]")
 
 
 def has_errors(findings: Iterable[Finding]) -> bool:
-    """Tell whether the declarations may not be applied as they are."""
+    """Return whether an error is among the findings."""
     return any(finding.severity == ERROR for finding in findings)
 
 
 def finding_line(finding: Finding) -> str:
-    """Return one finding as a line of text for people."""
+    """Return a finding as one line: severity, place, message and remedy."""
     place = ": ".join(part for part in finding[1:3] if part)
     head = f"{finding.severity}: {place}" if place else finding.severity
     line = f"{head}: {finding.message}"
--- a/packages/sycamorestand-model/src/sycamorestand_model/in_force.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/in_force.py
@@ -1,4 +1,4 @@
-"""The configuration that entries act on: declarations plus decisions."""
+"""The configuration in force: declarations plus the leader's decisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RolloutShare(NamedTuple):
-    """How much of a model's new work goes to the version rolled out."""
+    """The share of a model's new work that a version in roll-out gets."""
 
     version: str
     share: float
@@ -17,13 +17,14 @@
 
 
 class InForce(NamedTuple):
-    """One revision as entries apply it; a lower revision is ignored.
-
-    ``withdrawn`` and ``quarantined`` hold version identities and
-    ``shares`` is by model. ``session_key`` signs session tokens;
-    those that ``previous_session_key`` signed stay valid, as a session
-    outlives a rotation.
-    ``ledger_shards`` is fixed by the first start of the cluster.
+    """One revision of the configuration, as entries apply it.
+
+    An entry ignores a revision that is lower than the one it has.
+    ``withdrawn`` and ``quarantined`` hold version identities, and
+    ``shares`` is by model. ``session_key`` signs session tokens. Tokens
+    that ``previous_session_key`` signed stay valid, so that sessions
+    survive a rotation of the key. ``ledger_shards`` is set by the first
+    start of the cluster and never changes.
     """
 
     revision: int = 0
--- a/packages/sycamorestand-model/src/sycamorestand_model/keys.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/keys.py
@@ -1,4 +1,4 @@
-"""Salted hashes of customers' and operators' keys, never the keys."""
+"""Salted hashes of the keys of customers and operators."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 def hash_key(key: str, salt: bytes | None = None) -> str:
-    """Return the form of a key that declarations carry.
+    """Return the salted hash of a key, as declarations contain it.
 
-    Keys are random tokens made by the system, not passwords, so one keyed
-    hash is enough and costs an entry a microsecond a request.
+    Keys are random tokens that the system generates, not passwords, so a
+    single fast hash is sufficient. It costs an entry a microsecond a
+    request. Without a ``salt``, a random one is used.
 
     Example: ``hash_key("guild-1", b"12345678")`` starts with ``b2$``.
     """
@@ -26,7 +27,11 @@
 
 
 def key_matches(key: str, stored_hash: str) -> bool:
-    """Compare a presented key with a stored hash in constant time."""
+    """Return whether a key has the given hash.
+
+    The digests are compared in constant time. A malformed hash matches no
+    key.
+    """
     scheme, _, rest = stored_hash.partition("$")
     salt_text, _, digest_text = rest.partition("$")
     if scheme != HASH_SCHEME:
--- a/packages/sycamorestand-model/src/sycamorestand_model/ledger.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/ledger.py
@@ -1,19 +1,19 @@
-"""Records that entries ask the ledger to make durable, and its answers."""
+"""Records that entries store in the ledger, and the ledger's results."""
 
 from __future__ import annotations
 
 from typing import Final
 from typing import NamedTuple
 
-# The content type that stands for an answer too large to be kept.
+# Stored as the content type of an answer that is too large to be stored.
 NOT_KEPT_CONTENT_TYPE: Final = "application/x-sycamorestand-not-kept"
 
 
 class Claim(NamedTuple):
-    """Get or create the claim of a non-idempotent request.
+    """Get, create or take over the claim of a non-idempotent request.
 
-    ``fingerprint`` is a hash of the request's content, so that the same
-    key with other content is told apart. ``owner`` names the attempt.
+    ``fingerprint`` is a hash of the request's content: a key that comes
+    with other content is a conflict. ``owner`` names the attempt.
     """
 
     customer: str
@@ -24,7 +24,7 @@
 
 
 class Dispatch(NamedTuple):
-    """State that the claim's request is about to reach a backend server."""
+    """Record that the owner is about to send the request to a server."""
 
     customer: str
     request_key: str
@@ -35,8 +35,9 @@
 class Outcome(NamedTuple):
     """Record how a claimed request ended.
 
-    ``state`` is ``done``, ``not_run`` (another attempt may claim) or
-    ``unknown``. ``answer`` is empty where it was larger than the bound.
+    ``state`` is ``done``, ``unknown``, or ``not_run``, after which another
+    attempt may claim the request. ``answer`` is empty if the answer
+    exceeded the size limit.
     """
 
     customer: str
@@ -49,7 +50,7 @@
 
 
 class Charge(NamedTuple):
-    """Charge a request once; a second charge for the key is a no-op."""
+    """Charge a request once; a second charge of its key changes nothing."""
 
     customer: str
     request_key: str
@@ -61,7 +62,7 @@
 
 
 class Pin(NamedTuple):
-    """Get or create the version that a named session keeps."""
+    """Get or create the pin of a named session to a version."""
 
     customer: str
     session: str
@@ -73,13 +74,13 @@
 
 
 class LedgerResult(NamedTuple):
-    """The ledger's answer to one record, in the order of the batch.
+    """The ledger's result for one record of a batch.
 
-    ``state`` is ``created``, ``exists``, ``ok``, ``conflict``,
-    ``expired``, or ``full`` where the shard takes nothing new. For a claim
-    that exists, ``claim_state`` is ``claimed``, ``dispatched``, ``done``
-    or ``unknown`` and the recorded answer is filled in. For a pin,
-    ``version`` is the one to keep.
+    Results come in the order of the records. ``state`` is ``created``,
+    ``exists``, ``ok``, ``conflict``, ``expired``, or ``full`` if the shard
+    has no room for a new key. For a claim that exists, ``claim_state`` is
+    ``claimed``, ``dispatched``, ``done`` or ``unknown``, and the recorded
+    answer is included. For a pin, ``version`` is the pinned version.
     """
 
     state: str
--- a/packages/sycamorestand-model/src/sycamorestand_model/limits.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/limits.py
@@ -1,8 +1,8 @@
-"""Bounds on declarations, so that one bad folder cannot fill a voter.
+"""Limits on declarations, so that a faulty folder cannot overload voters.
 
-Every declaration travels to every entry and lies in every snapshot, and
-the check of a large folder takes a control process's time. The users of
-today declare about twenty things.
+Every declaration is sent to every entry and stored in every snapshot, and
+the check of a large folder occupies a control process. Users declare about
+twenty items.
 """
 
 from __future__ import annotations
@@ -24,11 +24,13 @@
 MAX_DEADLINE_MS: Final = 3_600_000
 MAX_STEP_S: Final = 604_800.0
 MAX_SAMPLES: Final = 10_000_000
-# 1,000 currency units a million tokens; a higher price is a slip of units.
+# Equals 1,000 currency units for a million tokens. A higher price is a
+# mistake in the unit.
 MAX_PRICE_MICROS: Final = 1_000_000_000
 MAX_PINNED_SERVERS: Final = 1_000
 MAX_CONNECTIONS: Final = 1_000_000
-# A finding for each line of a large wrong file would hide the first ones.
+# Without a limit, a large faulty file would produce a finding for each line
+# and hide the first ones.
 MAX_FINDINGS: Final = 500
 
 MAX_DECLARATIONS: Final[dict[str, int]] = {
--- a/packages/sycamorestand-model/src/sycamorestand_model/load.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/load.py
@@ -1,16 +1,16 @@
-"""Declarations from a folder of TOML files or from one document.
+"""Load declarations from a folder of TOML files or from one document.
 
-A folder holds ``*.toml`` files at its top or one folder below. Each file
-holds tables ``[models.NAME]``, ``[profiles.NAME]`` and so on; the folder
-that it lies in is for people, but where that bears a section's name the
-file may hold only that section. For example ``customers/acme.toml``::
+The ``*.toml`` files are at the top of the folder or one folder below. Each
+file holds tables ``[models.NAME]``, ``[profiles.NAME]`` and so on. A
+folder below the top may have any name, but if it has the name of a section
+its files may hold only that section. For example, ``customers/acme.toml``::
 
     [customers.acme]
     key_hashes = ["b2$..."]
     profiles = ["quote-helper"]
     versions = ["nest-small"]
 
-The same tables as one JSON object are a document.
+A document holds the same tables as one JSON object.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 from sycamorestand_model.schemas import SECTIONS
 
 SUFFIX: Final = ".toml"
-# Other files that may lie beside the declarations without a finding.
+# Files with these suffixes are skipped without a finding.
 COMPANION_SUFFIXES: Final = (".md", ".txt")
 
 
 class LoadResult(NamedTuple):
-    """What could be read, and every finding of the reading.
+    """The declarations that were loaded, and the findings of the readers.
 
-    ``files`` gives the file of each declaration by ``section.name``, also
-    of those that are broken and therefore not in ``declarations``.
+    ``files`` maps ``section.name`` to the file of each declaration, also of
+    those that have errors and are therefore not in ``declarations``.
     """
 
     declarations: Declarations
@@ -59,7 +59,7 @@
 
 
 def load_folder(folder: Path) -> LoadResult:
-    """Read every declaration under a folder."""
+    """Load all declarations from the TOML files of a folder."""
     findings = Findings()
     raw: list[_RawDeclaration] = []
     for path in _find_files(folder, findings):
@@ -70,7 +70,7 @@
 
 
 def load_document(document: object) -> LoadResult:
-    """Read declarations from one JSON-able object."""
+    """Load declarations from one JSON-able object."""
     findings = Findings()
     return _assemble(_raw_declarations(document, "", findings), findings)
 
@@ -99,10 +99,11 @@
 
 
 def _walk(root: Path, folder: Path, findings: Findings) -> Iterator[Path]:
-    """Yield what lies under a folder, one level below the depth allowed.
+    """Yield the files under a folder, down to one level too deep.
 
-    What cannot be read is an error: passed over in silence, an apply
-    would remove everything that is declared there.
+    Files on that level are yielded so that they are reported. A folder
+    that cannot be read is an error: if it were skipped, the next apply
+    would remove all declarations in it.
     """
     place = Place(folder.relative_to(root).as_posix())
     try:
--- a/packages/sycamorestand-model/src/sycamorestand_model/plan.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/plan.py
@@ -1,8 +1,8 @@
-"""The difference between two declarations, as typed lines with notes.
+"""Compute the differences between two sets of declarations.
 
-``plan(in_force, wanted)`` says what would be added, removed and changed,
-and what follows from it for customers and sessions. Key hashes are shown
-as counts only, so a plan can be kept in the audit trail.
+``plan(in_force, wanted)`` lists additions, removals and changes, with
+notes on their effects on customers and sessions. Key hashes appear as
+counts only, so that a plan can be stored in the audit trail.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class PlanLine(NamedTuple):
-    """One difference; ``before`` and ``after`` are texts for people."""
+    """One difference; ``before`` and ``after`` are values as text."""
 
     action: Literal["added", "removed", "changed"]
     key_path: str
@@ -30,20 +30,20 @@
 
 
 class Plan(NamedTuple):
-    """All differences, and the notes on their consequences."""
+    """All differences, with notes on their effects."""
 
     lines: tuple[PlanLine, ...]
     notes: tuple[str, ...]
 
 
 def plan(old: Declarations, new: Declarations) -> Plan:
-    """Return what changes from one revision's declarations to another's."""
+    """Return the differences between ``old`` and ``new`` declarations."""
     lines = _differences("", to_document(old), to_document(new))
     return Plan(tuple(lines), consequences(old, new))
 
 
 def plan_line_text(line: PlanLine) -> str:
-    """Return one difference as a line, for example in the audit trail."""
+    """Return a difference as a line of text, such as for the audit trail."""
     if line.action == "changed":
         return f"changed {line.key_path}: {line.before} -> {line.after}"
     return f"{line.action} {line.key_path}"
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -1,10 +1,10 @@
-"""Readers that turn raw TOML or JSON values into typed ones.
+"""Readers that validate raw TOML or JSON values and return typed ones.
 
 A reader is a closure that takes a raw value, its place and the collector
-of findings. It returns None after a finding and never raises, so that one
-run over a folder reports every fault. For example
-``whole(0, 5)(7, Place("a.toml", "x"), findings)`` adds "must lie between
-0 and 5" and returns None.
+of findings. For an invalid value it adds a finding and returns None. It
+never raises, so that one run over a folder reports all faults. For example,
+``integer(0, 5)(7, Place("a.toml", "x"), findings)`` adds a finding with the
+remedy "must lie between 0 and 5" and returns None.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class Field(NamedTuple):
-    """How one field of a table is read and whether it may be left out."""
+    """The reader of one field of a table, and whether it is required."""
 
     reader: Reader
     required: bool = False
 
 
 def name(max_characters: int) -> Reader:
-    """Read a name: lower case letters, digits, dots and hyphens."""
+    """Return a reader of names, see `check_name`."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
@@ -49,7 +49,7 @@
 
 
 def text(max_characters: int) -> Reader:
-    """Read a text of a bounded length."""
+    """Return a reader of strings up to a length."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
@@ -66,7 +66,7 @@
 
 
 def optional(reader: Reader) -> Reader:
-    """Read an empty text as nothing, anything else as ``reader`` does."""
+    """Return a reader that accepts an empty string besides other values."""
 
     def read(raw: object, place: Place, findings: Findings) -> Any:
         return "" if raw == "" else reader(raw, place, findings)
@@ -77,7 +77,11 @@
 def check_name(
     text: str, max_characters: int, place: Place, findings: Findings
 ) -> bool:
-    """Add a finding and return False where a name cannot be used."""
+    """Return whether a name is valid; add a finding if it is not.
+
+    A valid name consists of lower case letters, digits, dots, underscores
+    and hyphens, and begins with a letter or a digit.
+    """
     if len(text) > max_characters:
         findings.error(
             place,
@@ -96,7 +100,7 @@
 
 
 def integer(low: int, high: int) -> Reader:
-    """Read a whole number within bounds."""
+    """Return a reader of integers from ``low`` to ``high``."""
 
     def read(raw: object, place: Place, findings: Findings) -> int | None:
         if isinstance(raw, bool) or not isinstance(raw, int):
@@ -111,7 +115,7 @@
 
 
 def number(low: float, high: float) -> Reader:
-    """Read a finite number within bounds."""
+    """Return a reader of finite numbers from ``low`` to ``high``."""
 
     def read(raw: object, place: Place, findings: Findings) -> float | None:
         if isinstance(raw, bool) or not isinstance(raw, int | float):
@@ -129,7 +133,7 @@
 
 
 def flag(raw: object, place: Place, findings: Findings) -> bool | None:
-    """Read true or false."""
+    """Read a Boolean."""
     if not isinstance(raw, bool):
         _report_wrong_type(raw, "true or false", place, findings)
         return None
@@ -137,7 +141,7 @@
 
 
 def choice(*allowed: str) -> Reader:
-    """Read one of a few words."""
+    """Return a reader of strings that accepts only ``allowed`` ones."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
@@ -154,7 +158,10 @@
 
 
 def key_hash(raw: object, place: Place, findings: Findings) -> str | None:
-    """Read a salted hash; the value itself is never repeated."""
+    """Read a salted hash of a key.
+
+    The finding does not contain the value, which may be a plain-text key.
+    """
     if isinstance(raw, str) and KEY_HASH_PATTERN.fullmatch(raw):
         return raw
     findings.error(
@@ -169,7 +176,10 @@
 def array(
     reader: Reader, max_items: int, min_items: int = 0, unique: bool = True
 ) -> Reader:
-    """Read a list; broken items are reported and left out."""
+    """Return a reader of lists; invalid items are reported and left out.
+
+    With ``unique``, an item that occurs twice is an error too.
+    """
 
     def read(
         raw: object, place: Place, findings: Findings
@@ -197,9 +207,10 @@
 
 
 def record(factory: Callable[..., Any], fields: dict[str, Field]) -> Reader:
-    """Read a table into a typed tuple; unknown fields are findings.
+    """Return a reader of tables, which passes the fields to ``factory``.
 
-    Fields that a table leaves out keep the default of the tuple.
+    Unknown fields and missing required ones are errors. An optional field
+    that is missing is not passed, so that ``factory`` uses its default.
     """
 
     def read(raw: object, place: Place, findings: Findings) -> Any:
--- a/packages/sycamorestand-model/src/sycamorestand_model/route_schemas.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/route_schemas.py
@@ -1,4 +1,4 @@
-"""The fields of routes and of engines behind them, and their bounds."""
+"""Schemas: the fields of routes and engines and their limits."""
 
 from __future__ import annotations
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/route_table.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request: its host, then the longest prefix."""
+"""Look up the route of a request by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class RouteTable:
-    """Routes by host and prefix; made once for each revision.
+    """An index of routes by host and path prefix, built once a revision.
 
-    A look-up costs one step for each segment of the path, however many
-    routes there are: with 4,000 routes a walk over them all would cost
-    more than the rest of a request.
+    The cost of a look-up grows with the number of segments in the path,
+    not with the number of routes. With 4,000 routes, a scan of all routes
+    would cost more than the rest of a request.
     """
 
     def __init__(self, routes: Mapping[str, Route]) -> None:
@@ -25,10 +25,10 @@
             prefixes[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route, None where none fits.
+        """Return the route with the longest matching prefix, or None.
 
-        ``host`` may carry a port; ``path`` is as it was sent, without its
-        query.
+        ``host`` may include a port. ``path`` is the path as it was sent,
+        without the query.
         """
         prefixes = self._hosts.get(host.partition(":")[0].lower())
         if prefixes is None:
--- a/packages/sycamorestand-model/src/sycamorestand_model/routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/routes.py
@@ -1,9 +1,9 @@
-"""What operators declare of routes: which requests go to which service.
+"""Types of declared routes and of the engines that they lead to.
 
-A route names requests by the host and the beginning of their path, in place
-of a profile's name, for callers that speak plain HTTP to a service. It
-says what may be repeated, how long a caller may be kept waiting, and over
-which models of an engine a request may climb.
+A route maps requests to services by their host and the prefix of their
+path. It serves callers that send plain HTTP to a service and name no
+profile. It declares which calls may be repeated, how long a caller may
+wait, and to which models of an engine a request may escalate.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 
 class RouteTarget(NamedTuple):
-    """A service and its share of the route's requests, by weight."""
+    """A service that a route leads to, and its weight among the targets."""
 
     service: str
     weight: int = 1
 
 
 class Route(NamedTuple):
-    """Requests of one host under one path prefix.
-
-    ``kind`` says what may be repeated: an ``idempotent`` call may run
-    again, a ``once`` call and a ``stream`` that is not ``resumable`` run
-    at most once for each attempt of the caller. ``max_attempts`` bounds
-    the servers that one attempt of a caller is sent to. Rank 0 of
-    ``priority`` is the most urgent. ``sizes`` are models of the service's
-    engines, the smallest first; a request may climb from one to the next.
-    A caller leaves a stream that is silent for ``silence_limit_ms``, also
-    before its first event; 0 is for callers that wait until their time is
-    over.
+    """The treatment of requests to one host under one path prefix.
+
+    An ``idempotent`` call may be repeated. A ``once`` call, and a
+    ``stream`` that is not ``resumable``, run at most once for each attempt
+    of the caller. ``max_attempts`` limits how many servers one attempt of
+    the caller is sent to. ``priority`` 0 is the most urgent. ``sizes``
+    names models of the service's engines from the smallest to the
+    largest; a request may escalate from each to the next. Callers
+    disconnect from a stream that sends nothing for ``silence_limit_ms``,
+    also before its first event; 0 means that they wait until their
+    timeout.
     """
 
     name: str
@@ -53,18 +53,18 @@
 
 
 class ModelSize(NamedTuple):
-    """A model that an engine holds, and its cost per 1,000 tokens made."""
+    """A model that an engine holds, and its cost per 1,000 output tokens."""
 
     name: str
     cost: float
 
 
 class EngineTraits(NamedTuple):
-    """What the engines of a service can do, and their limits.
+    """The capabilities and limits of the engines of a service.
 
-    ``kv_tokens`` is the memory for prompts in tokens of
-    ``kv_token_bytes``; ``event_tokens`` is how many tokens one event of a
-    stream holds.
+    ``kv_tokens`` is the size of the KV cache in tokens, and
+    ``kv_token_bytes`` the size of one token in it. ``event_tokens`` is how
+    many tokens one event of a stream holds.
     """
 
     slots: int
@@ -82,7 +82,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's request and on its idle time."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -91,10 +91,11 @@
 
 
 class SourceDocument(NamedTuple):
-    """The document that declarations were made from, and its number.
+    """The document from which declarations were read, and its number.
 
-    Where operators number their documents the highest one is in force;
-    it is kept as it was sent, so that it can be read back unchanged.
+    If operators number their documents, the one with the highest number is
+    in force. Its bytes are stored as they were sent, so that operators
+    read back the same document.
     """
 
     number: int = 0
--- a/packages/sycamorestand-model/src/sycamorestand_model/schemas.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/schemas.py
@@ -1,4 +1,4 @@
-"""The fields of each kind of declaration, their types and their bounds."""
+"""Schemas: the fields of each kind of declaration and their limits."""
 
 from __future__ import annotations
 
@@ -54,17 +54,19 @@
 PATTERN_CHARACTERS: Final = "*?[]^$|"
 HTTP_METHODS: Final = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST")
 
-# Reads one declaration from the key of its table and the raw table.
+# A reader of one declaration. Its arguments are the key of the table, the
+# raw table, the place and the collector of findings.
 DeclarationReader = Callable[[str, object, Place, Findings], Any]
 
 
 def _read_allowed_version(
     raw: object, place: Place, findings: Findings
 ) -> str | None:
-    """Read ``model`` or ``model@version``; patterns are not authorised.
+    """Read ``model`` or ``model@version``; a pattern is an error.
 
-    A pattern would allow versions that do not exist yet, so a new and
-    dear version would reach a customer whom nobody has asked.
+    A pattern would also allow versions that do not exist yet, so a
+    customer would get a new, expensive version without having agreed to
+    it.
     """
     if isinstance(raw, str) and any(c in raw for c in PATTERN_CHARACTERS):
         findings.error(
@@ -199,7 +201,7 @@
             array(_read_allowed_version, MAX_LIST_ITEMS), required=True
         ),
         "services": Field(_NAMES),
-        # Fair queueing divides by the weight, so it cannot be zero.
+        # Fair queueing divides by the weight, so it must not be 0.
         "weight": Field(number(0.001, MAX_WEIGHT)),
         "priority": Field(integer(0, 9)),
     },
@@ -247,7 +249,8 @@
     },
 )
 
-# The key of a roll-out's table is its model: one roll-out a model.
+# The readers by section. The key of a roll-out's table is its model, so a
+# model has at most one roll-out.
 SECTIONS: Final[dict[str, DeclarationReader]] = {
     "models": _MODEL,
     "profiles": _PROFILE,
