--- a/packages/sycamorestand-model/tests/test_check.py
+++ b/packages/sycamorestand-model/tests/test_check.py
@@ -80,7 +80,7 @@
 timeout_ms = 15_000
 sizes = ["small", "large"]
 """
-SOUND = {
+VALID_FILES = {
     "routes-and-engines.toml": ROUTES,
     "models/all.toml": MODELS,
     "profiles/help.toml": PROFILES,
@@ -90,8 +90,9 @@
     "operators/ann.toml": OPERATORS,
 }
 
-# What replaces which file, and what every finding has to contain.
-BAD = {
+# For each case, the files that differ from the valid ones, and a part of
+# each finding that is expected, and no others.
+INVALID_CASES = {
     "unknown field": (
         {"services.toml": "[services.portal]\ncall_micro = 5"},
         ["error: services.toml: services.portal.call_micro: unknown field"],
@@ -134,7 +135,7 @@
             "services.../x: name holds a character",
         ],
     ),
-    "doubled name": (
+    "duplicate name": (
         {"services/portal.toml": SERVICES},
         ["services.portal: is declared in services/portal.toml too"],
     ),
@@ -161,7 +162,7 @@
             "rollouts.none: no models declares 'none'",
         ],
     ),
-    "customer without a step": (
+    "customer without an allowed step": (
         {"customers/acme.toml": CUSTOMERS.replace('"cheap", "strong@1"', "")},
         ["customers.acme.profiles[0]: acme may use no step of profile help"],
     ),
@@ -270,7 +271,7 @@
             "profiles.help.steps[1]: every version that the step may use",
         ],
     ),
-    "doubled key": (
+    "duplicate key": (
         {"operators/ann.toml": OPERATORS.replace(OTHER_HASH, HASH)},
         ["operators.ann.key_hashes[0]: customers.acme has the same key"],
     ),
@@ -278,7 +279,7 @@
         {"operators/ann.toml": OPERATORS.replace('"admin"', '"viewer"')},
         ["warning: operators: no operator with a key has the role admin"],
     ),
-    "a missing field names nothing else": (
+    "missing field gives no second finding": (
         {"profiles/help.toml": "[profiles.help]\nquality_target = 0.9"},
         ["profiles.help.steps: missing; add this field"],
     ),
@@ -290,7 +291,7 @@
         {"services.toml": "[services.portal]\ncall_micros = "},
         ["error: services.toml: is not TOML", "no services declares 'portal'"],
     ),
-    "not text": (
+    "not UTF-8 text": (
         {"extra.toml": b"\xff\xfe"},
         ["error: extra.toml: is not UTF-8 text"],
     ),
@@ -316,18 +317,18 @@
 
 
 class TestCheck:
-    def test_a_sound_folder_has_no_findings(self, tmp_path: Path) -> None:
-        write_folder(tmp_path, {**SOUND})
+    def test_valid_folder_has_no_findings(self, tmp_path: Path) -> None:
+        write_folder(tmp_path, {**VALID_FILES})
         loaded = load_folder(tmp_path)
         assert check(loaded) == ()
         assert check_declarations(loaded.declarations) == ()
 
-    @pytest.mark.parametrize("case", BAD)
-    def test_bad_input_gives_exactly_its_findings(
+    @pytest.mark.parametrize("case", INVALID_CASES)
+    def test_invalid_input_gives_exactly_the_expected_findings(
         self, tmp_path: Path, case: str
     ) -> None:
-        replaced, expected = BAD[case]
-        write_folder(tmp_path, {**SOUND, **replaced})
+        changed_files, expected = INVALID_CASES[case]
+        write_folder(tmp_path, {**VALID_FILES, **changed_files})
         lines = [finding_line(f) for f in check(load_folder(tmp_path))]
         missing = [
             text for text in expected if not any(text in one for one in lines)
@@ -335,45 +336,48 @@
         assert missing == []
         assert len(lines) == len(expected)
 
-    def test_all_faults_are_reported_together(self, tmp_path: Path) -> None:
-        write_folder(tmp_path, {**SOUND})
+    def test_one_run_reports_all_faults(self, tmp_path: Path) -> None:
+        write_folder(tmp_path, {**VALID_FILES})
         for case in ("wrong types", "plain key", "shares", "no admin"):
-            write_folder(tmp_path, {**BAD[case][0]})
+            write_folder(tmp_path, {**INVALID_CASES[case][0]})
         lines = [finding_line(f) for f in check(load_folder(tmp_path))]
         for case in ("wrong types", "plain key", "shares", "no admin"):
-            for text in BAD[case][1]:
+            for text in INVALID_CASES[case][1]:
                 assert any(text in line for line in lines), text
 
-    def test_a_plain_key_is_never_repeated(self, tmp_path: Path) -> None:
-        write_folder(tmp_path, {**SOUND, **BAD["plain key"][0]})
-        assert "hunter2" not in repr(check(load_folder(tmp_path)))
-
-    def test_no_folder_and_an_empty_one_are_errors(
+    def test_findings_do_not_contain_plain_text_key(
         self, tmp_path: Path
     ) -> None:
+        write_folder(
+            tmp_path, {**VALID_FILES, **INVALID_CASES["plain key"][0]}
+        )
+        assert "hunter2" not in repr(check(load_folder(tmp_path)))
+
+    def test_missing_or_empty_folder_is_an_error(self, tmp_path: Path) -> None:
         assert has_errors(check(load_folder(tmp_path)))
         assert has_errors(check(load_folder(tmp_path / "none")))
 
-    def test_what_cannot_be_read_is_no_silence(self, tmp_path: Path) -> None:
-        """A link to a customer's file is broken, a folder links to its own.
+    def test_unreadable_files_are_reported(self, tmp_path: Path) -> None:
+        """A broken link to a file and a link from a folder to its parent.
 
-        Passed over in silence, the next apply would remove the customer.
+        If unreadable files were skipped without a finding, the next apply
+        would remove the customers that they declare.
         """
-        write_folder(tmp_path, {**SOUND})
+        write_folder(tmp_path, {**VALID_FILES})
         (tmp_path / "customers" / "gone.toml").symlink_to("nowhere")
         (tmp_path / "loop").symlink_to(tmp_path, target_is_directory=True)
         lines = [finding_line(f) for f in check(load_folder(tmp_path))]
         assert any("customers/gone.toml: is no file" in one for one in lines)
         assert any("loop/models/all.toml: lies too deep" in o for o in lines)
 
-    def test_findings_are_bounded(self) -> None:
+    def test_number_of_findings_is_limited(self) -> None:
         services = {f"s{n}": 1 for n in range(MAX_FINDINGS + 50)}
         findings = check(load_document({"services": services}))
         assert len(findings) == MAX_FINDINGS + 1
         assert "more than" in findings[-1].message
 
     @pytest.mark.parametrize("document", [None, [], "x", {"models": []}])
-    def test_a_document_of_another_shape_is_a_finding(
+    def test_document_of_wrong_type_is_an_error(
         self, document: object
     ) -> None:
         assert has_errors(check(load_document(document)))
--- a/packages/sycamorestand-model/tests/test_compression.py
+++ b/packages/sycamorestand-model/tests/test_compression.py
@@ -19,23 +19,23 @@
 )
 
 
-class TestPack:
-    def test_a_configuration_becomes_a_tenth(self) -> None:
+class TestCompressContent:
+    def test_configuration_shrinks_to_a_tenth(self) -> None:
         assert len(compress_content(ROUTES)) < len(ROUTES) / 10
         assert decompress_content(compress_content(ROUTES)) == ROUTES
 
     @given(strategies.binary(max_size=5000))
-    def test_content_comes_back_as_it_was(self, content: bytes) -> None:
+    def test_round_trip_returns_the_same_content(self, content: bytes) -> None:
         if not content.startswith(COMPRESSED_MARKER):
             assert decompress_content(compress_content(content)) == content
 
-    def test_small_and_random_content_stays(self) -> None:
+    def test_small_and_random_content_is_unchanged(self) -> None:
         noise = b"." + os.urandom(5000)
         assert compress_content(b"small") == b"small"
         assert compress_content(noise) == noise
 
 
-class TestUnpack:
+class TestDecompressContent:
     @pytest.mark.parametrize(
         "content",
         [
@@ -44,14 +44,17 @@
             compress_content(ROUTES)[:-5],
         ],
     )
-    def test_what_is_spoilt_is_refused(self, content: bytes) -> None:
+    def test_corrupt_or_truncated_content_is_refused(
+        self, content: bytes
+    ) -> None:
         with pytest.raises(WireError):
             decompress_content(content)
 
-    def test_what_would_fill_the_memory_is_refused(
+    def test_content_that_expands_beyond_the_limit_is_refused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A few bytes claim to be gigabytes; nothing is made of them.
+        # A short message that expands to gigabytes must not be expanded in
+        # full.
         monkeypatch.setattr(compression, "MAX_DECOMPRESSED_BYTES", 1000)
         with pytest.raises(WireError, match="too large"):
             decompress_content(COMPRESSED_MARKER + zlib.compress(bytes(1001)))
--- a/packages/sycamorestand-model/tests/test_examples.py
+++ b/packages/sycamorestand-model/tests/test_examples.py
@@ -15,10 +15,10 @@
 
 @pytest.mark.parametrize("name", ["guild", "authority"])
 class TestExamples:
-    def test_nothing_is_found(self, name: str) -> None:
+    def test_example_has_no_findings(self, name: str) -> None:
         assert check(load_folder(EXAMPLES / name)) == ()
 
-    def test_every_demo_key_of_the_readme_fits(self, name: str) -> None:
+    def test_demo_keys_of_readme_match_hashes(self, name: str) -> None:
         declarations = load_folder(EXAMPLES / name).declarations
         owners = {**declarations.customers, **declarations.operators}
         readme = (EXAMPLES / name / "README.md").read_text()
@@ -27,7 +27,7 @@
         for owner, key in keys.items():
             assert key_matches(key, owners[owner].key_hashes[0])
 
-    def test_the_strong_model_costs_about_ten_times_as_much(
+    def test_strongest_model_costs_about_ten_times_the_cheapest(
         self, name: str
     ) -> None:
         models = load_folder(EXAMPLES / name).declarations.models.values()
--- a/packages/sycamorestand-model/tests/test_load.py
+++ b/packages/sycamorestand-model/tests/test_load.py
@@ -21,7 +21,7 @@
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
 
-ANYTHING = st.recursive(
+JSON_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -40,7 +40,9 @@
     return to_document(load_folder(EXAMPLES / "guild").declarations)
 
 
-def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def value_paths(
+    value: Any, path: tuple[Any, ...] = ()
+) -> list[tuple[Any, ...]]:
     """Return the path of every value inside a document."""
     if isinstance(value, dict):
         children = list(value.items())
@@ -48,24 +50,24 @@
         children = list(enumerate(value))
     else:
         children = []
-    found = [(*path, key) for key, _ in children]
+    paths = [(*path, key) for key, _ in children]
     for key, child in children:
-        found.extend(places(child, (*path, key)))
-    return found
+        paths.extend(value_paths(child, (*path, key)))
+    return paths
 
 
-def with_value(document: Any, path: tuple[Any, ...], value: Any) -> Any:
-    """Return a copy with another value at a path."""
+def replace_value(document: Any, path: tuple[Any, ...], value: Any) -> Any:
+    """Return a copy of a document with another value at a path."""
     if not path:
         return value
     copy = document.copy()
-    copy[path[0]] = with_value(document[path[0]], path[1:], value)
+    copy[path[0]] = replace_value(document[path[0]], path[1:], value)
     return copy
 
 
 class TestLoadDocument:
-    @given(document=ANYTHING)
-    def test_anything_is_read_or_found(self, document: Any) -> None:
+    @given(document=JSON_VALUES)
+    def test_any_json_value_is_loaded_or_reported(self, document: Any) -> None:
         loaded = load_document(document)
         findings = check(loaded)
         assert all(isinstance(one, Finding) for one in findings)
@@ -74,16 +76,16 @@
 
     @settings(max_examples=300)
     @given(data=st.data())
-    def test_one_wrong_value_anywhere_never_breaks_the_check(
+    def test_one_random_value_never_makes_check_raise(
         self, data: st.DataObject, example: dict[str, Any]
     ) -> None:
-        path = data.draw(st.sampled_from(places(example)))
-        value = data.draw(ANYTHING)
-        loaded = load_document(with_value(example, path, value))
+        path = data.draw(st.sampled_from(value_paths(example)))
+        value = data.draw(JSON_VALUES)
+        loaded = load_document(replace_value(example, path, value))
         findings = check(loaded)
         plan(Declarations(), loaded.declarations)
         if not has_errors(findings):
-            again = load_document(to_document(loaded.declarations))
-            assert again.declarations == loaded.declarations
-            packed = to_msgpack(loaded.declarations)
-            assert from_msgpack(packed) == loaded.declarations
+            reloaded = load_document(to_document(loaded.declarations))
+            assert reloaded.declarations == loaded.declarations
+            encoded = to_msgpack(loaded.declarations)
+            assert from_msgpack(encoded) == loaded.declarations
--- a/packages/sycamorestand-model/tests/test_plan.py
+++ b/packages/sycamorestand-model/tests/test_plan.py
@@ -40,39 +40,47 @@
 
 
 class TestCodec:
-    def test_msgpack_gives_the_same_back(
+    def test_msgpack_round_trip_keeps_declarations(
         self, declarations: Declarations
     ) -> None:
         assert from_msgpack(to_msgpack(declarations)) == declarations
 
-    def test_a_document_gives_the_same_back(
+    def test_document_round_trip_keeps_declarations(
         self, declarations: Declarations
     ) -> None:
         loaded = load_document(to_document(declarations))
         assert loaded.findings == ()
         assert loaded.declarations == declarations
 
-    def test_other_bytes_are_a_wire_error(
+    def test_malformed_bytes_raise_wire_error(
         self, declarations: Declarations
     ) -> None:
         content = to_msgpack(declarations)
-        for bad in (b"", content[:-1], b"\xc1", b"\x91" * 5_000, b"\xa1x"):
+        for malformed in (
+            b"",
+            content[:-1],
+            b"\xc1",
+            b"\x91" * 5_000,
+            b"\xa1x",
+        ):
             with pytest.raises(WireError):
-                from_msgpack(bad)
+                from_msgpack(malformed)
 
 
 class TestPlan:
-    def test_equal_declarations_have_no_difference(
+    def test_equal_declarations_have_no_differences(
         self, declarations: Declarations
     ) -> None:
         assert plan(declarations, declarations) == ((), ())
 
-    def test_a_change_is_named_by_its_key_path(
+    def test_changes_are_listed_by_key_path(
         self, declarations: Declarations
     ) -> None:
         profile = declarations.profiles["help"]
-        better = profile._replace(quality_target=0.95)
-        new = declarations._replace(profiles={"help": better}, services={})
+        changed_profile = profile._replace(quality_target=0.95)
+        new = declarations._replace(
+            profiles={"help": changed_profile}, services={}
+        )
         assert [
             plan_line_text(line) for line in plan(declarations, new)[0]
         ] == [
@@ -84,15 +92,15 @@
         self, declarations: Declarations
     ) -> None:
         customer = declarations.customers["acme"]
-        turned = customer._replace(key_hashes=(NEW_KEY_HASH,))
-        new = declarations._replace(customers={"acme": turned})
-        shown = plan(declarations, new)
-        assert "1 keys (1 new, 1 removed)" in shown.lines[0].after
-        assert KEY_HASH not in repr(shown)
-        assert NEW_KEY_HASH not in repr(shown)
-        assert "loses a key" in shown.notes[0]
+        rotated = customer._replace(key_hashes=(NEW_KEY_HASH,))
+        new = declarations._replace(customers={"acme": rotated})
+        result = plan(declarations, new)
+        assert "1 keys (1 new, 1 removed)" in result.lines[0].after
+        assert KEY_HASH not in repr(result)
+        assert NEW_KEY_HASH not in repr(result)
+        assert "loses a key" in result.notes[0]
 
-    def test_notes_tell_what_happens_to_sessions(
+    def test_notes_describe_effects_on_sessions(
         self, declarations: Declarations
     ) -> None:
         model = declarations.models["cheap"]
@@ -100,21 +108,23 @@
             **model.versions,
             "1": model.versions["1"]._replace(withdrawn=True),
         }
-        moved = model._replace(stable="2", versions=withdrawn)
+        changed_model = model._replace(stable="2", versions=withdrawn)
         customer = declarations.customers["acme"]
-        narrow = customer._replace(versions=("cheap@2",))
+        restricted = customer._replace(versions=("cheap@2",))
         new = declarations._replace(
-            models={"cheap": moved}, customers={"acme": narrow}, rollouts={}
+            models={"cheap": changed_model},
+            customers={"acme": restricted},
+            rollouts={},
         )
         notes = " / ".join(plan(declarations, new).notes)
         assert "cheap@1 is withdrawn" in notes
         assert "new work on cheap moves from 1 to 2 at once" in notes
         assert "customer acme loses cheap@1" in notes
         assert "roll-out of cheap ends" in notes
-        back = " / ".join(plan(new, declarations).notes)
-        assert "cheap@1 is reinstated" in back
+        reverse_notes = " / ".join(plan(new, declarations).notes)
+        assert "cheap@1 is reinstated" in reverse_notes
 
-    def test_removals_are_noted(self, declarations: Declarations) -> None:
+    def test_removals_have_notes(self, declarations: Declarations) -> None:
         notes = plan(declarations, Declarations()).notes
         subjects = [note.split(" is ")[0] for note in notes]
         assert "model cheap" in subjects
--- a/packages/sycamorestand-model/tests/test_route_table.py
+++ b/packages/sycamorestand-model/tests/test_route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request belongs to."""
+"""Test the look-up of a request's route."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sycamorestand_model.routes import RouteTarget
 
 
-def _route(name: str, host: str, prefix: str) -> Route:
+def _make_route(name: str, host: str, prefix: str) -> Route:
     return Route(name, host, prefix, (RouteTarget("s"),), "once", 1_000)
 
 
@@ -17,9 +17,9 @@
     {
         route.name: route
         for route in (
-            _route("a", "one.example", "/a/"),
-            _route("deep", "one.example", "/a/b/"),
-            _route("all", "two.example", "/"),
+            _make_route("a", "one.example", "/a/"),
+            _make_route("deep", "one.example", "/a/b/"),
+            _make_route("all", "two.example", "/"),
         )
     }
 )
@@ -38,7 +38,7 @@
             ("two.example", "/any/where", "all"),
         ],
     )
-    def test_the_longest_prefix_is_taken(
+    def test_longest_matching_prefix_wins(
         self, host: str, path: str, name: str
     ) -> None:
         route = ROUTES.find(host, path)
@@ -55,5 +55,7 @@
             ("three.example", "/a/"),
         ],
     )
-    def test_nothing_else_has_a_route(self, host: str, path: str) -> None:
+    def test_other_hosts_and_paths_have_no_route(
+        self, host: str, path: str
+    ) -> None:
         assert ROUTES.find(host, path) is None
