--- a/packages/sycamorestand-model/src/sycamorestand_model/check_context.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check_context.py
@@ -83,10 +83,10 @@
 
 
 __all__ = [
-    "declaration_place",
-    "report_unknown",
     "CheckContext",
+    "declaration_place",
     "make_context",
+    "report_unknown",
     "UNKNOWN_REMEDY",
     "usable_versions",
 ]
--- a/packages/sycamorestand-model/src/sycamorestand_model/codec.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/codec.py
@@ -3,7 +3,7 @@
 The document has the structure of the TOML files, so ``load_document``
 reads it back: ``load_document(to_document(d)).declarations == d``. In
 msgpack every named tuple is an array. That is small, and a newer reader
-fills fields that an older writer did not have at the end with defaults.
+uses defaults for the last fields if an older writer did not know them.
 """
 
 from __future__ import annotations
--- a/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
@@ -143,7 +143,7 @@
 
 
 class Operator(NamedTuple):
-    """A person who may read or, by the role, change the configuration."""
+    """A person who may read or change the configuration, by the role."""
 
     name: str
     key_hashes: tuple[str, ...]
@@ -204,10 +204,10 @@
 __all__ = [
     "CascadeStep",
     "Customer",
-    "is_version_allowed",
     "Declarations",
     "DEFAULT_SHARES",
     "find_version",
+    "is_version_allowed",
     "Model",
     "Objective",
     "Operator",
--- a/packages/sycamorestand-model/src/sycamorestand_model/keys.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/keys.py
@@ -15,9 +15,9 @@
 def hash_key(key: str, salt: bytes | None = None) -> str:
     """Return the salted hash of a key, as declarations contain it.
 
-    Keys are random tokens that the system generates, not passwords, so a
-    single fast hash is sufficient. It costs an entry a microsecond a
-    request. Without a ``salt``, a random one is used.
+    Keys are random tokens that the system generates, not passwords, so
+    one salted hash is enough. It costs an entry a microsecond a request.
+    The salt is random unless it is given.
 
     Example: ``hash_key("guild-1", b"12345678")`` starts with ``b2$``.
     """
--- a/packages/sycamorestand-model/src/sycamorestand_model/load.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/load.py
@@ -99,11 +99,11 @@
 
 
 def _walk(root: Path, folder: Path, findings: Findings) -> Iterator[Path]:
-    """Yield the files under a folder, down to one level too deep.
+    """Yield the files under a folder, including those one level too deep.
 
-    Files on that level are yielded so that they are reported. A folder
-    that cannot be read is an error: if it were skipped, the next apply
-    would remove all declarations in it.
+    These are yielded so that the caller reports them. A folder that cannot
+    be read is an error: if it were skipped, the next apply would remove
+    all declarations in it.
     """
     place = Place(folder.relative_to(root).as_posix())
     try:
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -195,13 +195,13 @@
             )
             return None
         values = [
-            reader(each, item_place(place, index), findings)
-            for index, each in enumerate(raw)
+            reader(raw_item, item_place(place, index), findings)
+            for index, raw_item in enumerate(raw)
         ]
-        kept = [value for value in values if value is not None]
+        valid_values = [value for value in values if value is not None]
         if unique:
-            _report_duplicates(kept, place, findings)
-        return tuple(kept)
+            _report_duplicates(valid_values, place, findings)
+        return tuple(valid_values)
 
     return read
 
@@ -219,21 +219,21 @@
             return None
         _report_unknown_fields(raw, fields, place, findings)
         values: dict[str, Any] = {}
-        whole_record = True
+        is_complete = True
         for key, field in fields.items():
             if key not in raw:
                 if field.required:
                     findings.error(
                         key_place(place, key), "missing", "add this field"
                     )
-                    whole_record = False
+                    is_complete = False
                 continue
             value = field.reader(raw[key], key_place(place, key), findings)
             if value is None:
-                whole_record = False
+                is_complete = False
             else:
                 values[key] = value
-        return factory(**values) if whole_record else None
+        return factory(**values) if is_complete else None
 
     return read
 
@@ -287,6 +287,7 @@
     "choice",
     "Field",
     "flag",
+    "integer",
     "key_hash",
     "name",
     "number",
@@ -294,5 +295,4 @@
     "Reader",
     "record",
     "text",
-    "integer",
 ]
--- a/packages/sycamorestand-model/src/sycamorestand_model/schemas.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/schemas.py
@@ -118,9 +118,9 @@
     read_table = record(dict, fields)
 
     def read(key: str, raw: object, place: Place, findings: Findings) -> Any:
-        named = check_name(key, MAX_NAME_CHARACTERS, place, findings)
+        is_name_valid = check_name(key, MAX_NAME_CHARACTERS, place, findings)
         values = read_table(raw, place, findings)
-        if values is None or not named:
+        if values is None or not is_name_valid:
             return None
         return factory(key, values)
 
