--- a/packages/sycamorestand-model/src/sycamorestand_model/routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/routes.py
@@ -22,7 +22,7 @@
 
 
 class Route(NamedTuple):
-    """The treatment of requests to one host under one path prefix.
+    """The rules for requests to one host under one path prefix.
 
     An ``idempotent`` call may be repeated. A ``once`` call, and a
     ``stream`` that is not ``resumable``, run at most once for each attempt
@@ -82,7 +82,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """Limits on the size of a caller's request and on its idle time."""
+    """Limits on the size and duration of requests, and on idle connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
