--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
@@ -88,7 +88,7 @@
     def send(self, address: str, message: Any) -> None:
         self.sent.append((address, message))
 
-    def forget(self, address: str) -> None: ...
+    def close_link(self, address: str) -> None: ...
 
     def take(self, kind: type) -> list[Any]:
         """Return the messages of a kind that were sent since."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/hub.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/hub.py
@@ -251,7 +251,7 @@
         for address, entry in list(self._attached.items()):
             if now_s - entry.heard_s > DETACH_AFTER_S:
                 del self._attached[address]
-                self._mesh.forget(address)
+                self._mesh.close_link(address)
                 LOG.info("entry detached", extra={"entry": entry.vm})
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/leader_balancer.py
@@ -121,7 +121,7 @@
         )
 
     def _is_ready_to_lead(self, member: MemberStatus, last_index: int) -> bool:
-        is_reachable = self._mesh.unheard_s(member.address) < HEARD_WITHIN_S
+        is_reachable = self._mesh.silence_s(member.address) < HEARD_WITHIN_S
         return (
             is_reachable and last_index - member.match_index <= MAX_LAG_ENTRIES
         )
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -251,7 +251,7 @@
         if self._has_shared_address(member, members):
             return silent_s
         # A stalled disk silences a log while its process is still alive.
-        return min(silent_s, self._mesh.unheard_s(member.address))
+        return min(silent_s, self._mesh.silence_s(member.address))
 
     def _has_shared_address(
         self, member: MemberStatus, members: Sequence[MemberStatus]
--- a/packages/sycamorestand-control/src/sycamorestand_control/rows.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/rows.py
@@ -101,7 +101,7 @@
     rows = []
     for member in status.members:
         is_own = member.member_id == status.member_id
-        silent_s = 0.0 if is_own else mesh.unheard_s(member.address)
+        silent_s = 0.0 if is_own else mesh.silence_s(member.address)
         rows.append(
             VoterRow(
                 member.member_id,
--- a/packages/sycamorestand-control/tests/test_leader_balancer.py
+++ b/packages/sycamorestand-control/tests/test_leader_balancer.py
@@ -64,7 +64,7 @@
         fake: Any = self
         self.balancer = LeaderBalancer(fake, fake, lambda: self.now_s)
 
-    def unheard_s(self, address: str) -> float:
+    def silence_s(self, address: str) -> float:
         return 60.0 if address in self.silent else 0.1
 
     async def run_rounds(self, count: int) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
@@ -18,7 +18,7 @@
 from sycamorestand_entry.http_protocol import EntryProtocol
 from sycamorestand_entry.state_log import log_changes
 from sycamorestand_peer.http_server import HttpServer
-from sycamorestand_peer.http_server import TICK_S
+from sycamorestand_peer.http_server import POLL_INTERVAL_S
 
 if TYPE_CHECKING:
     from sycamorestand_entry.ports import ControlPort
@@ -91,7 +91,7 @@
         server = _Server(config, [listener])
         if settings.stop_limit_s:
             left_s = settings.stop_limit_s - accept_period_s(settings)
-            server.stop_limit_s = max(TICK_S, left_s)
+            server.stop_limit_s = max(POLL_INTERVAL_S, left_s)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(context.slots.run_clock)
@@ -118,10 +118,10 @@
         # new ones are accepted.
         if self.stop_limit_s:
             await self._drain_within(self.stop_limit_s)
-        grace_s = self.config.timeout_keep_alive + TICK_S
+        grace_s = self.config.timeout_keep_alive + POLL_INTERVAL_S
         with anyio.move_on_after(grace_s):
             while self.server_state.connections:
-                await anyio.sleep(TICK_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
     async def _drain_within(self, limit_s: float) -> None:
         """Wait for running requests up to the limit, then abort connections.
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
@@ -21,7 +21,7 @@
 import uvicorn
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-TICK_S: Final = 0.05
+POLL_INTERVAL_S: Final = 0.05
 _LOG = logging.getLogger(__name__)
 
 
@@ -98,7 +98,7 @@
         while connections := list(self.server_state.connections):
             for connection in connections:
                 connection.shutdown()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _take(self, connection: socket.socket) -> None:
         loop = asyncio.get_running_loop()
@@ -116,4 +116,4 @@
         )
 
 
-__all__ = ["HttpProtocol", "HttpServer", "TICK_S"]
+__all__ = ["HttpProtocol", "HttpServer", "POLL_INTERVAL_S"]
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
@@ -173,10 +173,10 @@
 
     def relay_for(self, address: str) -> str | None:
         """Return who passes messages on to a peer, None if nobody must."""
-        unheard_s = self.unheard_s(address)
+        unheard_s = self.silence_s(address)
         return self._relays.relay_for(address, unheard_s, boottime_s())
 
-    def forget(self, address: str) -> None:
+    def close_link(self, address: str) -> None:
         """Close the link to a peer that is gone; a message opens another."""
         link = self._links.pop(address, None)
         if link is not None:
@@ -207,7 +207,7 @@
             raise PeerTimeout(f"{address} did not answer in {timeout_s} s")
         return replies[0]
 
-    def unheard_s(self, address: str) -> float:
+    def silence_s(self, address: str) -> float:
         """Return how long ago a peer was heard of, infinity if never."""
         heard = self._heard.get(address)
         if heard is None:
--- a/packages/sycamorestand-peer/tests/test_replay.py
+++ b/packages/sycamorestand-peer/tests/test_replay.py
@@ -206,7 +206,7 @@
             for count in (1, 2, 3):
                 one.mesh.send(two.mesh.address, MESSAGE)
                 await until(lambda n=count: len(two.received) == n)
-            one.mesh.forget(two.mesh.address)
+            one.mesh.close_link(two.mesh.address)
             one.mesh.send(two.mesh.address, MESSAGE)
             await until(lambda: len(two.received) == 4)
         assert two.refusals() == {}
