--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
@@ -39,10 +39,10 @@
 # A request waits only if it is expected to start with this part of its
 # slack: shares fall as other customers come, and a request that was let
 # in and refused later has waited for nothing.
-OFFER_SHARE: Final = 0.6
+ADMIT_SLACK_SHARE: Final = 0.6
 # Expected times are off by a factor of two either way: with a slot free,
 # only what would not fit at half its expected time is refused.
-HOPELESS_SHARE: Final = 0.5
+MIN_SERVICE_SHARE: Final = 0.5
 # A long request may wait this long for the next free slot, as it would
 # have been started with a slot free.
 MIN_SLACK_S: Final = 1.0
@@ -50,7 +50,7 @@
 # the slots. With the few slots of one entry the next free one is a quarter
 # of a second away, which others' floods would cost it. Pools of up to five
 # slots get nothing: there, one more is a large part.
-EXTRA_SHARE: Final = 0.1
+OVERCOMMIT_SHARE: Final = 0.1
 MAX_WAITING_PER_CUSTOMER: Final = 512
 MAX_WAITING_PER_POOL: Final = 2048
 BATCH_SHARE: Final = 0.1
@@ -60,7 +60,7 @@
 # A waiting request is refused early where even this part of its estimated
 # wait is too long: estimates of a few slots are off by as much, and half
 # of those given up on at the whole estimate would have started in time.
-SURE_SHARE: Final = 0.6
+EXPIRE_WAIT_SHARE: Final = 0.6
 # Waiting requests are estimated again this often: shares change only as
 # customers come and go, and a walk over the queue costs its length.
 RECHECK_S: Final = 0.25
@@ -130,11 +130,11 @@
     ) -> Started | Waiting | Refused:
         """Start the request, let it wait, or refuse it for good."""
         pool = self._pool(ticket.pool)
-        least_s = HOPELESS_SHARE * pool.times.mean_s(ticket.expected_s)
+        least_s = MIN_SERVICE_SHARE * pool.times.mean_s(ticket.expected_s)
         if now_s + least_s > ticket.deadline_s:
             pool.refused_deadline += 1
             return Refused("cannot finish in time", MIN_RETRY_AFTER_S)
-        if pool.may_start_at_once(ticket):
+        if pool.can_start_at_once(ticket):
             pool.queue.charge(ticket)
             self._start(pool, ticket)
             return Started(ticket.ticket_id)
@@ -146,7 +146,9 @@
             return Refused("queue full", _retry_after_s(pool, ticket))
         wait_s = pool.expected_wait_s(ticket)
         slack_s = _slack_s(pool, ticket, now_s)
-        longest_s = min(MAX_WAIT_S[ticket.priority], OFFER_SHARE * slack_s)
+        longest_s = min(
+            MAX_WAIT_S[ticket.priority], ADMIT_SLACK_SHARE * slack_s
+        )
         if wait_s > longest_s:
             pool.refused_deadline += 1
             reason = "cannot start in time"
@@ -159,7 +161,7 @@
         """Return the waiting requests that hold a slot from now on."""
         ready: list[Ticket] = []
         for pool in self._pools.values():
-            while pool.queue.waiting and pool.free() > 0:
+            while pool.queue.waiting and pool.free_slots() > 0:
                 ticket = pool.queue.pop()
                 if ticket is None:
                     break
@@ -184,7 +186,7 @@
         for pool in self._pools.values():
             if not pool.queue.waiting:
                 continue
-            for ticket in pool.hopeless(now_s):
+            for ticket in pool.find_expired(now_s):
                 pool.queue.remove(ticket.ticket_id)
                 self._pool_of.pop(ticket.ticket_id, None)
                 pool.refused_expired += 1
@@ -235,7 +237,7 @@
         self.refused_expired = 0
         self.cancelled = 0
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         return self.slots - len(self.in_flight)
 
     def release(self, ticket_id: int) -> Ticket | None:
@@ -246,32 +248,34 @@
                 del self.running[ticket.customer]
         return ticket
 
-    def may_start_at_once(self, ticket: Ticket) -> bool:
-        if self.free() > 0 and not self.queue.waiting:
+    def can_start_at_once(self, ticket: Ticket) -> bool:
+        if self.free_slots() > 0 and not self.queue.waiting:
             return True
         if not self.slots or ticket.customer in self.running:
             return False
-        extra = round(EXTRA_SHARE * self.slots)
+        extra = round(OVERCOMMIT_SHARE * self.slots)
         waiting = self.queue.count(ticket.customer, ticket.priority)
-        return self.free() > -extra and not waiting
+        return self.free_slots() > -extra and not waiting
 
     def expected_wait_s(self, ticket: Ticket) -> float:
         """Estimate the wait for the customer's turn and a free slot."""
         before_s = self.times.mean_s(self.queue.work_before_s(ticket))
         return (before_s + self.times.typical_s) / max(1, self.slots)
 
-    def hopeless(self, now_s: float) -> list[Ticket]:
+    def find_expired(self, now_s: float) -> list[Ticket]:
         """Return the waiting requests that cannot start in time."""
-        late = self.queue.late(now_s)
+        overdue = self.queue.overdue(now_s)
         if now_s < self.next_recheck_s or self.slots < 1:
-            return late
+            return overdue
         self.next_recheck_s = now_s + RECHECK_S
-        known = {ticket.ticket_id for ticket in late}
-        for ticket, before_s, latest_s in self.queue.walk():
-            wait_s = SURE_SHARE * self.times.mean_s(before_s) / self.slots
+        known = {ticket.ticket_id for ticket in overdue}
+        for ticket, before_s, latest_s in self.queue.iter_waiting():
+            wait_s = (
+                EXPIRE_WAIT_SHARE * self.times.mean_s(before_s) / self.slots
+            )
             if now_s + wait_s > latest_s and ticket.ticket_id not in known:
-                late.append(ticket)
-        return late
+                overdue.append(ticket)
+        return overdue
 
     def metrics(self) -> PoolMetrics:
         return PoolMetrics(
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/affinity.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/affinity.py
@@ -27,7 +27,7 @@
 MAX_HINTS: Final = 20_000
 # Engines evict prefixes within minutes under load, and the event that
 # tells so may be lost: an older hint says no more than the ring does.
-HINT_LIFE_S: Final = 120.0
+HINT_TTL_S: Final = 120.0
 
 
 class HashRing:
@@ -71,7 +71,7 @@
     def __init__(self) -> None:
         self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
 
-    def event(
+    def record_event(
         self, name: str, keys: Sequence[str], stored: bool, now_s: float
     ) -> None:
         """Take in one cache event; it may be late or doubled."""
@@ -94,7 +94,7 @@
         fresh = [
             (heard_s, name)
             for name, heard_s in holders.items()
-            if now_s - heard_s < HINT_LIFE_S and name in known
+            if now_s - heard_s < HINT_TTL_S and name in known
         ]
         return [name for _, name in sorted(fresh, reverse=True)]
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
@@ -57,13 +57,13 @@
             return dict(given)
         lent = {}
         for service, amount in given.items():
-            account = self._filled(service, pools, now_s)
-            taken = min(amount, self._most(pools) - account.left)
+            account = self._refill(service, pools, now_s)
+            taken = min(amount, self._limit(pools) - account.left)
             account.left += taken
             if taken < amount:
                 lent[service] = amount - taken
         for service, amount in asked.items():
-            account = self._filled(service, pools, now_s)
+            account = self._refill(service, pools, now_s)
             lent[service] = min(amount, account.left)
             account.left -= lent[service]
         return lent
@@ -72,19 +72,19 @@
         """Return what all services have left, as of their last trades."""
         return sum(account.left for account in self._accounts.values())
 
-    def _most(self, pools: int) -> float:
+    def _limit(self, pools: int) -> float:
         return self._allowance.slack * POOLED_SHARE / pools
 
-    def _filled(self, service: str, pools: int, now_s: float) -> _Account:
-        account = self._of(service, now_s)
+    def _refill(self, service: str, pools: int, now_s: float) -> _Account:
+        account = self._account(service, now_s)
         allowance = self._allowance
-        a_second = allowance.slack * REFILLED_SHARE / allowance.window_s
-        added = (now_s - account.filled_s) * a_second / pools
-        account.left = min(account.left + added, self._most(pools))
+        rate_per_s = allowance.slack * REFILLED_SHARE / allowance.window_s
+        added = (now_s - account.filled_s) * rate_per_s / pools
+        account.left = min(account.left + added, self._limit(pools))
         account.filled_s = now_s
         return account
 
-    def _of(self, service: str, now_s: float) -> _Account:
+    def _account(self, service: str, now_s: float) -> _Account:
         account = self._accounts.get(service)
         if account is None:
             if len(self._accounts) >= MAX_SERVICES:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
@@ -44,7 +44,7 @@
 KEPT_SHARE: Final = 0.15
 # Of the fixed rest, what entries may keep, what pools may keep, and what
 # comes to pools in each window.
-HELD_SHARE: Final = 0.5
+ENTRIES_SHARE: Final = 0.5
 POOLED_SHARE: Final = 0.25
 REFILLED_SHARE: Final = 0.2
 # Of what may be kept, the part for arrivals without which a caller would
@@ -55,9 +55,9 @@
 TRADE_INTERVAL_S: Final = 0.1
 # A request that needs one now waits for no gift before it; while the pool is
 # empty, not each of them asks again.
-NEED_INTERVAL_S: Final = 0.02
+URGENT_TRADE_INTERVAL_S: Final = 0.02
 # After a pool was full.
-GIVE_AGAIN_S: Final = 1.0
+GIVE_BACKOFF_S: Final = 1.0
 # What is lent later than this is lost, and asked for again.
 TRADE_TIMEOUT_S: Final = 1.0
 
@@ -117,17 +117,17 @@
         self._trade = 0
         self._traded_s = -math.inf
         self._is_open = False
-        self._is_reached = False
+        self._pool_answered = False
 
     def record_first_arrival(self, service: str, now_s: float) -> None:
         """Count the first arrival of a request, which earns a part."""
         allowance = self._allowance
         if not allowance.ratio:
             return
-        account = self._of(service)
+        account = self._account(service)
         account.first_s.append(now_s)
         account.forget_before(now_s - allowance.window_s)
-        account.left += self._earned
+        account.left += self._earned_per_request
 
     def try_spend(self, service: str, entries: int, now_s: float) -> bool:
         """Spend one more arrival of a request, if there is one left.
@@ -141,7 +141,7 @@
             return True
         if self.share(service, entries, now_s).left < 1:
             return False
-        self._of(service).left -= 1
+        self._account(service).left -= 1
         return True
 
     def has_spare(self, service: str, entries: int, now_s: float) -> bool:
@@ -153,25 +153,25 @@
         if not self._allowance.ratio:
             return True
         share = self.share(service, entries, now_s)
-        return share.left >= _spare_from(share.most)
+        return share.left >= _spare_threshold(share.most)
 
     def share(self, service: str, entries: int, now_s: float) -> Share:
         """Return what this entry has left."""
         allowance = self._allowance
-        account = self._of(service)
+        account = self._account(service)
         account.forget_before(now_s - allowance.window_s)
         first = len(account.first_s)
-        part = allowance.slack / entries * HELD_SHARE if entries else 0.0
+        part = allowance.slack / entries * ENTRIES_SHARE if entries else 0.0
         # An entry of few requests must be able to save up a whole arrival.
-        floor = 1 + self._earned if first else 0.0
-        most = max(floor, part + self._kept(first))
-        account.left = min(account.left, most - account.under_way(now_s))
+        floor = 1 + self._earned_per_request if first else 0.0
+        most = max(floor, part + self._max_kept(first))
+        account.left = min(account.left, most - account.in_transit(now_s))
         return Share(entries, first, account.left, most)
 
     @property
     def expects_quick_reply(self) -> bool:
         """Return whether a trade is open, and the pool answered before."""
-        return self._is_open and self._is_reached
+        return self._is_open and self._pool_answered
 
     def open_trade(
         self, entries: int, now_s: float, needed: str = ""
@@ -182,24 +182,24 @@
         open at a time. What it gives is taken from what is left at once; to
         a pool that left the last trade unanswered it gives nothing.
         """
-        wait_s = NEED_INTERVAL_S if needed else TRADE_INTERVAL_S
+        wait_s = URGENT_TRADE_INTERVAL_S if needed else TRADE_INTERVAL_S
         if self._is_open:
             wait_s = TRADE_TIMEOUT_S
         if not self._allowance.ratio or now_s < self._traded_s + wait_s:
             return None
-        self._give_up(now_s)
+        self._abandon_trade(now_s)
         given, asked, has_more = {}, {}, False
         for service, account in self._accounts.items():
             share = self.share(service, entries, now_s)
-            kept = self._kept(share.first)
-            spare_from = _spare_from(share.most)
-            short = share.left < spare_from
-            if short and (service == needed or kept > spare_from):
-                level = max(spare_from, kept / 2)
+            kept = self._max_kept(share.first)
+            spare_threshold = _spare_threshold(share.most)
+            lacks_spare = share.left < spare_threshold
+            if lacks_spare and (service == needed or kept > spare_threshold):
+                level = max(spare_threshold, kept / 2)
                 account.asked = asked[service] = level - share.left
-            elif share.left > kept and now_s >= account.give_from_s:
+            elif share.left > kept and now_s >= account.give_after_s:
                 has_more = True
-                if self._is_reached:
+                if self._pool_answered:
                     account.given = given[service] = share.left - kept / 2
                     account.left = kept / 2
         if not asked and not has_more:
@@ -217,15 +217,15 @@
         if not self._is_open or number != self._trade:
             return
         self._is_open = False
-        self._is_reached = True
+        self._pool_answered = True
         for service, account in self._accounts.items():
-            got = lent.get(service, 0.0)
-            if account.given and got:
-                account.give_from_s = self._traded_s + GIVE_AGAIN_S
-            account.left += min(account.asked + account.given, got)
+            received = lent.get(service, 0.0)
+            if account.given and received:
+                account.give_after_s = self._traded_s + GIVE_BACKOFF_S
+            account.left += min(account.asked + account.given, received)
             account.given = account.asked = 0.0
 
-    def _give_up(self, now_s: float) -> None:
+    def _abandon_trade(self, now_s: float) -> None:
         """Go on without an answer.
 
         What was given may still reach the pool, so that it counts as kept
@@ -234,22 +234,22 @@
         if not self._is_open:
             return
         self._is_open = False
-        self._is_reached = False
+        self._pool_answered = False
         for account in self._accounts.values():
             if account.given:
                 until_s = now_s + self._allowance.window_s
                 account.unanswered.append((until_s, account.given))
             account.given = account.asked = 0.0
 
-    def _kept(self, first: int) -> float:
+    def _max_kept(self, first: int) -> float:
         """Return what may be kept of what a window's requests earn."""
         return self._allowance.ratio * KEPT_SHARE * first
 
     @property
-    def _earned(self) -> float:
+    def _earned_per_request(self) -> float:
         return self._allowance.ratio * EARNED_SHARE
 
-    def _of(self, service: str) -> _Account:
+    def _account(self, service: str) -> _Account:
         account = self._accounts.get(service)
         if account is None:
             if len(self._accounts) >= MAX_SERVICES:
@@ -266,14 +266,14 @@
         self.left = 0.0
         self.given = 0.0
         self.asked = 0.0
-        self.give_from_s = -math.inf
+        self.give_after_s = -math.inf
         self.unanswered: deque[tuple[float, float]] = deque()
 
     def forget_before(self, when_s: float) -> None:
         while self.first_s and self.first_s[0] < when_s:
             self.first_s.popleft()
 
-    def under_way(self, now_s: float) -> float:
+    def in_transit(self, now_s: float) -> float:
         """Return what counts as kept here besides what is left."""
         while self.unanswered and self.unanswered[0][0] < now_s:
             self.unanswered.popleft()
@@ -281,7 +281,7 @@
         return self.given + self.asked + unanswered
 
 
-def _spare_from(most: float) -> float:
+def _spare_threshold(most: float) -> float:
     """Return what is left at least where some may be spent as spare."""
     return 1 + URGENT_SHARE * (most - 1)
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/attempt_timeouts.py
@@ -37,11 +37,11 @@
 # Six tenths of the time in which an answer should begin leave as much for
 # another server as its prompt takes to read, with a short queue; whoever
 # was overtaken has no turn to lose and goes earlier.
-EVENT_SHARE: Final = 0.6
+FIRST_EVENT_SHARE: Final = 0.6
 OVERTAKEN_SHARE: Final = 0.4
 # Where the caller waits no longer than the aim, the aim is no bound: of
 # what is left, as much must remain as was spent.
-LEFT_SHARE: Final = 0.5
+REMAINING_SHARE: Final = 0.5
 MIN_EVENT_S: Final = 1.0
 # The largest model of today's engines reads 13,000 to 16,000 tokens of a
 # prompt a second where nothing else runs; with some of it shared, a server
@@ -49,21 +49,21 @@
 PREFILL_TOKENS_PER_S: Final = 10_000.0
 # A pause beyond the target is late already, and a preempted run goes on by
 # itself; three times the target is longer than any calm server's pause.
-GAP_TARGETS: Final = 3.0
+GAP_TARGET_FACTOR: Final = 3.0
 MIN_GAP_S: Final = 2.0
 # Of the silence that a caller bears: the other half is left for what may
 # then be had soonest.
 FALLBACK_SHARE: Final = 0.5
 # A twentieth of the aim: what two more servers may read in vain without
 # making the request late.
-QUICK_READ_SHARE: Final = 0.05
+SHORT_PREFILL_SHARE: Final = 0.05
 # Of the aim: the wait at a server beside which no other is sooner.
-QUICK_SHARE: Final = 0.1
+SHORT_PREFILL_WAIT_SHARE: Final = 0.1
 # The longest of so many answers is longer than most.
 ANSWERS_KEPT: Final = 8
 MAX_ROUTES: Final = 4096
 # Requests sent together are answered in any order.
-LATER_S: Final = 0.3
+OVERTAKE_MARGIN_S: Final = 0.3
 MAX_SERVERS: Final = 1024
 
 
@@ -73,7 +73,7 @@
 
 
 def first_event_limits_s(
-    aim_s: float, left_s: float, prompt_tokens: int = 0
+    target_s: float, left_s: float, prompt_tokens: int = 0
 ) -> tuple[float, float]:
     """Return after how long to give up, if overtaken and in any case.
 
@@ -82,17 +82,17 @@
     >>> first_event_limits_s(4.0, 20.0, 30_000)
     (4.6, 5.4)
     """
-    bound_s = min(aim_s * EVENT_SHARE, left_s * LEFT_SHARE)
-    overtaken_s = min(aim_s * OVERTAKEN_SHARE, bound_s)
-    read_s = prompt_tokens / PREFILL_TOKENS_PER_S
+    bound_s = min(target_s * FIRST_EVENT_SHARE, left_s * REMAINING_SHARE)
+    overtaken_s = min(target_s * OVERTAKEN_SHARE, bound_s)
+    prefill_s = prompt_tokens / PREFILL_TOKENS_PER_S
     return (
-        max(MIN_EVENT_S, overtaken_s) + read_s,
-        max(MIN_EVENT_S, bound_s) + read_s,
+        max(MIN_EVENT_S, overtaken_s) + prefill_s,
+        max(MIN_EVENT_S, bound_s) + prefill_s,
     )
 
 
 def short_prefill_limit_s(
-    aim_s: float, read_s: float, delay_s: float
+    target_s: float, prefill_s: float, delay_s: float
 ) -> float | None:
     """Return after how long a request that reads quickly leaves a server.
 
@@ -104,19 +104,19 @@
     >>> quick_limit_s(2.0, 0.5, 0.0) is None
     True
     """
-    limit_s = aim_s * QUICK_SHARE + 2 * read_s
-    if not has_short_prefill(aim_s, read_s) or delay_s > limit_s / 2:
+    limit_s = target_s * SHORT_PREFILL_WAIT_SHARE + 2 * prefill_s
+    if not has_short_prefill(target_s, prefill_s) or delay_s > limit_s / 2:
         return None
     return limit_s
 
 
-def has_short_prefill(aim_s: float, read_s: float) -> bool:
+def has_short_prefill(target_s: float, prefill_s: float) -> bool:
     """Tell whether a prompt is read in a small part of its aim."""
-    return read_s <= aim_s * QUICK_READ_SHARE
+    return prefill_s <= target_s * SHORT_PREFILL_SHARE
 
 
 def fallback_after_s(
-    silence_s: float, whole_s: float, answer_s: float
+    max_silence_s: float, total_s: float, answer_s: float
 ) -> float:
     """Return after how long of silence to settle for what is soonest.
 
@@ -128,12 +128,12 @@
     >>> fallback_after_s(8.0, 20.0, 3.0), fallback_after_s(8.0, 6.0, 3.0)
     (4.0, 1.5)
     """
-    return min(silence_s, whole_s - answer_s) * FALLBACK_SHARE
+    return min(max_silence_s, total_s - answer_s) * FALLBACK_SHARE
 
 
 def gap_limit_s(target_s: float) -> float:
     """Return how long a pause between two events may become."""
-    return max(MIN_GAP_S, GAP_TARGETS * target_s)
+    return max(MIN_GAP_S, GAP_TARGET_FACTOR * target_s)
 
 
 class AnswerTime(NamedTuple):
@@ -206,19 +206,19 @@
     """Which servers have answered requests that were sent after others."""
 
     def __init__(self) -> None:
-        self._latest_s: dict[str, float] = {}
-        self._begun_s: dict[str, float] = {}
+        self._latest_sent_s: dict[str, float] = {}
+        self._last_begin_s: dict[str, float] = {}
 
     def record_first_event(
         self, server: str, sent_s: float, now_s: float
     ) -> None:
         """Note that the answer to a request of this time has begun."""
-        if len(self._latest_s) >= MAX_SERVERS:
-            self._latest_s.clear()
-            self._begun_s.clear()
-        latest_s = self._latest_s.get(server, sent_s)
-        self._latest_s[server] = max(latest_s, sent_s)
-        self._begun_s[server] = now_s
+        if len(self._latest_sent_s) >= MAX_SERVERS:
+            self._latest_sent_s.clear()
+            self._last_begin_s.clear()
+        latest_s = self._latest_sent_s.get(server, sent_s)
+        self._latest_sent_s[server] = max(latest_s, sent_s)
+        self._last_begin_s[server] = now_s
 
     def is_serving_in_order(self, server: str, sent_s: float) -> bool:
         """Tell whether the server has begun answers since, in their turn.
@@ -226,13 +226,13 @@
         A request that waits there waits for its turn and for nothing
         else; its wait is no sign of a fault.
         """
-        begun_s = self._begun_s.get(server, sent_s)
+        begun_s = self._last_begin_s.get(server, sent_s)
         return begun_s > sent_s and not self.has_overtaken(server, sent_s)
 
     def has_overtaken(self, server: str, sent_s: float) -> bool:
         """Tell whether a request sent later has had its answer begin."""
-        latest_s = self._latest_s.get(server, sent_s)
-        return latest_s - sent_s > LATER_S
+        latest_s = self._latest_sent_s.get(server, sent_s)
+        return latest_s - sent_s > OVERTAKE_MARGIN_S
 
 
 __all__ = [
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -51,14 +51,14 @@
 # A class given up on may become easy again with a new version; two in a
 # hundred requests find that out within a day and cost little.
 EXPLORE_FLOOR: Final = 0.02
-INLINE_STEP: Final = 0.02
+INLINE_RATE_STEP: Final = 0.02
 # A plan is kept for this many answers of its class: a few hardly move
 # an estimate, and planning costs more than the rest of a decision.
-PLAN_EVERY: Final = 20
+REPLAN_ANSWERS: Final = 20
 LATENCY_PRIOR_MS: Final = 500.0
 # The bound on added latency holds for slow answers too, not the average
 # one: token counts give answers twice the average in about one of ten.
-SLOW_ANSWER: Final = 2.0
+SLOW_ANSWER_FACTOR: Final = 2.0
 
 
 class StepPrice(NamedTuple):
@@ -89,10 +89,10 @@
 
     def __init__(self) -> None:
         self._rates = PassRates()
-        self._inline: dict[tuple[str, str], float] = {}
+        self._inline_rates: dict[tuple[str, str], float] = {}
         self._prices: dict[str, tuple[StepPrice, ...]] = {}
         self._plans: dict[tuple[str, str, bool], Plan] = {}
-        self._changes: dict[str, int] = {}
+        self._answer_counts: dict[str, int] = {}
 
     def first_step(
         self,
@@ -113,7 +113,7 @@
         if not idempotent or not plan.first_step:
             return plan.first_step
         step = plan.first_step - 1
-        if not self._in_time(profile, request_class, step):
+        if not self._is_in_time(profile, request_class, step):
             return plan.first_step
         share = self._explored_share(
             profile, prices[step].version, request_class
@@ -131,10 +131,12 @@
         """Tell whether a step's answer may be released to the caller."""
         if not idempotent or step >= len(profile.steps) - 1:
             return True
-        self._learn_inline(profile.name, request_class, rating is not None)
+        self._update_inline_rate(
+            profile.name, request_class, rating is not None
+        )
         if rating is not None:
             return rating >= PASS_RATING
-        plan = self._evaluate(profile, request_class, step, True)
+        plan = self._plan_from(profile, request_class, step, True)
         return plan.known and plan.quality >= profile.quality_target
 
     def observe(
@@ -157,7 +159,7 @@
             self._rates.observe_use(
                 step_version, request_class, cost_micros, latency_ms
             )
-        self._count_change(request_class)
+        self._count_answers(request_class)
         if passed is not None:
             subject = _escalated(step_version) if escalated else step_version
             self._rates.observe(subject, request_class, passed)
@@ -176,7 +178,7 @@
             self._rates.observe_counts(
                 subject, count.request_class, count.passed, count.rated
             )
-            self._count_change(count.request_class, count.rated)
+            self._count_answers(count.request_class, count.rated)
 
     def plan(
         self, profile: Profile, request_class: str, idempotent: bool = True
@@ -196,28 +198,28 @@
         last = len(profile.steps) - 1
         if not idempotent:
             return [
-                self._single(profile, request_class, k)
+                self._single_step_plan(profile, request_class, k)
                 for k in range(last + 1)
             ]
         plans = [
-            self._evaluate(profile, request_class, step, accepts)
+            self._plan_from(profile, request_class, step, accepts)
             for step in range(last)
             for accepts in (True, False)
-            if self._in_time(profile, request_class, step)
+            if self._is_in_time(profile, request_class, step)
         ]
-        return [*plans, self._single(profile, request_class, last)]
+        return [*plans, self._single_step_plan(profile, request_class, last)]
 
     def _choose_plan(
         self, profile: Profile, request_class: str, idempotent: bool
     ) -> Plan:
         plans = self.plans(profile, request_class, idempotent)
-        good = [
+        acceptable = [
             p for p in plans if p.known and p.quality >= profile.quality_target
         ]
-        if not good:
+        if not acceptable:
             return max(plans, key=lambda p: (p.first_step, p.quality))
         strongest = plans[-1]
-        return min(good, key=lambda p: _penalty(profile, p, strongest))
+        return min(acceptable, key=lambda p: _penalty(profile, p, strongest))
 
     def _set_prices(
         self, profile_name: str, prices: Sequence[StepPrice]
@@ -226,55 +228,61 @@
             self._prices[profile_name] = tuple(prices)
             self._plans.clear()
 
-    def _count_change(self, request_class: str, count: int = 1) -> None:
-        before = self._changes.get(request_class, 0)
-        self._changes[request_class] = before + count
-        due = (before + count) // PLAN_EVERY > before // PLAN_EVERY
-        if not due and len(self._changes) < MAX_CLASSES:
+    def _count_answers(self, request_class: str, count: int = 1) -> None:
+        before = self._answer_counts.get(request_class, 0)
+        self._answer_counts[request_class] = before + count
+        due = (before + count) // REPLAN_ANSWERS > before // REPLAN_ANSWERS
+        if not due and len(self._answer_counts) < MAX_CLASSES:
             return
-        if len(self._changes) >= MAX_CLASSES:
-            self._changes.clear()
+        if len(self._answer_counts) >= MAX_CLASSES:
+            self._answer_counts.clear()
         for key in [key for key in self._plans if key[1] == request_class]:
             del self._plans[key]
 
-    def _evaluate(
+    def _plan_from(
         self, profile: Profile, request_class: str, step: int, accepts: bool
     ) -> Plan:
         """Return a plan from its first step on, all later ones included."""
-        first = self._single(profile, request_class, step)
+        first = self._single_step_plan(profile, request_class, step)
         if step >= len(profile.steps) - 1:
             return first
-        nxt = self._evaluate(profile, request_class, step + 1, accepts)
+        next_plan = self._plan_from(profile, request_class, step + 1, accepts)
         version = self._version(profile, step + 1)
         hard = self._rates.rate(_escalated(version), request_class)
-        retried = _low(hard) if hard.ratings >= 10.0 else nxt.quality
-        inline = self._inline.get((profile.name, request_class), 0.0)
+        retried = (
+            _lower_bound(hard) if hard.ratings >= 10.0 else next_plan.quality
+        )
+        inline = self._inline_rates.get((profile.name, request_class), 0.0)
         passed = first.quality
         if accepts:
-            on = inline * (1.0 - passed)
-            quality = passed + on * retried
+            escalation_share = inline * (1.0 - passed)
+            quality = passed + escalation_share * retried
         else:
-            on = 1.0 - inline * passed
-            unrated = (1.0 - inline) * nxt.quality
+            escalation_share = 1.0 - inline * passed
+            unrated = (1.0 - inline) * next_plan.quality
             quality = inline * passed + unrated
             quality += inline * (1.0 - passed) * retried
         return Plan(
             first_step=step,
             accepts_unrated=accepts,
             quality=quality,
-            cost_micros=first.cost_micros + on * nxt.cost_micros,
-            latency_ms=first.latency_ms + on * nxt.latency_ms,
+            cost_micros=first.cost_micros
+            + escalation_share * next_plan.cost_micros,
+            latency_ms=first.latency_ms
+            + escalation_share * next_plan.latency_ms,
             known=first.known,
         )
 
-    def _single(self, profile: Profile, request_class: str, step: int) -> Plan:
+    def _single_step_plan(
+        self, profile: Profile, request_class: str, step: int
+    ) -> Plan:
         version = self._version(profile, step)
         rate = self._rates.rate(version, request_class)
         price = self._price(profile, step)
         return Plan(
             first_step=step,
             accepts_unrated=True,
-            quality=_low(rate),
+            quality=_lower_bound(rate),
             cost_micros=self._rates.cost(version, request_class, price),
             latency_ms=self._latency_ms(version, request_class),
             known=rate.ratings >= EXPLORED_RATINGS,
@@ -289,14 +297,14 @@
             return EXPLORE_UNDECIDED
         return EXPLORE_FLOOR
 
-    def _in_time(
+    def _is_in_time(
         self, profile: Profile, request_class: str, first_step: int
     ) -> bool:
         added_ms = sum(
             self._latency_ms(self._version(profile, step), request_class)
             for step in range(first_step, len(profile.steps) - 1)
         )
-        return SLOW_ANSWER * added_ms <= profile.max_added_latency_ms
+        return SLOW_ANSWER_FACTOR * added_ms <= profile.max_added_latency_ms
 
     def _latency_ms(self, version: str, request_class: str) -> float:
         return self._rates.latency(version, request_class, LATENCY_PRIOR_MS)
@@ -311,15 +319,15 @@
         prices = self._prices.get(profile.name, ())
         return prices[step].expected_micros if step < len(prices) else 1.0
 
-    def _learn_inline(
-        self, profile_name: str, request_class: str, came: bool
+    def _update_inline_rate(
+        self, profile_name: str, request_class: str, arrived: bool
     ) -> None:
         key = (profile_name, request_class)
-        known = self._inline.get(key, 0.0)
-        self._inline[key] = known + INLINE_STEP * (came - known)
+        known = self._inline_rates.get(key, 0.0)
+        self._inline_rates[key] = known + INLINE_RATE_STEP * (arrived - known)
 
 
-def _low(rate: PassRate) -> float:
+def _lower_bound(rate: PassRate) -> float:
     return rate.low(MARGIN_DEVIATIONS)
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/comparison.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/comparison.py
@@ -28,7 +28,7 @@
     from sycamorestand_decisions.version_stats import VersionStats
 
 Signal = Literal["errors", "ratings", "latency", "typical latency"]
-Counter: TypeAlias = "Callable[[str, ClassStats], tuple[int, int]]"
+CountFunction: TypeAlias = "Callable[[str, ClassStats], tuple[int, int]]"
 
 # What a version's own past can be compared by. The load was another one
 # then, and moves the median of all answers further than the slow ones.
@@ -101,21 +101,21 @@
     what the other versions show of such a change; it is added to the
     expected rate.
     """
-    count = _counter(reference, signal)
+    count = _count_function(reference, signal)
     by_class = _totals_by_class(reference, count)
     sums: dict[str, _Sums] = {}
     for stratum, counts in version.strata.items():
         name = stratum.request_class
-        whole = by_class.get(name, NOTHING)
+        class_counts = by_class.get(name, NO_COUNTS)
         bad, total = count(name, counts)
-        if not whole.total or not total:
+        if not class_counts.total or not total:
             continue
-        expected = _Expected(whole.bad, whole.total)
+        expected = _Expected(class_counts.bad, class_counts.total)
         if by_block:
             own = reference.strata.get(stratum)
             if own is None:
                 continue
-            expected = _lean_on_class(count(name, own), whole)
+            expected = _shrink_to_class(count(name, own), class_counts)
         rate = (expected.bad + 0.5) / (expected.total + 1.0)
         spread = max(rate * (1.0 - rate), MIN_VARIANCE)
         unsure = total * sqrt(spread / expected.total)
@@ -126,13 +126,13 @@
             unsure**2 if by_block else 0.0,
             0.0 if by_block else unsure,
         )
-        sums[name] = _added(sums.get(name, NO_SUMS), found)
-    overall = reduce(_added, sums.values(), NO_SUMS)
-    evidence = [_evidence(signal, None, overall, extra, deviations)]
+        sums[name] = _add_sums(sums.get(name, NO_SUMS), found)
+    overall = reduce(_add_sums, sums.values(), NO_SUMS)
+    evidence = [_make_evidence(signal, None, overall, extra, deviations)]
     if len(sums) > 1:
         for name in sorted(sums):
             evidence.append(
-                _evidence(signal, name, sums[name], extra, deviations)
+                _make_evidence(signal, name, sums[name], extra, deviations)
             )
     return evidence
 
@@ -152,17 +152,17 @@
     ]
 
 
-def rise(
+def rate_increase(
     reference: VersionStats, recent: VersionStats, signal: Signal
 ) -> tuple[float, int]:
     """Return how much a signal's rate rose since, and out of how many."""
-    count = _counter(reference, signal)
+    count = _count_function(reference, signal)
     before = _totals(reference, count)
     after = _totals(recent, count)
     if not before.total or not after.total:
         return 0.0, 0
-    risen = after.bad / after.total - before.bad / before.total
-    return risen, min(before.total, after.total)
+    increase = after.bad / after.total - before.bad / before.total
+    return increase, min(before.total, after.total)
 
 
 class _Count(NamedTuple):
@@ -192,11 +192,11 @@
     unsure: float
 
 
-NOTHING: Final = _Count(0, 0)
+NO_COUNTS: Final = _Count(0, 0)
 NO_SUMS: Final = _Sums(0, 0, 0.0, 0.0, 0.0)
 
 
-def _added(one: _Sums, two: _Sums) -> _Sums:
+def _add_sums(one: _Sums, two: _Sums) -> _Sums:
     return _Sums(
         one.bad + two.bad,
         one.total + two.total,
@@ -206,14 +206,14 @@
     )
 
 
-def _lean_on_class(own: tuple[int, int], whole: _Count) -> _Expected:
+def _shrink_to_class(own: tuple[int, int], class_counts: _Count) -> _Expected:
     """Return a block's counts, its class added with a bounded weight."""
-    weight = min(CLASS_WEIGHT, whole.total)
-    bad = own[0] + weight * whole.bad / whole.total
+    weight = min(CLASS_WEIGHT, class_counts.total)
+    bad = own[0] + weight * class_counts.bad / class_counts.total
     return _Expected(bad, own[1] + weight)
 
 
-def _evidence(
+def _make_evidence(
     signal: Signal,
     name: str | None,
     sums: _Sums,
@@ -229,7 +229,7 @@
     return Evidence(signal, name, sums.bad, sums.total, bound, found)
 
 
-def _totals(stats: VersionStats, count: Counter) -> _Count:
+def _totals(stats: VersionStats, count: CountFunction) -> _Count:
     bad = total = 0
     for stratum, counts in stats.strata.items():
         found = count(stratum.request_class, counts)
@@ -238,17 +238,19 @@
     return _Count(bad, total)
 
 
-def _totals_by_class(stats: VersionStats, count: Counter) -> dict[str, _Count]:
+def _totals_by_class(
+    stats: VersionStats, count: CountFunction
+) -> dict[str, _Count]:
     totals: dict[str, _Count] = {}
     for stratum, counts in stats.strata.items():
         name = stratum.request_class
         bad, total = count(name, counts)
-        known = totals.get(name, NOTHING)
+        known = totals.get(name, NO_COUNTS)
         totals[name] = _Count(known.bad + bad, known.total + total)
     return totals
 
 
-def _counter(reference: VersionStats, signal: Signal) -> Counter:
+def _count_function(reference: VersionStats, signal: Signal) -> CountFunction:
     if signal == "errors":
         return _count_errors
     if signal == "ratings":
@@ -282,10 +284,12 @@
         )
         for index, count in enumerate(counts.latency_counts):
             known[index] += count
-    return {name: _edge(counts, slow_share) for name, counts in sums.items()}
+    return {
+        name: _slow_edge(counts, slow_share) for name, counts in sums.items()
+    }
 
 
-def _edge(counts: list[int], slow_share: float) -> int:
+def _slow_edge(counts: list[int], slow_share: float) -> int:
     allowed = slow_share * sum(counts)
     above = 0
     for index in range(len(counts) - 1, -1, -1):
@@ -301,7 +305,7 @@
     "Evidence",
     "MIN_TOTAL",
     "PAST_SIGNALS",
-    "rise",
+    "rate_increase",
     "Signal",
     "SIGNALS",
 ]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
@@ -30,7 +30,7 @@
 # A report counts only if made this long after the last decrease: before,
 # it shows the queue that the decrease answered, and would answer it twice.
 REPORT_AFTER_S: Final = 1.0
-MAX_CUT: Final = 0.6
+MIN_REPORT_FACTOR: Final = 0.6
 IN_USE_SHARE: Final = 0.8
 # The floor forgets slowly, so that a server that was replaced by a slower
 # one gets a new floor within minutes.
@@ -88,7 +88,9 @@
             return
         factor = self.capacity / max(1, running + queued)
         self._decreased_s = now_s
-        self._limit = max(1.0, self._limit * max(MAX_CUT, min(1.0, factor)))
+        self._limit = max(
+            1.0, self._limit * max(MIN_REPORT_FACTOR, min(1.0, factor))
+        )
 
     def record_overload(self, now_s: float) -> None:
         """Lower the limit, once for each interval."""
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
@@ -41,12 +41,12 @@
 AVERAGE_S: Final = 120.0
 # Shares follow a roll-out's steps within minutes, and a version with a few
 # requests a minute still has some in the count.
-REQUESTS_MEMORY_S: Final = 300.0
+REQUESTS_DECAY_S: Final = 300.0
 # A count that has faded to this says that the version is not in use.
-NO_REQUESTS: Final = 0.05
+MIN_COUNT: Final = 0.05
 # A mean fades for ever; below one request in a hundred looks a version has
 # no work, else its last replica would never be unloaded.
-NO_DEMAND: Final = 0.01
+MIN_DEMAND: Final = 0.01
 RUNNING: Final = "running"
 
 
@@ -77,23 +77,23 @@
 
     def add(self, version: str, requests: int, now_s: float) -> None:
         """Count what an entry reported."""
-        self._fade(now_s)
+        self._decay(now_s)
         self._counts[version] = self._counts.get(version, 0.0) + requests
 
     def shares(self, now_s: float) -> dict[str, float]:
         """Return each version's share of all recent requests."""
-        self._fade(now_s)
+        self._decay(now_s)
         total = sum(self._counts.values())
         return {v: count / total for v, count in self._counts.items()}
 
-    def _fade(self, now_s: float) -> None:
+    def _decay(self, now_s: float) -> None:
         # A wall clock may be set back; then nothing fades.
-        keep = exp(-max(0.0, now_s - self._at_s) / REQUESTS_MEMORY_S)
+        keep = exp(-max(0.0, now_s - self._at_s) / REQUESTS_DECAY_S)
         self._at_s = now_s
         self._counts = {
             version: count * keep
             for version, count in self._counts.items()
-            if count * keep > NO_REQUESTS
+            if count * keep > MIN_COUNT
         }
 
 
@@ -118,7 +118,9 @@
 
     def means(self) -> dict[str, float]:
         """Return the means of the versions that have work."""
-        return {v: mean for v, mean in self._means.items() if mean > NO_DEMAND}
+        return {
+            v: mean for v, mean in self._means.items() if mean > MIN_DEMAND
+        }
 
 
 def estimate_running(
@@ -219,7 +221,7 @@
     "FRESH_S",
     "make_demand",
     "RecentRequests",
-    "REQUESTS_MEMORY_S",
+    "REQUESTS_DECAY_S",
     "ServerReport",
     "split_busy",
     "versions_in_use",
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
@@ -67,7 +67,7 @@
         self.ejected_until_s = float("-inf")
         self.half_open = False
         self.probing = False
-        self.warm_since_s = float("-inf")
+        self.slow_start_since_s = float("-inf")
 
     def is_ejected(self, now_s: float) -> bool:
         """Tell whether the server gets no work now.
@@ -78,9 +78,9 @@
             return True
         return self.half_open and self.probing
 
-    def warmth(self, now_s: float) -> float:
+    def slow_start_factor(self, now_s: float) -> float:
         """Return the share of full load, 0 to 1, during slow start."""
-        elapsed_s = now_s - self.warm_since_s
+        elapsed_s = now_s - self.slow_start_since_s
         if elapsed_s >= SLOW_START_S:
             return 1.0
         return max(SLOW_START_FLOOR, elapsed_s / SLOW_START_S)
@@ -99,7 +99,7 @@
             # one would end the time out, a slow one double it.
             return
         self.failures = 0
-        self._learn(_bounded(latency_s, typical.latency_s))
+        self._update_average(_clip(latency_s, typical.latency_s))
         if not self.half_open:
             return
         bound_s = SLOW_RATIO * typical.latency_s
@@ -109,7 +109,7 @@
         self.half_open = self.probing = False
         self.ejections = 0
         self.samples = self.first_bytes = 0
-        self.warm_since_s = now_s
+        self.slow_start_since_s = now_s
 
     def record_failure(self, now_s: float) -> None:
         """Count a failure, but for those sent before an ejection."""
@@ -118,7 +118,7 @@
 
     def record_first_byte(self, latency_s: float, typical: Typical) -> None:
         """Learn from the time to a first byte, long before the end."""
-        latency_s = _bounded(latency_s, typical.first_byte_s)
+        latency_s = _clip(latency_s, typical.first_byte_s)
         self.first_bytes += 1
         step = max(LATENCY_STEP, 1.0 / self.first_bytes)
         self.first_byte_s += step * (latency_s - self.first_byte_s)
@@ -142,21 +142,21 @@
             return self.failures > 0
         if self.failures >= FAILURES_TO_EJECT:
             return True
-        slow = _stands_out(self.samples, self.latency_s, typical.latency_s)
-        return slow or _stands_out(
+        slow = _is_outlier(self.samples, self.latency_s, typical.latency_s)
+        return slow or _is_outlier(
             self.first_bytes, self.first_byte_s, typical.first_byte_s
         )
 
     def eject(self, now_s: float) -> None:
         """Take the server out, longer each time in a row."""
-        time_out_s = FIRST_EJECTION_S * 2**self.ejections
-        self.ejected_until_s = now_s + min(time_out_s, MAX_EJECTION_S)
+        ejection_s = FIRST_EJECTION_S * 2**self.ejections
+        self.ejected_until_s = now_s + min(ejection_s, MAX_EJECTION_S)
         self.ejections = min(self.ejections + 1, 8)
         self.half_open = True
         self.probing = False
         self.failures = 0
 
-    def _learn(self, latency_s: float) -> None:
+    def _update_average(self, latency_s: float) -> None:
         # Plain mean first: a moving average that begins with one long
         # answer would look slow for dozens of requests.
         self.samples += 1
@@ -164,13 +164,13 @@
         self.latency_s += step * (latency_s - self.latency_s)
 
 
-def _stands_out(samples: int, average_s: float, typical_s: float) -> bool:
+def _is_outlier(samples: int, average_s: float, typical_s: float) -> bool:
     if samples < MIN_SAMPLES or not typical_s:
         return False
     return average_s > max(MIN_SLOW_S, SLOW_RATIO * typical_s)
 
 
-def _bounded(latency_s: float, typical_s: float) -> float:
+def _clip(latency_s: float, typical_s: float) -> float:
     if not typical_s:
         return latency_s
     return min(latency_s, max(MIN_SLOW_S, OUTLIER_RATIO * typical_s))
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
@@ -42,10 +42,10 @@
     learner: CascadeLearner, profile: Profile, request_class: str
 ) -> list[str]:
     """Return what every plan is expected to give, the taken one marked."""
-    taken = learner.plan(profile, request_class)
+    chosen = learner.plan(profile, request_class)
     lines = [f"target {profile.quality_target:.3f} for {request_class}"]
     for plan in learner.plans(profile, request_class):
-        mark = "->" if plan == taken else "  "
+        mark = "->" if plan == chosen else "  "
         unrated = "accepts" if plan.accepts_unrated else "sends on"
         known = "" if plan.known else ", too few ratings"
         lines.append(
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
@@ -117,7 +117,7 @@
             self._classes[ticket.priority].drop(ticket)
             self._forget(ticket_id)
 
-    def late(self, now_s: float) -> list[Ticket]:
+    def overdue(self, now_s: float) -> list[Ticket]:
         """Return the requests whose latest start has passed."""
         late: list[Ticket] = []
         while self._by_latest and self._by_latest[0][0] < now_s:
@@ -127,7 +127,7 @@
                 late.append(ticket)
         return late
 
-    def walk(self) -> Iterator[tuple[Ticket, float, float]]:
+    def iter_waiting(self) -> Iterator[tuple[Ticket, float, float]]:
         """Yield each request, the work before it, its latest start."""
         for own in self._classes.values():
             rate = own.weight / self._share(own)
@@ -192,13 +192,13 @@
         self.virtual_s = start_s
         self.served += ticket.expected_s / self.share
 
-    def pop(self, known: dict[int, Ticket]) -> Ticket | None:
+    def pop(self, waiting: dict[int, Ticket]) -> Ticket | None:
         while self._order:
             virtual_s, customer = heapq.heappop(self._order)
             flow = self.flows[customer]
             if not flow.count or virtual_s != flow.virtual_s:
                 continue
-            ticket = _next_known(flow, known)
+            ticket = _pop_waiting(flow, waiting)
             if ticket is None:
                 continue
             self.charge(ticket)
@@ -226,10 +226,10 @@
         return flow
 
 
-def _next_known(flow: _Flow, known: dict[int, Ticket]) -> Ticket | None:
+def _pop_waiting(flow: _Flow, waiting: dict[int, Ticket]) -> Ticket | None:
     while flow.tickets:
         ticket = flow.tickets.popleft()
-        if ticket.ticket_id in known:
+        if ticket.ticket_id in waiting:
             return ticket
     return None
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/load_estimate.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/load_estimate.py
@@ -14,7 +14,7 @@
 from typing import Final
 
 SAMPLE_EVERY_S: Final = 0.25
-KEPT_SAMPLES: Final = 40
+MAX_SAMPLES: Final = 40
 # Others' load is trusted by half after this age: service times are of the
 # order of seconds, so what ran four seconds ago is mostly gone.
 HALF_LIFE_S: Final = 4.0
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self._samples: deque[tuple[float, int]] = deque(maxlen=KEPT_SAMPLES)
+        self._samples: deque[tuple[float, int]] = deque(maxlen=MAX_SAMPLES)
 
     def change(self, delta: int, now_s: float) -> None:
         """Count a request that started (1) or ended (-1)."""
@@ -33,7 +33,7 @@
             self._samples.append((now_s, self.in_flight))
         self.in_flight = max(0, self.in_flight + delta)
 
-    def at(self, when_s: float) -> int:
+    def count_at(self, when_s: float) -> int:
         """Return the count at a time in the recent past."""
         for index in range(len(self._samples) - 1, -1, -1):
             sampled_s, count = self._samples[index]
@@ -48,7 +48,7 @@
     """Return own requests plus what is left of others' in the report."""
     if not reported:
         return float(own.in_flight)
-    others = max(0, reported - own.at(now_s - age_s))
+    others = max(0, reported - own.count_at(now_s - age_s))
     return own.in_flight + others * 0.5 ** (age_s / HALF_LIFE_S)
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
@@ -16,9 +16,9 @@
 
 # Evidence against a version is acted on at this probability of a false
 # stop for one roll-out; a user who fears exposure more accepts more.
-FALSE_STOP: Final = 0.0005
-MAX_FALSE_STOP: Final = 0.0008
-MIN_FALSE_STOP: Final = 0.0002
+FALSE_STOP_PROBABILITY: Final = 0.0005
+MAX_FALSE_STOP_PROBABILITY: Final = 0.0008
+MIN_FALSE_STOP_PROBABILITY: Final = 0.0002
 
 
 def penalty(
@@ -37,8 +37,11 @@
     total = objective.cost_weight + objective.latency_weight
     total += objective.exposure_weight
     share = objective.exposure_weight / total if total else 1.0 / 3.0
-    probability = FALSE_STOP * 3.0 * share
-    return min(max(probability, MIN_FALSE_STOP), MAX_FALSE_STOP)
+    probability = FALSE_STOP_PROBABILITY * 3.0 * share
+    return min(
+        max(probability, MIN_FALSE_STOP_PROBABILITY),
+        MAX_FALSE_STOP_PROBABILITY,
+    )
 
 
 __all__ = ["false_stop_probability", "penalty"]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/pass_rates.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/pass_rates.py
@@ -18,10 +18,10 @@
 
 # Ratings kept in effect: enough for a standard error of 1.5 points at a
 # pass rate of 0.9, few enough to follow a drift within a day.
-MEMORY_RATINGS: Final = 400.0
+MAX_EFFECTIVE_RATINGS: Final = 400.0
 # What the model's other versions showed counts as this many ratings of a
 # new version: it starts where they stand and is soon judged by its own.
-BORROWED_RATINGS: Final = 8.0
+MODEL_PRIOR_RATINGS: Final = 8.0
 # Nothing known at all: one pass and one failure, the uniform prior.
 PRIOR_PASSED: Final = 1.0
 PRIOR_RATINGS: Final = 2.0
@@ -46,7 +46,7 @@
     """Counts by version (or any subject) and request class."""
 
     def __init__(self) -> None:
-        self._rated: dict[tuple[str, str], _Faded] = {}
+        self._rated: dict[tuple[str, str], _DecayingCounts] = {}
         self._cost: dict[tuple[str, str], float] = {}
         self._latency: dict[tuple[str, str], float] = {}
 
@@ -60,22 +60,22 @@
         """Take in several ratings at once, as another entry tells them."""
         for name in (subject, _model(subject)):
             key = self._key(name, request_class)
-            self._rated.setdefault(key, _Faded()).add(passed, ratings)
+            self._rated.setdefault(key, _DecayingCounts()).add(passed, ratings)
 
     def observe_use(
         self, subject: str, request_class: str, cost: float, latency: float
     ) -> None:
         """Take in what one answer cost, rated or not."""
         key = self._key(subject, request_class)
-        _average(self._cost, key, cost)
-        _average(self._latency, key, latency)
+        _update_average(self._cost, key, cost)
+        _update_average(self._latency, key, latency)
 
     def rate(self, subject: str, request_class: str) -> PassRate:
         """Return the estimate with its prior."""
         passed, ratings = PRIOR_PASSED, PRIOR_RATINGS
         model = self._rated.get((_model(subject), request_class))
         if model is not None and model.ratings:
-            borrowed = min(BORROWED_RATINGS, model.ratings)
+            borrowed = min(MODEL_PRIOR_RATINGS, model.ratings)
             passed += borrowed * model.passed / model.ratings
             ratings += borrowed
         own = self._rated.get((subject, request_class))
@@ -102,7 +102,7 @@
         return key
 
 
-class _Faded:
+class _DecayingCounts:
     """Passed and rated, older ones fading."""
 
     def __init__(self) -> None:
@@ -112,8 +112,8 @@
     def add(self, passed: int, ratings: int) -> None:
         # Of a batch larger than the memory only its share counts: what
         # 300 entries rate in two seconds must not outweigh it.
-        kept = min(float(ratings), MEMORY_RATINGS)
-        keep = 1.0 - kept / MEMORY_RATINGS
+        kept = min(float(ratings), MAX_EFFECTIVE_RATINGS)
+        keep = 1.0 - kept / MAX_EFFECTIVE_RATINGS
         self.passed = self.passed * keep + kept * passed / ratings
         self.ratings = self.ratings * keep + kept
 
@@ -122,7 +122,7 @@
     return subject.partition(VERSION_SEPARATOR)[0]
 
 
-def _average(
+def _update_average(
     values: dict[tuple[str, str], float], key: tuple[str, str], value: float
 ) -> None:
     known = values.get(key)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
@@ -35,7 +35,7 @@
 CHURN_WINDOW_S: Final = 600.0
 # A replica stays at least this long: a load that is undone within ten
 # minutes cost more than it served.
-MIN_STAY_S: Final = 600.0
+MIN_REPLICA_AGE_S: Final = 600.0
 
 
 class ServerSlots(NamedTuple):
@@ -101,8 +101,8 @@
     allowed = limits.max_changes - len(recent)
     loads = limits.loads_at_once - sum(len(s.loading) for s in servers)
     orders: list[Order] = []
-    room = {s.name: _room(s) for s in servers}
-    for version in _most_wanting(servers, demand, withdrawn):
+    room = {s.name: _free_room(s) for s in servers}
+    for version in _versions_lacking_replicas(servers, demand, withdrawn):
         if len(orders) >= allowed or loads < 1:
             break
         added = _add_replica(servers, demand, withdrawn, version, room, now_s)
@@ -125,7 +125,7 @@
     return max(least, ceil(demand.running / capacity / TARGET_UTILISATION))
 
 
-def _most_wanting(
+def _versions_lacking_replicas(
     servers: Sequence[ServerSlots],
     demand: Mapping[str, Demand],
     withdrawn: Collection[str],
@@ -153,7 +153,7 @@
     now_s: float,
 ) -> list[Order]:
     reason = f"demand {demand[version].running:.1f} running"
-    others = [s for s in servers if not _has(s, version)]
+    others = [s for s in servers if not _holds(s, version)]
     free = [s for s in others if room[s.name] > 0]
     if free:
         chosen = max(free, key=lambda s: room[s.name])
@@ -163,9 +163,9 @@
     if found is None:
         return []
     server, unloaded = found
-    why = f"makes room for {version}"
+    unload_reason = f"makes room for {version}"
     return [
-        Order("unload", server, unloaded, why),
+        Order("unload", server, unloaded, unload_reason),
         Order("load", server, version, reason),
     ]
 
@@ -183,10 +183,10 @@
         for version, since_s in server.loaded_since_s.items():
             if server.in_flight.get(version, 0) or version in server.loading:
                 continue
-            if now_s - since_s < MIN_STAY_S:
+            if now_s - since_s < MIN_REPLICA_AGE_S:
                 continue
             wants = demand.get(version)
-            spare = _spare(servers, version, wants, version in withdrawn)
+            spare = _is_spare(servers, version, wants, version in withdrawn)
             if spare:
                 running = wants.running if wants else 0.0
                 options.append(
@@ -198,7 +198,7 @@
     return name, version
 
 
-def _spare(
+def _is_spare(
     servers: Sequence[ServerSlots],
     version: str,
     wants: Demand | None,
@@ -211,14 +211,14 @@
 
 
 def _replicas(servers: Sequence[ServerSlots], version: str) -> int:
-    return sum(_has(server, version) for server in servers)
+    return sum(_holds(server, version) for server in servers)
 
 
-def _has(server: ServerSlots, version: str) -> bool:
+def _holds(server: ServerSlots, version: str) -> bool:
     return version in server.loaded_since_s or version in server.loading
 
 
-def _room(server: ServerSlots) -> int:
+def _free_room(server: ServerSlots) -> int:
     return server.room - len(server.loaded_since_s) - len(server.loading)
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/prefill.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/prefill.py
@@ -31,10 +31,10 @@
 STEP: Final = 0.1
 # Before anything was seen: the middle of what today's engines do on their
 # smallest and largest models.
-UNKNOWN_S_PER_TOKEN: Final = 1 / 100_000
+DEFAULT_S_PER_TOKEN: Final = 1 / 100_000
 # A model that nothing was seen of yet reads more slowly than the one below
 # it; today's differ by 2.7 and 3.8.
-SLOWER_THAN_BELOW: Final = 3.0
+SLOWDOWN_PER_SIZE: Final = 3.0
 MAX_RATES: Final = 256
 # Engines know ten ranks. The first one is for readings that hold nobody up;
 # each further one for twice as long, so that the tenth begins at 3.8 s.
@@ -79,11 +79,11 @@
             known = self._s_per_token.get((service, model))
             if known is not None:
                 return tokens * known * factor
-            factor *= SLOWER_THAN_BELOW
-        return tokens * UNKNOWN_S_PER_TOKEN * factor / SLOWER_THAN_BELOW
+            factor *= SLOWDOWN_PER_SIZE
+        return tokens * DEFAULT_S_PER_TOKEN * factor / SLOWDOWN_PER_SIZE
 
 
-def engine_rank(read_s: float, priority: int, left_s: float) -> int:
+def engine_rank(prefill_s: float, priority: int, left_s: float) -> int:
     """Return the rank at the engine, 0 is served first.
 
     ``priority`` is what the operator declared, 0 is the highest: among
@@ -96,11 +96,11 @@
     >>> engine_rank(0.1, 2, 2.0), engine_rank(0.1, 0, 0.05)
     (5, 9)
     """
-    if read_s > left_s:
+    if prefill_s > left_s:
         return RANKS - 1
     rank = max(0, priority)
-    while read_s >= FIRST_RANK_S and rank < RANKS - 1:
-        read_s /= 2
+    while prefill_s >= FIRST_RANK_S and rank < RANKS - 1:
+        prefill_s /= 2
         rank += 1
     return min(rank, RANKS - 1)
 
@@ -111,5 +111,5 @@
     "MIN_TOKENS",
     "RANKS",
     "PrefillRates",
-    "UNKNOWN_S_PER_TOKEN",
+    "DEFAULT_S_PER_TOKEN",
 ]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
@@ -17,7 +17,7 @@
 # An entry of today sees some four first events a second; over 1.5 s their
 # mean is off by a third where single prompts differ by a factor of ten,
 # and a burst shows within its first seconds.
-MEMORY_S: Final = 1.5
+DECAY_TIME_S: Final = 1.5
 
 
 class QueueDelay:
@@ -30,21 +30,21 @@
 
     def observe(self, now_s: float, waited_s: float) -> None:
         """Take in how long a request waited, or has waited in vain."""
-        self._fade(now_s)
+        self._decay(now_s)
         self._weight += 1.0
         self._sum_s += max(0.0, waited_s)
 
     def delay_s(self, now_s: float) -> float:
         """Return the wait to expect; nothing seen for long is no wait."""
-        self._fade(now_s)
+        self._decay(now_s)
         # One more observation without a wait stands for what is not known.
         return self._sum_s / (self._weight + 1.0)
 
-    def _fade(self, now_s: float) -> None:
-        factor = math.exp(-max(0.0, now_s - self._at_s) / MEMORY_S)
+    def _decay(self, now_s: float) -> None:
+        factor = math.exp(-max(0.0, now_s - self._at_s) / DECAY_TIME_S)
         self._weight *= factor
         self._sum_s *= factor
         self._at_s = now_s
 
 
-__all__ = ["MEMORY_S", "QueueDelay"]
+__all__ = ["DECAY_TIME_S", "QueueDelay"]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
@@ -54,8 +54,8 @@
     def __init__(self, idle_s: float) -> None:
         self._idle_s = idle_s
         self._seen: dict[tuple[str, int], float] = {}
-        self._staying: dict[Step, set[int]] = {}
-        self._begun: set[Step] = set()
+        self._retained: dict[Step, set[int]] = {}
+        self._begun_steps: set[Step] = set()
 
     def record_served(self, service: str, place: int, now_s: float) -> None:
         """Note a session that the version in use serves."""
@@ -72,12 +72,12 @@
         self, step: Step, share: float, now_s: float
     ) -> tuple[int, ...]:
         """Return the places to tell the others, once for a step."""
-        if step in self._begun:
+        if step in self._begun_steps:
             return ()
-        if len(self._begun) >= MAX_STEPS:
-            self._begun.clear()
-            self._staying.clear()
-        self._begun.add(step)
+        if len(self._begun_steps) >= MAX_STEPS:
+            self._begun_steps.clear()
+            self._retained.clear()
+        self._begun_steps.add(step)
         self._forget_idle(now_s)
         places = {
             place
@@ -89,16 +89,16 @@
 
     def retain(self, step: Step, places: Iterable[int]) -> tuple[int, ...]:
         """Let sessions stay; return those that did not before."""
-        staying = self._staying.setdefault(step, set())
-        if len(staying) >= MAX_RETAINED:
+        retained = self._retained.setdefault(step, set())
+        if len(retained) >= MAX_RETAINED:
             return ()
-        added = set(places) - staying
-        staying |= added
+        added = set(places) - retained
+        retained |= added
         return tuple(added)
 
     def is_retained(self, step: Step, place: int) -> bool:
         """Tell whether a session goes on with the version in use."""
-        return place in self._staying.get(step, ())
+        return place in self._retained.get(step, ())
 
     def _forget_idle(self, now_s: float) -> None:
         until_s = now_s - self._idle_s
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
@@ -95,7 +95,7 @@
         worst = max(harmful, key=_strength)
         reason = f"worse {worst.signal} than the old version"
         return Stop(reason, tuple(e.text() for e in harmful))
-    return _pace(old, new, rollout, now_s, start, evidence)
+    return _step_verdict(old, new, rollout, now_s, start, evidence)
 
 
 class RolloutMonitor:
@@ -169,7 +169,7 @@
         return True
 
 
-def _pace(
+def _step_verdict(
     old: VersionStats,
     new: VersionStats,
     rollout: Rollout,
@@ -183,9 +183,9 @@
         return Continue(f"{elapsed_s:.0f} s of {step_s:.0f} s")
     requests = new.requests - start.requests
     if rollout.patience_s:
-        doubt = _doubt(old, new)
+        doubt = _strongest_sign_of_harm(old, new)
         if elapsed_s >= step_s + rollout.patience_s:
-            return _at_limit(requests, doubt)
+            return _verdict_at_limit(requests, doubt)
         if doubt.log_evidence >= DOUBT_LOG_EVIDENCE:
             return Continue(f"in doubt {doubt.text()}")
     if requests < rollout.min_samples:
@@ -202,7 +202,7 @@
     return Advance(f"healthy after {requests} requests, {rated} rated")
 
 
-def _doubt(old: VersionStats, new: VersionStats) -> Evidence:
+def _strongest_sign_of_harm(old: VersionStats, new: VersionStats) -> Evidence:
     """Return the strongest sign of harm, proof or not."""
     evidence = compare_all(old, new, DOUBT_DEVIATIONS)
     overall = evidence[0]
@@ -214,7 +214,7 @@
     return max(clear, key=_strength, default=overall)
 
 
-def _at_limit(requests: int, worst: Evidence) -> Verdict:
+def _verdict_at_limit(requests: int, worst: Evidence) -> Verdict:
     """Decide on what is there, as the step may not wait any longer.
 
     A roll-out with a time limit that is stopped wrongly is ordered again;
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-DRAWN: Final = 2
+SAMPLE_SIZE: Final = 2
 # Draws before every candidate is looked at; with a third of them out,
 # eight draws miss two usable servers once in a few thousand choices.
 MAX_DRAWS: Final = 8
@@ -51,7 +51,7 @@
 AFFINITY_OWNERS: Final = 2
 # The pool's typical latency is learned from servers' averages, each time
 # over this many answers, so that the median needs no sort on each choice.
-TYPICAL_EVERY: Final = 32
+TYPICAL_UPDATE_ANSWERS: Final = 32
 
 
 class ServerSelector:
@@ -85,16 +85,21 @@
         Given the same sequence again, the index by name is used again: a
         caller makes a new one when reports come, and changes none.
         """
-        drawn = self._draw(candidates, now_s, exclude)
+        drawn = self._sample(candidates, now_s, exclude)
         if not drawn:
             return None
         scored = [(self._score(c, now_s), c.name) for c in drawn]
         best_score, best = min(scored)
         if affinity_key is None:
             return best
-        bound = best_score * AFFINITY_GAIN + AFFINITY_SLACK * self._unit()
-        for candidate in self._near(candidates, affinity_key, now_s):
-            if not self._usable(candidate, now_s, exclude):
+        bound = (
+            best_score * AFFINITY_GAIN
+            + AFFINITY_SLACK * self._latency_unit_s()
+        )
+        for candidate in self._affinity_candidates(
+            candidates, affinity_key, now_s
+        ):
+            if not self._is_usable(candidate, now_s, exclude):
                 continue
             if self._score(candidate, now_s) <= bound:
                 return candidate.name
@@ -108,9 +113,9 @@
     ) -> tuple[Choice, ...]:
         """Return every candidate's score and state, lowest score first."""
         for candidate in candidates:
-            self._known(candidate)
+            self._sync_server(candidate)
         choices = [
-            Choice(c.name, self._state(c, now_s, exclude), ())
+            Choice(c.name, self._candidate_state(c, now_s, exclude), ())
             for c in sorted(candidates, key=lambda c: self._score(c, now_s))
         ]
         scores = tuple((c.name, self._score(c, now_s)) for c in candidates)
@@ -141,7 +146,7 @@
         if outcome == "ok":
             server.limit.record_success(now_s, in_flight)
             server.health.record_success(now_s, latency_s, self._typical)
-            self._learn_typical()
+            self._update_typical()
         elif outcome == "overloaded":
             # A refusal says that the server is full, not that it fails:
             # ejecting it would push its load onto the others.
@@ -172,20 +177,20 @@
         """
         total = 0
         for candidate in candidates:
-            server = self._known(candidate)
+            server = self._sync_server(candidate)
             server.limit.record_report(
                 now_s, candidate.running, candidate.queued, candidate.age_s
             )
             if not server.health.is_ejected(now_s):
-                warmth = server.health.warmth(now_s)
-                total += max(1, int(server.limit.limit * warmth))
+                slow_start_factor = server.health.slow_start_factor(now_s)
+                total += max(1, int(server.limit.limit * slow_start_factor))
         return total
 
     def cache_event(
         self, name: str, prefix_keys: Sequence[str], stored: bool, now_s: float
     ) -> None:
         """Take in a hint that the server holds, or lost, prefixes."""
-        self._hints.event(name, prefix_keys, stored, now_s)
+        self._hints.record_event(name, prefix_keys, stored, now_s)
 
     def forget(self, name: str) -> None:
         """Drop the state of a server that left for good."""
@@ -203,7 +208,7 @@
             for name, server in self._servers.items()
         }
 
-    def _draw(
+    def _sample(
         self,
         candidates: Sequence[Candidate],
         now_s: float,
@@ -211,51 +216,55 @@
     ) -> list[Candidate]:
         drawn: list[Candidate] = []
         count = len(candidates)
-        for _ in range(MAX_DRAWS if count > DRAWN else 0):
+        for _ in range(MAX_DRAWS if count > SAMPLE_SIZE else 0):
             candidate = candidates[int(self._random.random() * count)]
             if candidate in drawn:
                 continue
-            if self._usable(candidate, now_s, exclude):
+            if self._is_usable(candidate, now_s, exclude):
                 drawn.append(candidate)
-                if len(drawn) == DRAWN:
+                if len(drawn) == SAMPLE_SIZE:
                     return drawn
-        usable = [c for c in candidates if self._usable(c, now_s, exclude)]
+        usable = [c for c in candidates if self._is_usable(c, now_s, exclude)]
         if not usable:
             # Admission bounds the sum; a limit that shrank since must not
             # turn a request that was let in into an error.
-            usable = [c for c in candidates if self._is_in(c, now_s, exclude)]
-        if len(usable) <= DRAWN:
+            usable = [
+                c for c in candidates if self._is_eligible(c, now_s, exclude)
+            ]
+        if len(usable) <= SAMPLE_SIZE:
             return usable
-        return self._random.sample(usable, DRAWN)
+        return self._random.sample(usable, SAMPLE_SIZE)
 
-    def _usable(
+    def _is_usable(
         self, candidate: Candidate, now_s: float, exclude: frozenset[str]
     ) -> bool:
-        if not self._is_in(candidate, now_s, exclude):
+        if not self._is_eligible(candidate, now_s, exclude):
             return False
         server = self._servers[candidate.name]
-        limit = server.limit.limit * server.health.warmth(now_s)
+        limit = server.limit.limit * server.health.slow_start_factor(now_s)
         return server.own.in_flight < limit or server.own.in_flight < 1
 
-    def _is_in(
+    def _is_eligible(
         self, candidate: Candidate, now_s: float, exclude: frozenset[str]
     ) -> bool:
         if candidate.name in exclude:
             return False
-        return not self._known(candidate).health.is_ejected(now_s)
+        return not self._sync_server(candidate).health.is_ejected(now_s)
 
     def _score(self, candidate: Candidate, now_s: float) -> float:
         server = self._servers[candidate.name]
         reported = candidate.running + candidate.queued
         load = estimated_load(server.own, reported, candidate.age_s, now_s)
         latency_s = server.health.expected_s(self._typical)
-        warmth = server.health.warmth(now_s)
-        return (load + 1.0) / (candidate.capacity * warmth) * latency_s
+        slow_start_factor = server.health.slow_start_factor(now_s)
+        return (
+            (load + 1.0) / (candidate.capacity * slow_start_factor) * latency_s
+        )
 
-    def _unit(self) -> float:
+    def _latency_unit_s(self) -> float:
         return self._typical.latency_s or 1.0
 
-    def _near(
+    def _affinity_candidates(
         self,
         candidates: Sequence[Candidate],
         key: str,
@@ -280,7 +289,7 @@
             ring.set_names(names)
         self._ring = ring
 
-    def _state(
+    def _candidate_state(
         self, candidate: Candidate, now_s: float, exclude: frozenset[str]
     ) -> str:
         server = self._servers[candidate.name]
@@ -288,15 +297,15 @@
             return "tried before"
         if server.health.is_ejected(now_s):
             return "ejected"
-        if not self._usable(candidate, now_s, exclude):
+        if not self._is_usable(candidate, now_s, exclude):
             return "at its limit"
-        if server.health.warmth(now_s) < 1.0:
+        if server.health.slow_start_factor(now_s) < 1.0:
             return "slow start"
         return "usable"
 
-    def _learn_typical(self) -> None:
+    def _update_typical(self) -> None:
         self._answers += 1
-        if self._answers % TYPICAL_EVERY and self._typical.latency_s:
+        if self._answers % TYPICAL_UPDATE_ANSWERS and self._typical.latency_s:
             return
         known = [s.health for s in self._servers.values() if s.health.samples]
         self._typical = Typical(
@@ -310,8 +319,8 @@
         if server.health.half_open:
             server.health.eject(now_s)
             return
-        out = sum(s.health.half_open for s in self._servers.values())
-        if out + 1 <= len(self._servers) * MAX_EJECTED_SHARE:
+        ejected = sum(s.health.half_open for s in self._servers.values())
+        if ejected + 1 <= len(self._servers) * MAX_EJECTED_SHARE:
             server.health.eject(now_s)
 
     def _server(self, name: str) -> _Server:
@@ -320,7 +329,7 @@
             server = self._servers[name] = _Server(1)
         return server
 
-    def _known(self, candidate: Candidate) -> _Server:
+    def _sync_server(self, candidate: Candidate) -> _Server:
         server = self._server(candidate.name)
         if candidate.capacity != server.limit.capacity:
             server.limit.set_capacity(candidate.capacity)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
@@ -67,8 +67,8 @@
     at the servers now, as a share of their aim.
     """
     between = 0 < size < len(sizes) - 1
-    least = ACCEPT_AFTER_NEAR_MISS if between else ACCEPT_CONFIDENCE
-    accept = least * max(0.0, 1.0 - strain / FULL_STRAIN)
+    threshold = ACCEPT_AFTER_NEAR_MISS if between else ACCEPT_CONFIDENCE
+    accept = threshold * max(0.0, 1.0 - strain / FULL_STRAIN)
     if confidence is None or confidence >= accept:
         return None
     if size + 1 >= len(sizes) or attempts_left < 1:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/stopping.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/stopping.py
@@ -14,7 +14,7 @@
 
 # One answer in nine takes longer than the longest of the eight before it;
 # with as much again as a half, one in some thirty.
-MARGIN: Final = 1.5
+DURATION_MARGIN: Final = 1.5
 
 
 def may_outlast_stop(
@@ -31,7 +31,7 @@
     >>> goes_elsewhere(6.0, 5.0, 8.5)
     False
     """
-    return ends_in_s < min(patience_s, longest_s * MARGIN)
+    return ends_in_s < min(patience_s, longest_s * DURATION_MARGIN)
 
 
 __all__ = ["may_outlast_stop"]
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_stats.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_stats.py
@@ -80,8 +80,8 @@
     counts = known.latency_counts
     latency_sum_ms = known.latency_sum_ms
     if not failed:
-        place = bisect_left(LATENCY_EDGES_MS, latency_ms)
-        counts = (*counts[:place], counts[place] + 1, *counts[place + 1 :])
+        bucket = bisect_left(LATENCY_EDGES_MS, latency_ms)
+        counts = (*counts[:bucket], counts[bucket] + 1, *counts[bucket + 1 :])
         latency_sum_ms += latency_ms
     stats.strata[stratum] = ClassStats(
         requests=known.requests + 1,
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
@@ -21,7 +21,7 @@
 from sycamorestand_decisions.comparison import Evidence
 from sycamorestand_decisions.comparison import MIN_TOTAL
 from sycamorestand_decisions.comparison import PAST_SIGNALS
-from sycamorestand_decisions.comparison import rise
+from sycamorestand_decisions.comparison import rate_increase
 from sycamorestand_decisions.comparison import Signal
 from sycamorestand_decisions.verdicts import Continue
 from sycamorestand_decisions.verdicts import Stop
@@ -32,17 +32,17 @@
 from sycamorestand_decisions.version_stats import Stratum
 from sycamorestand_decisions.version_stats import VersionStats
 
-LIMIT: Final = log(1e6)
-SUSPECT: Final = log(100.0)
+STOP_LOG_EVIDENCE: Final = log(1e6)
+SUSPECT_LOG_EVIDENCE: Final = log(100.0)
 # Recent blocks of ten minutes that are looked at together: one finds a
 # sudden failure, six (an hour) one under little traffic or in one class.
 WINDOWS: Final = (1, 3, 6)
 # A past of fewer requests is no measure: what is slow for a version, for
 # example, would come from a few dozen answers.
-MIN_PAST: Final = 1_000
+MIN_PAST_REQUESTS: Final = 1_000
 # The past that counts as normal. It ends before the longest window, so
 # that a slow fall does not become what is normal.
-PAST_REQUESTS: Final = 20_000
+MAX_PAST_REQUESTS: Final = 20_000
 
 
 class VersionWatch:
@@ -65,30 +65,30 @@
     def check(self, now_s: float) -> dict[str, Continue | Stop]:
         """Return a verdict for each version that does not look healthy."""
         block = int(now_s // BLOCK_S)
-        self._age(block)
+        self._move_to_past(block)
         verdicts: dict[str, Continue | Stop] = {}
         for version in self._recent:
-            verdict = self._judge(version, block)
+            verdict = self._evaluate(version, block)
             if verdict is not None:
                 verdicts[version] = verdict
         return verdicts
 
-    def _judge(self, version: str, block: int) -> Continue | Stop | None:
+    def _evaluate(self, version: str, block: int) -> Continue | Stop | None:
         past = self._past.get(version)
-        if past is None or past.requests < MIN_PAST:
+        if past is None or past.requests < MIN_PAST_REQUESTS:
             return None
         found: list[Evidence] = []
         unconfirmed: list[Evidence] = []
         for window in WINDOWS:
             recent = select(self._recent[version], None, block - window + 1)
             for signal in PAST_SIGNALS:
-                common = self._common_rise(version, signal, block, window)
+                common = self._common_increase(version, signal, block, window)
                 extra = max(0.0, common or 0.0)
                 evidence = compare(past, recent, signal, extra, False)
                 (unconfirmed if common is None else found).extend(evidence)
         return _verdict(found, unconfirmed)
 
-    def _common_rise(
+    def _common_increase(
         self, version: str, signal: Signal, block: int, window: int
     ) -> float | None:
         """Return the rise in the other versions, None where none tells."""
@@ -98,13 +98,13 @@
             if other == version or past is None:
                 continue
             recent = select(counts, None, block - window + 1)
-            risen, total = rise(past, recent, signal)
+            increase, total = rate_increase(past, recent, signal)
             if total >= MIN_TOTAL:
-                weighted += risen * total
+                weighted += increase * total
                 totals += total
         return weighted / totals if totals else None
 
-    def _age(self, block: int) -> None:
+    def _move_to_past(self, block: int) -> None:
         first_recent = block - max(WINDOWS) + 1
         for version, counts in self._recent.items():
             old = select(counts, None, None, first_recent)
@@ -112,7 +112,7 @@
                 continue
             self._recent[version] = select(counts, None, first_recent)
             past = self._past.get(version, VersionStats({}))
-            self._past[version] = _fade(merge((past, _one_block(old))))
+            self._past[version] = _cap_past(merge((past, _one_block(old))))
 
 
 def _one_block(stats: VersionStats) -> VersionStats:
@@ -123,11 +123,11 @@
     )
 
 
-def _fade(stats: VersionStats) -> VersionStats:
+def _cap_past(stats: VersionStats) -> VersionStats:
     total = stats.requests
-    if total <= PAST_REQUESTS:
+    if total <= MAX_PAST_REQUESTS:
         return stats
-    keep = PAST_REQUESTS / total
+    keep = MAX_PAST_REQUESTS / total
     faded = {s: _scaled(c, keep) for s, c in stats.strata.items()}
     return VersionStats(faded)
 
@@ -146,17 +146,17 @@
 def _verdict(
     found: list[Evidence], unconfirmed: list[Evidence]
 ) -> Continue | Stop | None:
-    harmful = [e for e in found if e.log_evidence >= LIMIT]
+    harmful = [e for e in found if e.log_evidence >= STOP_LOG_EVIDENCE]
     if harmful:
         worst = max(harmful, key=lambda e: e.log_evidence)
         reason = f"worse {worst.signal} than in its own past"
         return Stop(reason, tuple(e.text() for e in harmful))
     for evidence in unconfirmed:
-        if evidence.log_evidence >= LIMIT:
+        if evidence.log_evidence >= STOP_LOG_EVIDENCE:
             text = "no other version tells the rating service or network"
             return Continue(f"{text} from the version: {evidence.text()}")
     for evidence in found:
-        if evidence.log_evidence >= SUSPECT:
+        if evidence.log_evidence >= SUSPECT_LOG_EVIDENCE:
             return Continue(f"suspect {evidence.text()}")
     return None
 
--- a/packages/sycamorestand-decisions/tests/test_placement.py
+++ b/packages/sycamorestand-decisions/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 from sycamorestand_decisions.placement import Demand
 from sycamorestand_decisions.placement import Limits
-from sycamorestand_decisions.placement import MIN_STAY_S
+from sycamorestand_decisions.placement import MIN_REPLICA_AGE_S
 from sycamorestand_decisions.placement import Order
 from sycamorestand_decisions.placement import plan_orders
 from sycamorestand_decisions.placement import ServerSlots
@@ -70,7 +70,9 @@
         assert not plan_orders(servers, {"new@1": Demand(4, 8)}, (), (), NOW_S)
 
     def test_a_fresh_replica_stays(self) -> None:
-        servers = [ServerSlots("a", 1, {"idle@1": NOW_S - MIN_STAY_S / 2})]
+        servers = [
+            ServerSlots("a", 1, {"idle@1": NOW_S - MIN_REPLICA_AGE_S / 2})
+        ]
         assert not plan_orders(servers, {"new@1": Demand(4, 8)}, (), (), NOW_S)
 
     def test_withdrawn_versions_are_never_loaded(self) -> None:
--- a/packages/sycamorestand-decisions/tests/test_prefill.py
+++ b/packages/sycamorestand-decisions/tests/test_prefill.py
@@ -26,7 +26,7 @@
     kind: str
 
 
-class TestReadingRates:
+class TestPrefillRates:
     def test_learns_the_rate_behind_the_waits(self) -> None:
         """Half of the requests wait, some for seconds."""
         random = Random(5)
@@ -34,8 +34,8 @@
         for _ in range(300):
             tokens = int(random.lognormvariate(8.5, 0.8))
             wait_s = random.expovariate(2.0) if random.random() < 0.5 else 0.0
-            read_s = tokens * LARGE_S
-            rates.observe("words", "large", tokens, read_s + wait_s)
+            prefill_s = tokens * LARGE_S
+            rates.observe("words", "large", tokens, prefill_s + wait_s)
         expected = rates.prefill_s("words", SIZES, 2, 10_000)
         assert expected == pytest.approx(10_000 * LARGE_S, rel=0.5)
 
--- a/packages/sycamorestand-decisions/tests/test_queue_delay.py
+++ b/packages/sycamorestand-decisions/tests/test_queue_delay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sycamorestand_decisions.queue_delay import MEMORY_S
+from sycamorestand_decisions.queue_delay import DECAY_TIME_S
 from sycamorestand_decisions.queue_delay import QueueDelay
 
 
@@ -37,7 +37,7 @@
     def test_without_requests_it_fades(self) -> None:
         delay = QueueDelay()
         delay.observe(0.0, 4.0)
-        assert delay.delay_s(10 * MEMORY_S) < 0.01
+        assert delay.delay_s(10 * DECAY_TIME_S) < 0.01
 
     @pytest.mark.parametrize("waited_s", [-3.0, 0.0])
     def test_a_prompt_read_faster_than_thought_is_no_wait(
--- a/packages/sycamorestand-decisions/tests/test_shared_ratings.py
+++ b/packages/sycamorestand-decisions/tests/test_shared_ratings.py
@@ -4,7 +4,7 @@
 
 from sycamorestand_decisions.cascade import CascadeLearner
 from sycamorestand_decisions.cascade import StepPrice
-from sycamorestand_decisions.pass_rates import MEMORY_RATINGS
+from sycamorestand_decisions.pass_rates import MAX_EFFECTIVE_RATINGS
 from sycamorestand_decisions.pass_rates import PassRates
 from sycamorestand_model.declarations import CascadeStep
 from sycamorestand_model.declarations import Profile
@@ -70,5 +70,5 @@
         rates = PassRates()
         rates.observe_counts("small@1", CLASS, 9_000, 10_000)
         found = rates.rate("small@1", CLASS)
-        assert found.ratings <= MEMORY_RATINGS
+        assert found.ratings <= MAX_EFFECTIVE_RATINGS
         assert 0.88 < found.mean < 0.91
