--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/__init__.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure functions over explicit state and time."""
+"""Decision functions for load; state and time are explicit arguments."""
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
@@ -1,28 +1,27 @@
-"""Admission: what starts, what waits and for how long, what is refused.
+"""Admission control: start, queue or refuse the requests of each pool.
 
-The load patterns are a burst, a few customers that send most of the load,
-and saturation. Without admission every request is sent on at once: the
-backend servers queue first come first served, a flooding customer fills
-that queue for all others, and answers come after their deadlines, so that
-the servers are busy with work that nobody waits for.
+Admission control handles bursts, saturation, and customers that send most of
+the load. Without it, every request goes to a backend server at once. The
+servers queue first come, first served, a customer that floods the queue delays
+all others, and answers arrive after their deadlines, so the servers spend
+their time on work that no caller waits for.
 
 Each pool (a model version or a service) has a number of slots. A request
-starts while a slot is free; otherwise it waits in the queue of its
-customer. Freed slots go to the priority, and inside it to the customer,
-that has had the least service for its weight (start-time fair queueing).
-A request that cannot start early enough to be answered by its deadline is
-refused when it is offered, with the time after which to come back; one
-that waits is refused as soon as that becomes true for it.
-
-Thresholds, shown by ``dev/bench decisions --scenario burst`` and
-``--scenario saturation-3x``:
-
-* `MAX_WAIT_S`: a longer wait adds latency and no throughput, since the
-  slots are busy anyway. With 6 s a burst of five times the load is cleared
-  15 s after it began; 4 s answers four points fewer of its requests, and
-  without a bound it takes 25 s.
-* `BATCH_SHARE`: batch work gets a tenth of the starts under pressure,
-  enough not to starve, too little for interactive callers to notice.
+starts while a slot is free; otherwise it waits in the queue of its customer. A
+freed slot goes to the priority, and within it to the customer, that has
+received the least service relative to its weight (start-time fair queueing). A
+request that cannot start early enough to meet its deadline is refused when it
+is offered, together with the time after which to retry. A request that already
+waits is refused as soon as it can no longer start in time.
+
+* `MAX_WAIT_S` bounds the wait, because a longer wait adds latency but no
+  throughput: the slots are busy anyway. With 6 s, a burst of five times the
+  load is cleared 15 s after it began. With 4 s, four percentage points fewer
+  of the burst's requests are answered; without a bound, clearing the burst
+  takes 25 s.
+* `BATCH_SHARE` gives batch work a tenth of the starts under pressure. That
+  prevents starvation of batch work and is too little for interactive callers
+  to notice.
 """
 
 from __future__ import annotations
@@ -36,33 +35,34 @@
 from sycamorestand_decisions.service_times import ServiceTimes
 
 MAX_WAIT_S: Final = {"interactive": 6.0, "batch": 60.0}
-# A request waits only if it is expected to start with this part of its
-# slack: shares fall as other customers come, and a request that was let
-# in and refused later has waited for nothing.
+# A request waits only if it is expected to start within this share of its
+# slack. Shares shrink as other customers arrive, and a request that is
+# admitted and refused later has waited in vain.
 ADMIT_SLACK_SHARE: Final = 0.6
-# Expected times are off by a factor of two either way: with a slot free,
-# only what would not fit at half its expected time is refused.
+# Expected service times are off by a factor of up to two in both directions.
+# While a slot is free, admission refuses only a request that would miss its
+# deadline at half its expected time.
 MIN_SERVICE_SHARE: Final = 0.5
-# A long request may wait this long for the next free slot, as it would
-# have been started with a slot free.
+# A long request may wait this long for the next free slot, since with a free
+# slot it would have started.
 MIN_SLACK_S: Final = 1.0
-# A customer with nothing running or waiting may use this much more than
-# the slots. With the few slots of one entry the next free one is a quarter
-# of a second away, which others' floods would cost it. Pools of up to five
-# slots get nothing: there, one more is a large part.
+# A customer with no running and no waiting request may exceed the slots by
+# this share. One entry has few slots, so that the next one becomes free only
+# after a quarter of a second, a delay caused by other customers' floods. Pools
+# of up to five slots get no extra slot, which would be a large part of them.
 OVERCOMMIT_SHARE: Final = 0.1
 MAX_WAITING_PER_CUSTOMER: Final = 512
 MAX_WAITING_PER_POOL: Final = 2048
 BATCH_SHARE: Final = 0.1
-# A caller told to come back at once would only be refused again.
+# A caller that retries immediately would be refused again.
 MIN_RETRY_AFTER_S: Final = 0.5
 MAX_RETRY_AFTER_S: Final = 30.0
-# A waiting request is refused early where even this part of its estimated
-# wait is too long: estimates of a few slots are off by as much, and half
-# of those given up on at the whole estimate would have started in time.
+# A waiting request is refused early only if even this share of its estimated
+# wait is too long. Estimates for a few slots are off by that much, and half of
+# the requests refused at the whole estimate would have started in time.
 EXPIRE_WAIT_SHARE: Final = 0.6
-# Waiting requests are estimated again this often: shares change only as
-# customers come and go, and a walk over the queue costs its length.
+# Interval between new estimates for waiting requests. Shares change only as
+# customers come and go, and the cost of a check grows with the queue length.
 RECHECK_S: Final = 0.25
 
 
@@ -73,21 +73,21 @@
 
 
 class Waiting(NamedTuple):
-    """The request waits; ``expected_wait_s`` is an estimate."""
+    """The request waits in the queue; ``expected_wait_s`` is an estimate."""
 
     ticket_id: int
     expected_wait_s: float
 
 
 class Refused(NamedTuple):
-    """The final answer to a request that did not run."""
+    """The request did not run and will not; ``retry_after_s`` is advice."""
 
     reason: str
     retry_after_s: float
 
 
 class PoolMetrics(NamedTuple):
-    """Counters of one pool since the start, and its state now."""
+    """Counters of one pool since the process start, and its current state."""
 
     slots: int
     in_flight: int
@@ -103,9 +103,10 @@
     """Slots, queues and refusals of every pool of one entry process.
 
     ``offer`` decides on a new request. After ``finish``, ``cancel`` or
-    ``set_capacity`` the caller asks ``start_ready`` for the requests that
-    may start now, and at least every `RECHECK_S` ``expire`` for those to
-    refuse. Exactly one of start, refusal or cancel ends every wait.
+    ``set_capacity``, the caller must call ``start_ready`` to get the requests
+    that may start now. At least every `RECHECK_S` it must call ``expire`` to
+    get the requests to refuse. Every wait ends with exactly one start, refusal
+    or cancellation.
 
     >>> admission = Admission()
     >>> admission.set_capacity("nest@1", 1)
@@ -128,7 +129,7 @@
     def offer(
         self, ticket: Ticket, now_s: float
     ) -> Started | Waiting | Refused:
-        """Start the request, let it wait, or refuse it for good."""
+        """Start a new request, queue it, or refuse it."""
         pool = self._pool(ticket.pool)
         least_s = MIN_SERVICE_SHARE * pool.times.mean_s(ticket.expected_s)
         if now_s + least_s > ticket.deadline_s:
@@ -158,7 +159,7 @@
         return Waiting(ticket.ticket_id, wait_s)
 
     def start_ready(self, now_s: float) -> list[Ticket]:
-        """Return the waiting requests that hold a slot from now on."""
+        """Give free slots to waiting requests and return these requests."""
         ready: list[Ticket] = []
         for pool in self._pools.values():
             while pool.queue.waiting and pool.free_slots() > 0:
@@ -172,7 +173,10 @@
     def finish(
         self, ticket_id: int, now_s: float, latency_s: float, failed: bool
     ) -> None:
-        """Free the slot of a started request and learn from its time."""
+        """Free the slot of a started request and learn from its latency.
+
+        Only successful requests update the estimates of service times.
+        """
         pool = self._pool_of.pop(ticket_id, None)
         if pool is None:
             return
@@ -181,7 +185,7 @@
             pool.times.observe(ticket.expected_s, latency_s)
 
     def expire(self, now_s: float) -> list[tuple[Ticket, Refused]]:
-        """Take out the waiting requests that cannot start in time."""
+        """Remove and return the waiting requests that cannot start in time."""
         refused: list[tuple[Ticket, Refused]] = []
         for pool in self._pools.values():
             if not pool.queue.waiting:
@@ -196,7 +200,7 @@
         return refused
 
     def cancel(self, ticket_id: int, now_s: float) -> None:
-        """Forget a request whose caller has gone, waiting or started."""
+        """Remove a waiting or started request whose caller has gone."""
         pool = self._pool_of.pop(ticket_id, None)
         if pool is None:
             return
@@ -205,7 +209,7 @@
             pool.queue.remove(ticket_id)
 
     def metrics(self) -> dict[str, PoolMetrics]:
-        """Return the counters of every pool."""
+        """Return the counters of every pool by its name."""
         return {name: pool.metrics() for name, pool in self._pools.items()}
 
     def _start(self, pool: _Pool, ticket: Ticket) -> None:
@@ -222,7 +226,7 @@
 
 
 class _Pool:
-    """State of one pool."""
+    """Slots, queue and counters of one pool."""
 
     def __init__(self) -> None:
         self.slots = 0
@@ -263,7 +267,11 @@
         return (before_s + self.times.typical_s) / max(1, self.slots)
 
     def find_expired(self, now_s: float) -> list[Ticket]:
-        """Return the waiting requests that cannot start in time."""
+        """Return the waiting requests that cannot start in time.
+
+        Requests past their latest start are found at every call. The estimate
+        for all others runs once in `RECHECK_S`.
+        """
         overdue = self.queue.overdue(now_s)
         if now_s < self.next_recheck_s or self.slots < 1:
             return overdue
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
@@ -1,13 +1,12 @@
-"""Fair queues of one pool: by priority, inside it by customer.
-
-Start-time fair queueing: each customer carries the virtual time up to
-which it has been served, which grows by expected service time over weight
-with every start. The customer that is furthest behind goes next, and one
-that was idle joins at the current virtual time, so that idling saves
-nothing up. Without it, one queue for all gives a customer the share of the
-servers that it asks for, not the share that it is due.
-
-Shown by ``dev/bench decisions --scenario flood``.
+"""Fair queues of one pool, by priority and then by customer.
+
+The queue implements start-time fair queueing. Each customer has a virtual time
+up to which it has been served; every start advances it by the expected service
+time divided by the customer's weight. The customer with the lowest virtual
+time is next. A customer that was idle joins at the current virtual time, so it
+cannot accumulate credit while idle. With a single queue for all customers,
+each would get the share of the servers that it asks for rather than the share
+that its weight entitles it to.
 """
 
 from __future__ import annotations
@@ -26,11 +25,11 @@
 
 
 class Ticket(NamedTuple):
-    """A request as admission sees it.
+    """A request as admission control sees it.
 
-    ``pool`` is the model version or service that it wants, ``deadline_s``
-    an absolute time, ``expected_s`` its expected time in service, and
-    ``priority`` is "interactive" or "batch".
+    ``pool`` is the model version or service that the request needs,
+    ``deadline_s`` an absolute time, ``expected_s`` the expected service time
+    in seconds, and ``priority`` is "interactive" or "batch".
     """
 
     ticket_id: int
@@ -45,8 +44,8 @@
 class FairQueue:
     """The waiting requests of one pool.
 
-    A removed request is only forgotten by id; its place in a customer's
-    queue is dropped when it comes up, so that a removal costs no search.
+    Removing a request deletes only its id. Its place in the customer's queue
+    is dropped when it reaches the head, so a removal needs no search.
     """
 
     def __init__(self, batch_share: float) -> None:
@@ -60,20 +59,20 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return len(self._tickets)
 
     def count(self, customer: str, priority: str) -> int:
-        """How many requests of this customer wait."""
+        """Return the number of waiting requests of a customer and priority."""
         flow = self._classes[priority].flows.get(customer)
         return 0 if flow is None else flow.count
 
     def work_before_s(self, ticket: Ticket) -> float:
-        """Return the service time that goes before a new request.
+        """Return the expected service time that precedes a new request.
 
-        The request's turn comes when the virtual time has reached its
-        customer's, its own waiting work included; until then the others
-        are served in proportion to their weights.
+        The request is due when the virtual time reaches that of its customer,
+        including the customer's own waiting work. Until then the other
+        customers are served in proportion to their weights.
         """
         own = self._classes[ticket.priority]
         flow = own.flows.get(ticket.customer)
@@ -85,23 +84,24 @@
         return ahead * weight / self._share(own)
 
     def push(self, ticket: Ticket, latest_s: float) -> None:
-        """Let a request wait, at most until ``latest_s``."""
+        """Queue a request that must start by ``latest_s``."""
         self._tickets[ticket.ticket_id] = ticket
         self._latest_s[ticket.ticket_id] = latest_s
         heapq.heappush(self._by_latest, (latest_s, ticket.ticket_id))
         own = self._classes[ticket.priority]
         if not own.weight:
-            # A class without waiting work must not save up service: back
-            # from a pause it would shut the other class out.
+            # A class without waiting work must not accumulate credit.
+            # Otherwise it would take every slot from the other class after a
+            # pause.
             own.served = max(c.served for c in self._classes.values())
         own.push(ticket)
 
     def charge(self, ticket: Ticket) -> None:
-        """Account for a request that started without waiting."""
+        """Charge a request that started without waiting to its customer."""
         self._classes[ticket.priority].charge(ticket)
 
     def pop(self) -> Ticket | None:
-        """Take out the request that is due next."""
+        """Remove and return the request that is due next."""
         waiting = [c for c in self._classes.values() if c.weight > 0]
         for chosen in sorted(waiting, key=_served_for_share):
             ticket = chosen.pop(self._tickets)
@@ -111,14 +111,14 @@
         return None
 
     def remove(self, ticket_id: int) -> None:
-        """Forget a waiting request."""
+        """Remove a waiting request; an unknown id is ignored."""
         ticket = self._tickets.get(ticket_id)
         if ticket is not None:
             self._classes[ticket.priority].drop(ticket)
             self._forget(ticket_id)
 
     def overdue(self, now_s: float) -> list[Ticket]:
-        """Return the requests whose latest start has passed."""
+        """Return the requests whose latest start has passed, each one once."""
         late: list[Ticket] = []
         while self._by_latest and self._by_latest[0][0] < now_s:
             _, ticket_id = heapq.heappop(self._by_latest)
@@ -128,7 +128,7 @@
         return late
 
     def iter_waiting(self) -> Iterator[tuple[Ticket, float, float]]:
-        """Yield each request, the work before it, its latest start."""
+        """Yield each request, the service time before it, its latest start."""
         for own in self._classes.values():
             rate = own.weight / self._share(own)
             for flow in own.flows.values():
@@ -140,7 +140,7 @@
                         ahead += _cost_s(ticket)
 
     def _share(self, own: _PriorityClass) -> float:
-        """Return the part of the starts that a priority gets now."""
+        """Return the share of the starts that a priority class gets now."""
         active = [c.share for c in self._classes.values() if c.weight > 0]
         total = sum(active) + (0.0 if own.weight > 0 else own.share)
         return own.share / total
@@ -151,7 +151,7 @@
 
 
 class _Flow:
-    """What one customer has waiting in one priority class."""
+    """The waiting requests of one customer in one priority class."""
 
     def __init__(self, virtual_s: float) -> None:
         self.tickets: deque[Ticket] = deque()
@@ -162,7 +162,7 @@
 
 
 class _PriorityClass:
-    """The customers of one priority, and which of them is due."""
+    """The customers of one priority, ordered by their virtual times."""
 
     def __init__(self, share: float) -> None:
         self.share = share
@@ -187,8 +187,9 @@
         flow = self._flow(ticket.customer)
         start_s = max(flow.virtual_s, self.virtual_s)
         flow.virtual_s = start_s + _cost_s(ticket)
-        # Also while nothing waits: else what a customer used of an idle
-        # pool would be held against it when a queue forms, for as long.
+        # The virtual time must also advance while no request waits. Otherwise
+        # a customer that used an idle pool would be kept back for as long when
+        # a queue forms.
         self.virtual_s = start_s
         self.served += ticket.expected_s / self.share
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
@@ -1,9 +1,9 @@
-"""The one place that says what a profile's user wants least of.
+"""Weights of cost, latency and exposure from a profile's objective.
 
-Cascades, roll-outs and placement weigh cost, latency and exposure to bad
-versions. Each asks here, so that a changed weight in a profile changes
-every decision alike. The Guild's profiles weigh cost, the Authority's
-latency and exposure.
+Cascades, roll-outs and placement all trade cost against latency and against
+exposure to bad versions. They use these functions, so a changed weight in a
+profile changes every decision consistently. The Guild's profiles give most
+weight to cost, the Authority's to latency and exposure.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 if TYPE_CHECKING:
     from sycamorestand_model.declarations import Objective
 
-# Evidence against a version is acted on at this probability of a false
-# stop for one roll-out; a user who fears exposure more accepts more.
+# Probability of a false stop of one roll-out. A version is stopped at this
+# level of evidence; a profile with a higher weight of exposure accepts a
+# higher probability.
 FALSE_STOP_PROBABILITY: Final = 0.0005
 MAX_FALSE_STOP_PROBABILITY: Final = 0.0008
 MIN_FALSE_STOP_PROBABILITY: Final = 0.0002
@@ -24,16 +25,16 @@
 def penalty(
     objective: Objective, cost_ratio: float, latency_ratio: float
 ) -> float:
-    """Return what one way to answer costs its user; less is better.
+    """Return the weighted cost and latency of a plan; lower is better.
 
-    Both ratios are against the strongest step alone.
+    Both ratios are relative to the strongest step alone.
     """
     cost = objective.cost_weight * cost_ratio
     return cost + objective.latency_weight * latency_ratio
 
 
 def false_stop_probability(objective: Objective) -> float:
-    """Return how likely a healthy roll-out may be stopped."""
+    """Return the accepted probability of stopping a healthy roll-out."""
     total = objective.cost_weight + objective.latency_weight
     total += objective.exposure_weight
     share = objective.exposure_weight / total if total else 1.0 / 3.0
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/queue_delay.py
@@ -1,12 +1,12 @@
-"""How long requests of one service wait at its servers now.
+"""Estimate how long requests of one service wait at its servers now.
 
-The load pattern is a burst, or the loss of several servers: requests wait
-seconds at each server before they begin, and nothing that an entry counts
-says so, as the servers have slots left. What shows it is the time to the
-first event, less what reading the prompt takes.
+In a burst, or after the loss of several servers, requests wait for seconds at
+each server before they begin. The entry's own counts do not show it, as the
+servers still have free slots. The queueing delay is the time to the first
+event minus the time to read the prompt.
 
-Each observation counts for a second or two: a mean over more would still
-call the servers busy when the burst is over.
+Observations fade within a second or two. With a longer memory the estimate
+would still report busy servers after the burst has ended.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 import math
 from typing import Final
 
-# An entry of today sees some four first events a second; over 1.5 s their
-# mean is off by a third where single prompts differ by a factor of ten,
-# and a burst shows within its first seconds.
+# In seconds. At four first events a second per entry, the mean over 1.5 s is
+# off by a third where prompts differ by a factor of ten, and a burst shows
+# within its first seconds.
 DECAY_TIME_S: Final = 1.5
 
 
 class QueueDelay:
-    """A mean that forgets, of one entry's observations."""
+    """Exponentially decaying mean of one entry's queueing delays."""
 
     def __init__(self) -> None:
         self._weight = 0.0
@@ -29,15 +29,15 @@
         self._at_s = 0.0
 
     def observe(self, now_s: float, waited_s: float) -> None:
-        """Take in how long a request waited, or has waited in vain."""
+        """Record the wait of a request, whether or not it was answered."""
         self._decay(now_s)
         self._weight += 1.0
         self._sum_s += max(0.0, waited_s)
 
     def delay_s(self, now_s: float) -> float:
-        """Return the wait to expect; nothing seen for long is no wait."""
+        """Return the expected wait; it falls to 0 without observations."""
         self._decay(now_s)
-        # One more observation without a wait stands for what is not known.
+        # An additional observation of no wait serves as the prior.
         return self._sum_s / (self._weight + 1.0)
 
     def _decay(self, now_s: float) -> None:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/request_class.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/request_class.py
@@ -1,8 +1,9 @@
-"""The class of a request that the cascade learns by.
+"""Request classes, by which the cascade learns pass rates.
 
-Pass rates of cheap models differ between tasks and with prompt size far
-more than between callers. Too fine a class never gathers ratings, too
-coarse a class mixes what the cheap model can do with what it cannot.
+Pass rates of cheap models differ between tasks and prompt sizes far more than
+between callers. Classes that are too fine collect too few ratings; classes
+that are too coarse mix requests that the cheap model can answer with requests
+that it cannot.
 """
 
 from __future__ import annotations
@@ -10,15 +11,15 @@
 from typing import Final
 from typing import NamedTuple
 
-# Powers of eight: the pass rate of small models falls with the order of
-# magnitude of the prompt, not with single tokens.
+# In tokens, by powers of eight: the pass rate of small models falls with the
+# order of magnitude of the prompt size.
 SIZE_BOUNDS: Final = (("s", 256), ("m", 2_048), ("l", 16_384))
 LARGEST: Final = "xl"
 MAX_TASK_LENGTH: Final = 32
 
 
 class RequestFeatures(NamedTuple):
-    """What is known of a request before it runs.
+    """Properties of a request that are known before it runs.
 
     ``task`` is a label that the caller may send, for example "review".
     """
@@ -30,7 +31,7 @@
 
 
 def request_class(features: RequestFeatures) -> str:
-    """Return the class, for example ``review/m/chat``."""
+    """Return the class of a request, for example ``review/m/chat``."""
     task = features.task[:MAX_TASK_LENGTH] or "any"
     kind = "tools" if features.has_tools else _kind(features.turns)
     return f"{task}/{_size(features.input_tokens)}/{kind}"
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/service_times.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/service_times.py
@@ -1,22 +1,23 @@
-"""How long requests really take, against what was expected of them.
+"""Learn how actual service times differ from expected ones.
 
-Admission compares expected times with deadlines. Expectations come from
-token limits and are often wrong by a factor; used as they are, requests
-are let in that miss their deadlines, or refused though they would not.
-
-Shown by ``dev/bench decisions --scenario saturation-3x``.
+Admission control compares expected service times with deadlines. The
+expectations come from token limits and are often wrong by a factor. Without
+correction, requests are admitted that miss their deadlines, or refused
+although they would meet them.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# About the last hundred requests count: fewer follow single long answers,
-# more are slow to follow a server that has become slow.
+# Averages over about the last hundred requests. With fewer, single long
+# answers dominate; with more, the average follows a server that has become
+# slow too late.
 MEAN_STEP: Final = 0.02
-# The high estimate is the 80th percentile: at the median, half of the
-# requests that start at their latest start would miss the deadline; at
-# the 95th, estimates off by a factor of two refuse what would be in time.
+# The high estimate is the 80th percentile. With the median, half of the
+# requests that start at their latest start would miss their deadline. With the
+# 95th percentile, expectations that are off by a factor of two lead to
+# refusals of requests that would be in time.
 HIGH_QUANTILE: Final = 0.8
 HIGH_STEP: Final = 0.02
 MIN_RATIO: Final = 0.1
@@ -24,9 +25,9 @@
 
 
 class ServiceTimes:
-    """Learned ratio of real to expected service time, mean and high.
+    """Learned ratios of actual to expected service time, mean and high.
 
-    ``typical_s`` is the average real time, zero while unknown.
+    ``typical_s`` is the average actual time in seconds, 0 if unknown.
     """
 
     def __init__(self) -> None:
@@ -35,7 +36,7 @@
         self._high_ratio = 1.5
 
     def observe(self, expected_s: float, real_s: float) -> None:
-        """Learn from one finished request."""
+        """Record the expected and the actual time of a finished request."""
         step = MEAN_STEP if self.typical_s else 1.0
         self.typical_s += step * (real_s - self.typical_s)
         ratio = real_s / max(expected_s, 0.001)
@@ -47,11 +48,11 @@
         self._high_ratio = max(self._high_ratio, self._mean_ratio)
 
     def mean_s(self, expected_s: float) -> float:
-        """Return the likely time of work expected to take this long."""
+        """Return the mean actual time of work with this expected time."""
         return expected_s * self._mean_ratio
 
     def high_s(self, expected_s: float) -> float:
-        """Return a time that four of five such requests stay under."""
+        """Return the 80th percentile of the actual time of such work."""
         return expected_s * min(self._high_ratio, MAX_RATIO)
 
 
