--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
@@ -1,14 +1,15 @@
-"""What entries give back of their budgets of arrivals, for others to use.
-
-The load pattern is an installation of hundreds of entries that see a request
-or two a second each. As a whole it stays far under what the owner of the
-servers allows, and yet an entry whose few requests climb in a row has nothing
-left, while its neighbours lose what they may not keep.
-
-Each control process that votes has a pool. It begins empty, fills with time
-and by what entries give, and holds no more than an equal part of what is set
-aside for pools: whatever is cut off or restarted, they add no more in a
-window than that and what comes in the window.
+"""Pool of unused arrival budget that entries lend to each other.
+
+An installation may have hundreds of entries that each receive one or two
+requests a second. In total it stays far below the load that the owner of the
+servers allows, yet an entry with several escalations in a row has no budget
+left, while its neighbours lose budget that they may not keep.
+
+Each control process that votes has one pool. A pool starts empty, fills with
+time and with what entries give, and holds at most an equal part of the
+allowance that is set aside for pools. Whatever is partitioned or restarted,
+the pools together add no more arrivals in a window than this allowance and
+what is refilled during the window.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class ArrivalPool:
-    """What one control process can lend, by service.
+    """Arrivals that one control process can lend, by service.
 
     >>> from sycamorestand_decisions.arrivals import Allowance
     >>> pool = ArrivalPool(Allowance(ratio=0.9, slack=60.0), 0.0)
@@ -48,10 +49,10 @@
         pools: int,
         now_s: float,
     ) -> dict[str, float]:
-        """Take what an entry gives and return what it is lent.
+        """Add the arrivals that an entry gives and return those lent to it.
 
-        What the pool has no room for goes back to the entry. ``pools`` is how
-        many there are, 0 where this is not one of them.
+        The pool returns shares that exceed its capacity to the entry.
+        ``pools`` is the number of pools, 0 if this process is not one of them.
         """
         if not pools:
             return dict(given)
@@ -69,7 +70,7 @@
         return lent
 
     def total_left(self) -> float:
-        """Return what all services have left, as of their last trades."""
+        """Return the sum left for all services, as of their last trades."""
         return sum(account.left for account in self._accounts.values())
 
     def _limit(self, pools: int) -> float:
@@ -95,7 +96,7 @@
 
 
 class _Account:
-    """What is left for one service, and until when it was filled."""
+    """The arrivals left for one service, and the time of the last refill."""
 
     def __init__(self, filled_s: float) -> None:
         self.left = 0.0
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
@@ -1,29 +1,30 @@
-"""One budget for all that reaches servers beyond a request's first arrival.
-
-The load pattern is servers that crash or fill up while requests climb from
-model to model: refusals are tried elsewhere, broken streams are resumed,
-slow servers are left, each by a bound of its own, and together they nearly
-double the load of the servers that are left. The owner of the servers allows
-a service a share of its requests in a window of time, and some more, summed
-over all entries.
-
-Each request that an entry sends earns it a part of a further arrival. What it
-does not use it keeps, up to a part of what the last window's requests earn
-and an equal part of the fixed rest. It begins with nothing.
-
-So the entries together stay within what is allowed, whatever is cut off,
-restarted or taken over by others: in a window they add no more than what they
-had kept at its begin, which the window before allows, and what its own
-requests earn. By a count of what each has sent in the last window, entries
-that are killed, or that callers leave, could spend what calm seconds left,
-and those that come after them a whole share again.
-
-One of hundreds of entries sees so few requests that what it may keep is an
-arrival or two: it loses what it earns above that, and has none left when a
-few requests in a row need one. So it trades with a pool (`arrival_pool`):
-it gives what it is about to lose and asks for what it lacks. What is under
-way counts as kept by the entry until it is answered, so that a trade adds
-nothing to what all keep, whatever becomes of its messages.
+"""Budget for all arrivals at servers beyond a request's first one.
+
+Servers crash or fill up while requests escalate from model to model. Refused
+requests are tried elsewhere, broken streams are resumed, and slow servers are
+abandoned. Each of these is bounded separately, but together they nearly double
+the load of the remaining servers. The owner of the servers allows each service
+a ratio of its requests in a time window, plus a fixed slack, summed over all
+entries.
+
+Each request that an entry sends earns the entry a part of a further arrival.
+The entry keeps unused budget up to a limit: a part of what the requests of the
+last window earn, and an equal part of the slack. It starts with nothing.
+
+The entries together therefore stay within the allowance, whatever is
+partitioned, restarted or replaced. In a window they add at most what they had
+kept at its start, which the previous window allows, and what the requests of
+the window earn. A count of the arrivals that each entry sent in the last
+window would not have this property: entries that are killed, or that callers
+leave, could spend the budget of calm seconds, and their successors could spend
+a whole share again.
+
+One of hundreds of entries sees so few requests that it may keep only an
+arrival or two. It loses what it earns beyond that, and has nothing left when
+several requests in a row need an arrival. The entry therefore trades with a
+pool (`arrival_pool`): it gives what it is about to lose and asks for what it
+lacks. Arrivals in transit count as kept by the entry until the pool answers,
+so a trade never raises the total that is kept, even if messages are lost.
 """
 
 from __future__ import annotations
@@ -37,36 +38,37 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Of the allowed share, what a request earns, and what may be kept of that.
-# The rest of the share is for what entries cannot see: requests that reach
-# the servers later than the owner of the servers counts them.
+# Shares of the allowed ratio that a request earns and that may be kept. The
+# rest of the ratio covers what entries cannot see: requests that reach the
+# servers later than the owner of the servers counts them.
 EARNED_SHARE: Final = 0.8
 KEPT_SHARE: Final = 0.15
-# Of the fixed rest, what entries may keep, what pools may keep, and what
-# comes to pools in each window.
+# Shares of the slack that entries may keep, that pools may keep, and that is
+# refilled into the pools in each window.
 ENTRIES_SHARE: Final = 0.5
 POOLED_SHARE: Final = 0.25
 REFILLED_SHARE: Final = 0.2
-# Of what may be kept, the part for arrivals without which a caller would
-# leave without an answer.
+# Share of the kept budget that is reserved for arrivals without which a caller
+# would get no answer.
 URGENT_SHARE: Final = 0.25
 MAX_SERVICES: Final = 256
-# A busy entry spends several times between two trades.
+# A busy entry spends several arrivals between two trades.
 TRADE_INTERVAL_S: Final = 0.1
-# A request that needs one now waits for no gift before it; while the pool is
-# empty, not each of them asks again.
+# A request that needs an arrival now does not wait for the regular interval.
+# While the pool is empty, the interval keeps each such request from asking
+# again.
 URGENT_TRADE_INTERVAL_S: Final = 0.02
-# After a pool was full.
+# Pause before the next gift after the pool was full.
 GIVE_BACKOFF_S: Final = 1.0
-# What is lent later than this is lost, and asked for again.
+# Arrivals lent later than this are discarded and asked for again.
 TRADE_TIMEOUT_S: Final = 1.0
 
 
 class Allowance(NamedTuple):
-    """What a service may get beyond first arrivals, over all entries.
+    """Arrivals that a service may get beyond first ones, from all entries.
 
-    In each ``window_s``: ``ratio`` of its requests, and ``slack`` more. A
-    ``ratio`` of 0 sets no bound.
+    In each window of ``window_s`` seconds it is ``ratio`` times the service's
+    requests, plus ``slack``. A ``ratio`` of 0 means that there is no limit.
     """
 
     ratio: float = 0.0
@@ -75,11 +77,11 @@
 
 
 class Share(NamedTuple):
-    """One entry's part of a service's budget, as it stands now.
+    """The state of one entry's part of a service's budget.
 
-    ``entries`` is how many entries the fixed part was divided by, ``first``
-    how many requests it sent in the window; ``left`` is what it may still
-    add, of ``most`` that it may keep.
+    ``entries`` is the number of entries that the slack was divided by,
+    ``first`` the number of requests that the entry sent in the window.
+    ``left`` is the number of arrivals that it may still add, at most ``most``.
     """
 
     entries: int
@@ -89,9 +91,10 @@
 
 
 class Trade(NamedTuple):
-    """What an entry gives to the pool and asks of it, by service.
+    """Arrivals that an entry gives to the pool and asks of it, by service.
 
-    ``number`` tells the answer to this one from those to earlier ones.
+    ``number`` distinguishes the answer to this trade from answers to earlier
+    ones.
     """
 
     number: int
@@ -100,14 +103,14 @@
 
 
 class ArrivalBudget:
-    """What one entry may add at each service.
+    """Further arrivals that one entry may send to each service.
 
     >>> budget = ArrivalBudget(Allowance(ratio=0.9, slack=60.0))
-    >>> budget.may_add("words", 10, 0.0)
+    >>> budget.try_spend("words", 10, 0.0)
     False
     >>> for _ in range(4):
-    ...     budget.sent_first("words", 0.0)
-    >>> [budget.may_add("words", 10, 0.0) for _ in range(3)]
+    ...     budget.record_first_arrival("words", 0.0)
+    >>> [budget.try_spend("words", 10, 0.0) for _ in range(3)]
     [True, True, False]
     """
 
@@ -120,7 +123,7 @@
         self._pool_answered = False
 
     def record_first_arrival(self, service: str, now_s: float) -> None:
-        """Count the first arrival of a request, which earns a part."""
+        """Count the first arrival of a request, which earns budget."""
         allowance = self._allowance
         if not allowance.ratio:
             return
@@ -130,12 +133,12 @@
         account.left += self._earned_per_request
 
     def try_spend(self, service: str, entries: int, now_s: float) -> bool:
-        """Spend one more arrival of a request, if there is one left.
+        """Spend one further arrival; return False if none is left.
 
-        ``entries`` is how many entries there are, all of them: divided by
-        the few that callers are told of, the parts of a large installation
-        add up to many times the allowance. An entry that does not know,
-        0, takes no part of the fixed rest.
+        ``entries`` must be the number of all entries. Divided by only the few
+        entries that a caller knows of, the parts of a large installation add
+        up to many times the allowance. An entry that does not know the number
+        passes 0 and gets no part of the slack.
         """
         if not self._allowance.ratio:
             return True
@@ -145,10 +148,11 @@
         return True
 
     def has_spare(self, service: str, entries: int, now_s: float) -> bool:
-        """Tell whether more is left than what is kept for urgent arrivals.
+        """Return whether more is left than the reserve for urgent arrivals.
 
-        Climbs and moves make an answer better or sooner. Under an overload
-        they would use up what others need to have an answer at all.
+        Escalations and moves to another server improve an answer or its
+        latency. Under overload they would use up the budget that other
+        requests need to get an answer at all.
         """
         if not self._allowance.ratio:
             return True
@@ -156,13 +160,13 @@
         return share.left >= _spare_threshold(share.most)
 
     def share(self, service: str, entries: int, now_s: float) -> Share:
-        """Return what this entry has left."""
+        """Return the current state of this entry's part of the budget."""
         allowance = self._allowance
         account = self._account(service)
         account.forget_before(now_s - allowance.window_s)
         first = len(account.first_s)
         part = allowance.slack / entries * ENTRIES_SHARE if entries else 0.0
-        # An entry of few requests must be able to save up a whole arrival.
+        # An entry with few requests must be able to save up a whole arrival.
         floor = 1 + self._earned_per_request if first else 0.0
         most = max(floor, part + self._max_kept(first))
         account.left = min(account.left, most - account.in_transit(now_s))
@@ -170,17 +174,18 @@
 
     @property
     def expects_quick_reply(self) -> bool:
-        """Return whether a trade is open, and the pool answered before."""
+        """Whether a trade is open and the pool answered the last one."""
         return self._is_open and self._pool_answered
 
     def open_trade(
         self, entries: int, now_s: float, needed: str = ""
     ) -> Trade | None:
-        """Return what to give to the pool and to ask of it, None for nothing.
+        """Return the next trade with the pool, None if none is needed.
 
-        ``needed`` is a service that has too little left now. One trade is
-        open at a time. What it gives is taken from what is left at once; to
-        a pool that left the last trade unanswered it gives nothing.
+        ``needed`` is a service that has too little left now, empty if there is
+        none. Only one trade is open at a time. The arrivals that it gives are
+        deducted immediately. A pool that did not answer the last trade is
+        given nothing.
         """
         wait_s = URGENT_TRADE_INTERVAL_S if needed else TRADE_INTERVAL_S
         if self._is_open:
@@ -210,9 +215,9 @@
         return Trade(self._trade, given, asked)
 
     def close_trade(self, number: int, lent: Mapping[str, float]) -> None:
-        """Take what the pool lends, and what it did not take.
+        """Add the arrivals that the pool lends or returns.
 
-        An answer that comes too late is lost.
+        An answer to an earlier trade is ignored, and its arrivals are lost.
         """
         if not self._is_open or number != self._trade:
             return
@@ -226,10 +231,10 @@
             account.given = account.asked = 0.0
 
     def _abandon_trade(self, now_s: float) -> None:
-        """Go on without an answer.
+        """Close an open trade that got no answer.
 
-        What was given may still reach the pool, so that it counts as kept
-        here for a window more.
+        The given arrivals may still reach the pool, so they count as kept by
+        this entry for another window.
         """
         if not self._is_open:
             return
@@ -242,7 +247,7 @@
             account.given = account.asked = 0.0
 
     def _max_kept(self, first: int) -> float:
-        """Return what may be kept of what a window's requests earn."""
+        """Return how much may be kept of what a window's requests earn."""
         return self._allowance.ratio * KEPT_SHARE * first
 
     @property
@@ -259,7 +264,7 @@
 
 
 class _Account:
-    """One service's requests of the last window, and what is left."""
+    """First arrivals in the window and the budget left for one service."""
 
     def __init__(self) -> None:
         self.first_s: deque[float] = deque()
@@ -274,7 +279,7 @@
             self.first_s.popleft()
 
     def in_transit(self, now_s: float) -> float:
-        """Return what counts as kept here besides what is left."""
+        """Return the arrivals that count as kept in addition to those left."""
         while self.unanswered and self.unanswered[0][0] < now_s:
             self.unanswered.popleft()
         unanswered = sum(given for _, given in self.unanswered)
@@ -282,7 +287,7 @@
 
 
 def _spare_threshold(most: float) -> float:
-    """Return what is left at least where some may be spent as spare."""
+    """Return the least amount left at which spare arrivals may be spent."""
     return 1 + URGENT_SHARE * (most - 1)
 
 
