--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/affinity.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/affinity.py
@@ -1,14 +1,11 @@
-"""Where a session or prompt prefix finds its cached state again.
-
-The load pattern is sessions and prompts that share long prefixes. Without
-affinity every turn pays for its whole prompt again. Keys are placed by
-consistent hashing, so that a server lost or added moves only its own part
-of the keys and all entries agree without messages. Cache events of the
-engines come late and with gaps: they are hints that may name a better
-server, never a reason to wait for or to rely on one.
-
-Shown by ``dev/bench decisions --scenario hot-keys`` and
-``--scenario concentration``.
+"""Affinity of sessions and prompt prefixes to servers with cached state.
+
+Sessions and prompts share long prefixes. Without affinity, every turn pays for
+its whole prompt again. Consistent hashing places the keys, so a server that is
+lost or added moves only its own part of the keys, and all entries agree
+without messages. Cache events of the engines arrive late and with gaps. They
+are hints that may name a better server; no request waits for them or relies on
+them.
 """
 
 from __future__ import annotations
@@ -25,13 +22,13 @@
 
 POINTS_PER_SERVER: Final = 64
 MAX_HINTS: Final = 20_000
-# Engines evict prefixes within minutes under load, and the event that
-# tells so may be lost: an older hint says no more than the ring does.
+# Engines evict prefixes within minutes under load, and the event about an
+# eviction may be lost. An older hint is no better than the hash ring.
 HINT_TTL_S: Final = 120.0
 
 
 class HashRing:
-    """Consistent hashing over the servers last given."""
+    """Consistent hash ring of the servers that were last set."""
 
     def __init__(self) -> None:
         self._names: tuple[str, ...] = ()
@@ -39,7 +36,7 @@
         self._owners: list[str] = []
 
     def set_names(self, names: tuple[str, ...]) -> None:
-        """Place these servers on the ring where they changed."""
+        """Rebuild the ring if the names differ from the current ones."""
         if names == self._names:
             return
         self._names = names
@@ -66,7 +63,7 @@
 
 
 class CacheHints:
-    """Which servers said that they hold a prefix, newest first."""
+    """Servers that reported to hold a prefix, by prefix key."""
 
     def __init__(self) -> None:
         self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
@@ -74,7 +71,7 @@
     def record_event(
         self, name: str, keys: Sequence[str], stored: bool, now_s: float
     ) -> None:
-        """Take in one cache event; it may be late or doubled."""
+        """Record a cache event, which may be late or duplicated."""
         for key in keys:
             if stored:
                 self._holders.setdefault(key, {})[name] = now_s
@@ -100,11 +97,12 @@
 
 
 def prefix_key(parts: Sequence[str]) -> str:
-    """Return what to place a prompt by, of its parts, the shared first.
+    """Return the affinity key of a prompt from its parts, shared ones first.
 
-    The last part is the request's own and no other has it: placed by that,
-    requests that share a prefix go to a server each, and every one reads
-    it again. The part before it is the longest prefix that they share.
+    The last part belongs to this request alone. With a key from it, requests
+    that share a prefix would go to different servers, and each server would
+    read the prefix again. The part before the last is the longest prefix that
+    other requests share.
 
     >>> prefix_key(["system", "club", "question"])
     'club'
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/canary.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/canary.py
@@ -1,15 +1,16 @@
-"""Which servers of a version that is rolled out get its first share.
-
-The load pattern is a roll-out whose new servers are as many as the old
-ones: the first tenth of the work leaves each of them a tenth of the load.
-A version that fails under load looks sound until all the work is on it,
-and a slow one looks fast, as idle servers answer sooner than busy ones.
-So a share of the work goes to that share of the servers, and each of them
-carries what it will carry in the end.
-
-At least `MIN_SERVERS` take part, so that the loss of one server does not
-look like a bad version. Which ones follows from their names: every entry
-takes the same, or together they would use them all.
+"""Choice of the servers that receive a roll-out's first share of work.
+
+A roll-out may add as many new servers as there are old ones. Spread over all
+of them, the first tenth of the work gives each a tenth of the load. A version
+that fails under load then looks healthy until it has all the work, and a slow
+one looks fast, because idle servers answer sooner than busy ones. So a share
+of the work goes to the same share of the servers, and each of these carries
+its final load.
+
+At least `MIN_SERVERS` take part, so that the loss of one server does not look
+like a bad version. The choice follows from the servers' names, so that every
+entry chooses the same ones; otherwise the entries together would use all of
+them.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 def canary_servers(names: Iterable[str], share: float) -> frozenset[str]:
     """Return the servers that take part at a share of the work.
 
-    >>> sorted(first_servers(["a", "b", "c", "d", "e"], 0.4))
+    >>> sorted(canary_servers(["a", "b", "c", "d", "e"], 0.4))
     ['a', 'b']
     """
     ordered = sorted(names)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/candidates.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/candidates.py
@@ -1,4 +1,4 @@
-"""What the choice of a backend server is made from, and what it tells."""
+"""Inputs and results of the choice of a backend server."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Candidate(NamedTuple):
-    """A backend server that could run the request, as last reported.
+    """A backend server that can run the request, as last reported.
 
-    ``running`` and ``queued`` are the server's own counts, ``age_s`` how
-    old they are now.
+    ``running`` and ``queued`` are the server's own counts; ``age_s`` is their
+    current age in seconds.
     """
 
     name: str
@@ -23,7 +23,7 @@
 
 
 class ServerMetrics(NamedTuple):
-    """What an entry knows about one backend server."""
+    """State of one backend server as an entry sees it."""
 
     in_flight: int
     limit: int
@@ -32,7 +32,7 @@
 
 
 class Choice(NamedTuple):
-    """One choice with what decided it, for `explain`."""
+    """One candidate with its state and all scores, for `explain`."""
 
     name: str
     reason: str
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
@@ -1,39 +1,40 @@
-"""How many requests one entry may have running on one backend server.
-
-The load pattern is a server that is slower, or shared with more entries,
-than its announced capacity tells. Without a limit that adapts, all entries
-together send it several times what it can run; the excess waits in the
-server, where neither deadlines nor customers' shares are known.
-
-The limit falls when the time to the first byte shows queueing in the
-server, or the server says that it is overloaded, and grows by one for each
-limit's worth of good answers while it is in use (additive increase,
-multiplicative decrease, so that entries which share a server converge to
-equal parts). Shown by ``dev/bench decisions --scenario saturation-3x``.
+"""Adaptive limit of the requests that one entry runs on one server.
+
+A server may be slower than its announced capacity, or shared with more
+entries. Without an adaptive limit, all entries together send it several times
+what it can run. The excess queues in the server, where neither deadlines nor
+customers' shares are known.
+
+The limit falls when the time to the first byte shows a queue in the server, or
+when the server reports overload. While the limit is in use, it grows by one
+for as many successful answers as the limit (additive increase, multiplicative
+decrease), so that entries that share a server converge to equal parts.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# An average first byte of three times its lowest average has waited in a
-# queue; prompts of mixed length alone move the average of twenty answers
+# An average time to the first byte of three times its lowest average includes
+# queueing. Prompts of mixed length alone change the average of twenty answers
 # by less than a factor of two.
 QUEUEING_RATIO: Final = 3.0
-# First-byte times under this are never taken for queueing: scheduling
-# noise of that size on a small VM is usual.
+# Times to the first byte below this are never attributed to queueing, because
+# scheduling noise of that size is common on a small VM.
 QUEUEING_MIN_S: Final = 0.15
 MIN_SAMPLES: Final = 10
 DECREASE: Final = 0.9
-# One decrease for a burst of bad answers: they tell of the same queue.
+# Slow answers within this interval are caused by the same queue, so they cause
+# a single decrease.
 DECREASE_INTERVAL_S: Final = 0.5
-# A report counts only if made this long after the last decrease: before,
-# it shows the queue that the decrease answered, and would answer it twice.
+# A report counts only if it was made this long after the last decrease. An
+# earlier report shows the queue that the decrease was for, and would cause a
+# second decrease.
 REPORT_AFTER_S: Final = 1.0
 MIN_REPORT_FACTOR: Final = 0.6
 IN_USE_SHARE: Final = 0.8
-# The floor forgets slowly, so that a server that was replaced by a slower
-# one gets a new floor within minutes.
+# The floor rises slowly, so that a server that is replaced by a slower one
+# gets a new floor within minutes.
 FLOOR_STEP: Final = 0.001
 RECENT_STEP: Final = 0.1
 
@@ -51,17 +52,17 @@
 
     @property
     def limit(self) -> int:
-        """Return the limit, at least one."""
+        """The current limit, at least one."""
         return max(1, int(self._limit))
 
     def set_capacity(self, capacity: int) -> None:
-        """Follow a changed announcement."""
+        """Scale the limit to a newly announced capacity."""
         capacity = max(1, capacity)
         self._limit *= capacity / self.capacity
         self.capacity = capacity
 
     def record_first_byte(self, now_s: float, latency_s: float) -> None:
-        """Learn from the time to the first byte of one answer."""
+        """Record a time to first byte; lower the limit if it shows a queue."""
         self._samples += 1
         step = max(RECENT_STEP, 1.0 / self._samples)
         self._recent_s += step * (latency_s - self._recent_s)
@@ -78,10 +79,10 @@
     def record_report(
         self, now_s: float, running: int, queued: int, age_s: float
     ) -> None:
-        """Learn from the server's own report of a queue.
+        """Lower the limit if the server reports a queue.
 
-        Every entry lowers its limit by the same factor, so that all of
-        them together fit again and keep their proportions.
+        Every entry lowers its limit by the same factor, so that all entries
+        together fit the capacity again and keep their proportions.
         """
         made_s = now_s - age_s
         if not queued or made_s - self._decreased_s < REPORT_AFTER_S:
@@ -93,13 +94,13 @@
         )
 
     def record_overload(self, now_s: float) -> None:
-        """Lower the limit, once for each interval."""
+        """Lower the limit, at most once in each interval."""
         if now_s - self._decreased_s >= DECREASE_INTERVAL_S:
             self._decreased_s = now_s
             self._limit = max(1.0, self._limit * DECREASE)
 
     def record_success(self, now_s: float, in_flight: int) -> None:
-        """Raise the limit where it was in use and nothing queued."""
+        """Raise the limit if it was in use and no queue was seen recently."""
         if now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
         if in_flight >= IN_USE_SHARE * self._limit:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/ejection.py
@@ -1,20 +1,17 @@
-"""Which backend servers get no work for a while, and how they come back.
-
-The load pattern is one server that fails or answers several times slower
-than its peers. Without ejection it keeps its share of the requests, and
-that share sets the 99th percentile of all. An ejection without a cap does
-the reverse harm: when all servers slow down together, taking some out
-makes the rest fail.
-
-A third pattern is few requests, one of which took long: a tail of the work,
-a new connection, a long prompt. Averaged as it is over ten answers it makes
-a sound server look four times slower, and the loss of one server of three
-for ten seconds costs more than the answer did. So no sample counts for more
-than `OUTLIER_RATIO` times the typical latency: one of ten cannot eject, and
-a server that is slow throughout still stands out.
-
-Shown by ``dev/bench decisions --scenario slow-server`` and
-``--scenario server-lost``.
+"""Outlier ejection of backend servers, half-open probes and slow start.
+
+One server may fail, or answer several times more slowly than its peers.
+Without ejection it keeps its share of the requests, and this share determines
+the 99th percentile of the latency of all requests. Ejection without a cap
+causes the opposite problem: when all servers slow down together, ejecting some
+of them makes the others fail.
+
+With few requests, a single one may take long: because of unusually large work,
+a new connection, or a long prompt. In an average over ten answers it makes a
+healthy server look four times slower, and the loss of one of three servers for
+ten seconds costs more than the slow answer. A sample therefore counts for at
+most `OUTLIER_RATIO` times the typical latency: one of ten cannot cause an
+ejection, and a server that is always slow still stands out.
 """
 
 from __future__ import annotations
@@ -23,39 +20,41 @@
 from typing import NamedTuple
 
 FAILURES_TO_EJECT: Final = 5
-# Three times the typical latency of the pool: long requests among short
-# ones move a server's average by less than a factor of two.
+# Long requests among short ones change a server's average by less than a
+# factor of two, which is below three times the typical latency of the pool.
 SLOW_RATIO: Final = 3.0
 MIN_SAMPLES: Final = 10
 # Two of ten answers at this ratio leave the average at twice the typical
-# one; a server at four times passes `SLOW_RATIO` with its tenth answer.
+# latency. A server that is four times slower exceeds `SLOW_RATIO` with its
+# tenth answer.
 OUTLIER_RATIO: Final = 6.0
-# Averages under this are in nobody's way. Calls of some milliseconds next
-# to others of some ten are usual, and differ by more than `SLOW_RATIO`.
+# In seconds. Averages below this harm no caller. Latencies of a few
+# milliseconds next to some of about ten are common, and differ by more than
+# `SLOW_RATIO`.
 MIN_SLOW_S: Final = 0.1
-# A probe of a slow server is one slow answer to a caller: with ten entries
-# and this time out they stay under one in a hundred requests.
+# Each probe of a slow server gives one caller a slow answer. With ten entries
+# and this duration, probes stay below one in a hundred requests.
 FIRST_EJECTION_S: Final = 10.0
 MAX_EJECTION_S: Final = 60.0
-# At most this share of a pool is out: where more servers look bad, the
+# At most this share of a pool is ejected. If more servers look unhealthy, the
 # cause is the load or the network, and fewer servers would not help.
 MAX_EJECTED_SHARE: Final = 1.0 / 3.0
-# A server that comes back takes its full share only after this time: its
-# caches are cold, and a wave of requests would make it look slow again.
+# A server that returns gets its full share only after this time. Its caches
+# are cold, and a burst of requests would make it look slow again.
 SLOW_START_S: Final = 10.0
 SLOW_START_FLOOR: Final = 0.1
 LATENCY_STEP: Final = 0.1
 
 
 class Typical(NamedTuple):
-    """Medians over the servers of a pool; zero while unknown."""
+    """Median latencies of the servers of a pool, in seconds; 0 if unknown."""
 
     latency_s: float = 0.0
     first_byte_s: float = 0.0
 
 
 class ServerHealth:
-    """Failures, latency and ejection of one backend server."""
+    """Failures, latency and ejection state of one backend server."""
 
     def __init__(self) -> None:
         self.latency_s = 0.0
@@ -70,9 +69,9 @@
         self.slow_start_since_s = float("-inf")
 
     def is_ejected(self, now_s: float) -> bool:
-        """Tell whether the server gets no work now.
+        """Return whether the server gets no work now.
 
-        After its time out one request goes to it as a probe.
+        After an ejection ends, the server gets a single request as a probe.
         """
         if now_s < self.ejected_until_s:
             return True
@@ -86,17 +85,18 @@
         return max(SLOW_START_FLOOR, elapsed_s / SLOW_START_S)
 
     def record_start(self, now_s: float) -> None:
-        """Note a request; on a half-open server it is the probe."""
+        """Record the start of a request or, if half-open, of the probe."""
         if self.half_open and now_s >= self.ejected_until_s:
             self.probing = True
 
     def record_success(
         self, now_s: float, latency_s: float, typical: Typical
     ) -> None:
-        """Learn from an answer; a good probe starts the slow start."""
+        """Update the latency; a fast enough probe ends the ejection."""
         if now_s < self.ejected_until_s:
-            # It was sent before the ejection. Taken for a probe, a good
-            # one would end the time out, a slow one double it.
+            # The request was sent before the ejection and is not the probe.
+            # Treated as one, a success would end the ejection and a slow
+            # answer would double it.
             return
         self.failures = 0
         self._update_average(_clip(latency_s, typical.latency_s))
@@ -112,22 +112,23 @@
         self.slow_start_since_s = now_s
 
     def record_failure(self, now_s: float) -> None:
-        """Count a failure, but for those sent before an ejection."""
+        """Count a failure, unless the server is ejected now."""
         if now_s >= self.ejected_until_s:
             self.failures += 1
 
     def record_first_byte(self, latency_s: float, typical: Typical) -> None:
-        """Learn from the time to a first byte, long before the end."""
+        """Update the average time to the first byte."""
         latency_s = _clip(latency_s, typical.first_byte_s)
         self.first_bytes += 1
         step = max(LATENCY_STEP, 1.0 / self.first_bytes)
         self.first_byte_s += step * (latency_s - self.first_byte_s)
 
     def expected_s(self, typical: Typical) -> float:
-        """Return the latency to expect, from first bytes if need be.
+        """Return the expected latency in seconds.
 
-        A slow server's first answers end long after its first bytes came;
-        until then it would be taken for a typical one.
+        A slow server's first answers end long after their first bytes. Until
+        enough answers have ended, the time to the first byte is used as well;
+        otherwise the server would be taken for a typical one.
         """
         if not typical.latency_s or not typical.first_byte_s:
             return self.latency_s or 1.0
@@ -137,7 +138,7 @@
         return ratio * typical.latency_s
 
     def should_eject(self, typical: Typical) -> bool:
-        """Tell whether failures or latency stand out from the pool."""
+        """Return whether failures or latency stand out from the pool."""
         if self.half_open:
             return self.failures > 0
         if self.failures >= FAILURES_TO_EJECT:
@@ -148,7 +149,7 @@
         )
 
     def eject(self, now_s: float) -> None:
-        """Take the server out, longer each time in a row."""
+        """Eject the server, for longer after each consecutive ejection."""
         ejection_s = FIRST_EJECTION_S * 2**self.ejections
         self.ejected_until_s = now_s + min(ejection_s, MAX_EJECTION_S)
         self.ejections = min(self.ejections + 1, 8)
@@ -157,8 +158,8 @@
         self.failures = 0
 
     def _update_average(self, latency_s: float) -> None:
-        # Plain mean first: a moving average that begins with one long
-        # answer would look slow for dozens of requests.
+        # Starts as a plain mean: a moving average that starts with one long
+        # answer would stay high for dozens of requests.
         self.samples += 1
         step = max(LATENCY_STEP, 1.0 / self.samples)
         self.latency_s += step * (latency_s - self.latency_s)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
@@ -1,35 +1,32 @@
-"""Budgets for retries and hedges.
+"""Budgets for retries and hedged requests.
 
-The load pattern is a pool that fails or slows down as a whole. Without a
-budget each failed request is tried again, which multiplies the load at the
-moment when there is least capacity, and the pool cannot recover. With it
-retries stay under a tenth of the successes, whatever fails. Overload
-signals are never retried: the next server is most likely as full.
-
-Shown by ``dev/bench decisions --scenario error-storm`` and
-``--scenario server-lost``.
+When a pool fails or slows down as a whole, retrying each failed request
+multiplies the load while the pool has the least capacity, so it cannot
+recover. The retry budget limits retries to a tenth of the successes, whatever
+fails. Overload signals are never retried, because the next server is most
+likely full as well.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# A tenth: a lost server of nine fails 11 % of the requests once, and all
-# of them are tried again out of the savings; a pool that fails as a whole
-# gets 10 % more load.
+# Of the successes. A lost server of nine fails 11 % of the requests once, and
+# saved-up budget covers a retry of each. A pool that fails as a whole gets 10
+# % more load.
 RETRY_SHARE: Final = 0.1
 CUSTOMER_BURST: Final = 5.0
-# What one entry holds. A lost server fails one full batch, 16 requests,
-# over ten entries, and as much until its lease ends. With 30, ten entries
-# of little traffic retried a quarter of all requests through ten seconds
-# of errors.
+# Bucket size of one entry for all customers. A lost server fails one full
+# batch of 16 requests, spread over ten entries, and as many again until its
+# lease ends. With a size of 30, ten entries with little traffic retried a
+# quarter of all requests during ten seconds of errors.
 ENTRY_BURST: Final = 10.0
-# A customer with few requests earns too little to ever retry; this gives
-# it one retry in ten seconds, and all together the same.
+# A customer with few requests earns too little to ever retry. This refill
+# gives it one retry in ten seconds, and the same to all customers together.
 CUSTOMER_REFILL_PER_S: Final = 0.1
 ENTRY_REFILL_PER_S: Final = 0.1
-# Two in a hundred requests may be sent twice: those beyond the 98th
-# percentile of the wait for the first byte are the ones that gain.
+# Two in a hundred requests may be sent twice. Requests whose wait for the
+# first byte exceeds the 98th percentile gain most from that.
 HEDGE_SHARE: Final = 0.02
 HEDGE_BURST: Final = 10.0
 OVERLOAD_CAUSES: Final = frozenset({"overloaded", "refused", "cancelled"})
@@ -37,10 +34,10 @@
 
 
 class RetryBudget:
-    """Retries that each customer, and all together, may still make.
+    """Retry budget of each customer and of all customers together.
 
-    ``share`` is what each success earns. It may be larger than the default
-    where the owner of the backend servers grants more.
+    ``share`` is the part of a retry that each success earns. It may exceed the
+    default if the owner of the backend servers allows more.
     """
 
     def __init__(self, share: float = RETRY_SHARE) -> None:
@@ -51,7 +48,10 @@
         self.denied = 0
 
     def may_retry(self, customer: str, now_s: float, cause: str) -> bool:
-        """Spend one retry if both budgets allow it."""
+        """Spend one retry if both budgets have one; return whether they had.
+
+        An overload, a refusal or a cancellation is never retried.
+        """
         bucket = self._customer_bucket(customer)
         if cause in OVERLOAD_CAUSES or not (
             bucket.has_one(now_s) and self._shared.has_one(now_s)
@@ -64,7 +64,7 @@
         return True
 
     def record_success(self, customer: str, now_s: float) -> None:
-        """Earn a share of a retry with each success."""
+        """Add the share of a retry that a success earns."""
         self._customer_bucket(customer).earn(self._share, now_s)
         self._shared.earn(self._share, now_s)
 
@@ -79,18 +79,21 @@
 
 
 class HedgeBudget:
-    """Second attempts of idempotent requests that wait unusually long."""
+    """Budget for hedged requests: second attempts while the first one waits.
+
+    Only idempotent requests that wait unusually long may be hedged.
+    """
 
     def __init__(self) -> None:
         self._bucket = _TokenBucket(HEDGE_BURST, 0.0)
         self._percentile_s = 1.0
 
     def delay_s(self) -> float:
-        """Return how long to wait for a first byte before a hedge."""
+        """Return how many seconds to wait for a first byte before a hedge."""
         return self._percentile_s
 
     def observe(self, first_byte_s: float, now_s: float) -> None:
-        """Learn the usual wait from a request and earn its share."""
+        """Update the percentile of the wait and add the request's share."""
         above = first_byte_s > self._percentile_s
         step = 1.0 - HEDGE_SHARE if above else -HEDGE_SHARE
         self._percentile_s = max(
@@ -101,7 +104,7 @@
     def may_hedge(
         self, now_s: float, waited_s: float, idempotent: bool
     ) -> bool:
-        """Spend one hedge for a request that has waited this long."""
+        """Spend one hedge if the request may be hedged; return if so."""
         if not idempotent or waited_s < self._percentile_s:
             return False
         if not self._bucket.has_one(now_s):
@@ -111,7 +114,7 @@
 
 
 class _TokenBucket:
-    """A token bucket filled by successes and, slowly, by time."""
+    """A token bucket that successes and, slowly, time refill."""
 
     def __init__(self, capacity: float, per_s: float) -> None:
         self._capacity = capacity
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/selection.py
@@ -1,19 +1,17 @@
 """Choice of a backend server among the candidates for one attempt.
 
-The load patterns are late load reports, one slow server, hot session keys
-and servers that come back. Without this choice (round robin or least
-reported load) a slow server keeps a full share of the requests, entries
-follow reports that are seconds old all at once, and a hot key overloads
-the server that holds it.
-
-Two servers are drawn and the one with the lower expected wait taken (power
-of two choices): the estimated load times the server's observed latency
-over its limit. Two are enough to avoid loaded servers, and drawing keeps
-entries from choosing alike. A server known to hold the session or prefix
-is preferred up to `AFFINITY_GAIN` times the better of the two drawn.
-
-Shown by ``dev/bench decisions --scenario late-reports``, ``hot-keys`` and
-``slow-server``; decision cost by ``--scenario decision-cost``.
+The choice must cope with late load reports, one slow server, hot session keys
+and servers that return. With round robin or least reported load, a slow server
+keeps a full share of the requests, entries all follow the same reports that
+are seconds old, and a hot key overloads the server that holds it.
+
+Two servers are sampled and the one with the lower expected wait is chosen
+(power of two choices). The expected wait is the estimated load times the
+observed latency, divided by the server's capacity. Two samples are enough to
+avoid loaded servers, and sampling keeps entries from making the same choices.
+A server that is known to hold the session or prefix is preferred while its
+expected wait is at most `AFFINITY_GAIN` times the lower of the two, plus a
+small slack.
 """
 
 from __future__ import annotations
@@ -39,23 +37,24 @@
     from collections.abc import Sequence
 
 SAMPLE_SIZE: Final = 2
-# Draws before every candidate is looked at; with a third of them out,
-# eight draws miss two usable servers once in a few thousand choices.
+# Random draws before all candidates are examined. With a third of them
+# ejected, eight draws fail to find two usable servers once in several thousand
+# choices.
 MAX_DRAWS: Final = 8
-# A cached prefix saves the prefill, about a third of a typical request's
-# time: waiting longer than that for the cache would cost more.
+# A cached prefix saves the prefill, about a third of the time of a typical
+# request. A longer wait for the cache would cost more than it saves.
 AFFINITY_GAIN: Final = 1.5
-# With nearly idle servers a ratio of loads says little: one request more
-# or less must not drive a session away from its cache.
+# At nearly idle servers the ratio of loads says little: one request more or
+# less must not move a session away from its cache.
 AFFINITY_SLACK: Final = 0.25
 AFFINITY_OWNERS: Final = 2
-# The pool's typical latency is learned from servers' averages, each time
-# over this many answers, so that the median needs no sort on each choice.
+# The typical latencies of the pool are computed again after this many answers,
+# so that not every choice sorts the servers' averages.
 TYPICAL_UPDATE_ANSWERS: Final = 32
 
 
 class ServerSelector:
-    """State of one entry process about the backend servers it uses.
+    """Load, limits and health of the backend servers that an entry uses.
 
     >>> selector = ServerSelector(Random(1))
     >>> selector.choose([Candidate("a", 4)], 0.0)
@@ -80,10 +79,11 @@
         affinity_key: str | None = None,
         exclude: frozenset[str] = frozenset(),
     ) -> str | None:
-        """Return the server for one attempt, None where none is usable.
+        """Return the server for one attempt, None if none is usable.
 
-        Given the same sequence again, the index by name is used again: a
-        caller makes a new one when reports come, and changes none.
+        The index by name is reused while the caller passes the same sequence.
+        The caller must therefore make a new sequence when reports arrive, and
+        must not change an existing one.
         """
         drawn = self._sample(candidates, now_s, exclude)
         if not drawn:
@@ -122,7 +122,7 @@
         return tuple(choice._replace(scores=scores) for choice in choices)
 
     def record_start(self, name: str, now_s: float) -> None:
-        """Count a request that was sent to the server."""
+        """Record that a request was sent to the server."""
         server = self._server(name)
         server.own.change(1, now_s)
         server.health.record_start(now_s)
@@ -130,7 +130,7 @@
     def record_first_byte(
         self, name: str, now_s: float, latency_s: float
     ) -> None:
-        """Learn from the time to the first byte."""
+        """Record the time to the first byte, which may eject the server."""
         server = self._server(name)
         server.limit.record_first_byte(now_s, latency_s)
         server.health.record_first_byte(latency_s, self._typical)
@@ -139,7 +139,7 @@
     def record_finish(
         self, name: str, now_s: float, latency_s: float, outcome: Outcome
     ) -> None:
-        """Count the end of an attempt and learn from its outcome."""
+        """Record the end of an attempt, which may eject the server."""
         server = self._server(name)
         in_flight = server.own.in_flight
         server.own.change(-1, now_s)
@@ -148,8 +148,8 @@
             server.health.record_success(now_s, latency_s, self._typical)
             self._update_typical()
         elif outcome == "overloaded":
-            # A refusal says that the server is full, not that it fails:
-            # ejecting it would push its load onto the others.
+            # A refusal shows that the server is full, not that it is faulty.
+            # Ejecting it would move its load to the other servers.
             server.limit.record_overload(now_s)
         elif outcome in ("error", "timeout"):
             server.health.record_failure(now_s)
@@ -158,11 +158,11 @@
         self._eject_outlier(server, now_s)
 
     def in_flight(self, name: str) -> int:
-        """Return how many requests this entry has running on the server."""
+        """Return how many of this entry's requests run on the server."""
         return self._server(name).own.in_flight
 
     def is_ejected(self, name: str, now_s: float) -> bool:
-        """Tell whether the server is ejected and gets no work now."""
+        """Return whether the server is ejected and gets no work now."""
         return self._server(name).health.is_ejected(now_s)
 
     def limit(self, name: str) -> int:
@@ -170,10 +170,11 @@
         return self._server(name).limit.limit
 
     def capacity(self, candidates: Sequence[Candidate], now_s: float) -> int:
-        """Return the slots for admission: limits of the servers not out.
+        """Return the slots for admission control.
 
-        To be asked for several times a second; it also takes in the
-        queues that the servers report.
+        The slots are the sum of the limits of servers that are not ejected.
+        The call also applies the queues that servers report to their limits,
+        so it must be made several times a second.
         """
         total = 0
         for candidate in candidates:
@@ -189,15 +190,15 @@
     def cache_event(
         self, name: str, prefix_keys: Sequence[str], stored: bool, now_s: float
     ) -> None:
-        """Take in a hint that the server holds, or lost, prefixes."""
+        """Record a hint that the server stored or evicted prefixes."""
         self._hints.record_event(name, prefix_keys, stored, now_s)
 
     def forget(self, name: str) -> None:
-        """Drop the state of a server that left for good."""
+        """Drop the state of a server that has left for good."""
         self._servers.pop(name, None)
 
     def metrics(self, now_s: float) -> dict[str, ServerMetrics]:
-        """Return what is known about every server."""
+        """Return the current state of every server by its name."""
         return {
             name: ServerMetrics(
                 in_flight=server.own.in_flight,
@@ -226,8 +227,8 @@
                     return drawn
         usable = [c for c in candidates if self._is_usable(c, now_s, exclude)]
         if not usable:
-            # Admission bounds the sum; a limit that shrank since must not
-            # turn a request that was let in into an error.
+            # Admission control bounds the sum of the limits. If a limit has
+            # shrunk since, a request that was admitted must not fail.
             usable = [
                 c for c in candidates if self._is_eligible(c, now_s, exclude)
             ]
@@ -336,13 +337,13 @@
         return server
 
 
-# Candidate sets differ by model and by who is leaving; more than this
-# many at once means that servers come and go, and old rings are waste.
+# Sets of candidates differ by model and by which servers are leaving. More
+# sets than this mean that servers come and go, and old rings are of no use.
 MAX_RINGS: Final = 64
 
 
 class _Server:
-    """What the entry knows about one backend server."""
+    """State of one backend server as this entry sees it."""
 
     def __init__(self, capacity: int) -> None:
         self.own = OwnLoad()
