--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/prefill.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/prefill.py
@@ -1,16 +1,16 @@
-"""How long engines read a prompt, and in which order they should read.
-
-The load pattern is prompts of 300 to 60,000 tokens on models that read at
-rates ten times apart, all on the same engines. An engine reads in the order
-in which requests came, so one long prompt on a large model holds up every
-request behind it for seconds; nothing that an entry counts shows it. Short
-readings first is the order in which the fewest wait, and the short ones
-together are a small part of the work, so that the long ones lose little by
-it.
-
-What a reading takes is learned, as it differs by engine and model: the time
-to the first event by token, of prompts long enough that the constant part of
-it says little. A low quantile of it, since the rest is waiting.
+"""Estimate prefill times, and rank requests at the engines by them.
+
+Prompts of 300 to 60,000 tokens run on models whose prefill rates differ by a
+factor of ten, all on the same engines. By default an engine prefills in order
+of arrival, so one long prompt on a large model delays every request behind it
+for seconds, which no count of an entry shows. With the shortest prefill first,
+the fewest requests wait. Short prefills are a small part of the work, so long
+ones lose little.
+
+Prefill times differ by engine and model, so they are learned from the time to
+the first event per token. Only prompts that are long enough for the constant
+part of that time to matter little are used. The estimate is a low quantile,
+because the rest of the time is queueing.
 """
 
 from __future__ import annotations
@@ -21,29 +21,31 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# A first event takes some 20 to 30 ms without any reading, a few hundred
-# tokens' time: shorter prompts say more of that than of the rate.
+# A first event takes 20 to 30 ms without any prefill, the time of a few
+# hundred tokens. The times of shorter prompts depend more on that constant
+# than on the rate.
 MIN_TOKENS: Final = 1_000
-# Of ten first events at half load, two or three came without a wait.
+# At half load, two or three of ten first events come without queueing.
 QUANTILE: Final = 0.25
-# Each observation moves the rate by up to a tenth: known within ten of
-# them, a few seconds of one entry's traffic, and steady to a third.
+# Each observation changes the rate by up to a tenth. The estimate is usable
+# after ten observations, a few seconds of one entry's traffic, and varies by
+# up to a third.
 STEP: Final = 0.1
-# Before anything was seen: the middle of what today's engines do on their
-# smallest and largest models.
+# Used before the first observation: the middle of the rates of current engines
+# on their smallest and largest models.
 DEFAULT_S_PER_TOKEN: Final = 1 / 100_000
-# A model that nothing was seen of yet reads more slowly than the one below
-# it; today's differ by 2.7 and 3.8.
+# A model without observations is assumed to be slower than the next smaller
+# one by this factor; for current models it is 2.7 and 3.8.
 SLOWDOWN_PER_SIZE: Final = 3.0
 MAX_RATES: Final = 256
-# Engines know ten ranks. The first one is for readings that hold nobody up;
-# each further one for twice as long, so that the tenth begins at 3.8 s.
+# Engines support ten ranks. The first is for prefills that delay no other
+# request; each further rank doubles the time, so the tenth begins at 3.8 s.
 RANKS: Final = 10
 FIRST_RANK_S: Final = 0.015
 
 
 class PrefillRates:
-    """What one entry has learned of the models' reading, by service."""
+    """Prefill rates that one entry has learned, by service and model."""
 
     def __init__(self) -> None:
         self._s_per_token: dict[tuple[str, str], float] = {}
@@ -51,7 +53,7 @@
     def observe(
         self, service: str, model: str, tokens: int, first_event_s: float
     ) -> None:
-        """Take in the time from sending a prompt to its first event."""
+        """Record the time from sending a prompt to its first event."""
         if tokens < MIN_TOKENS or first_event_s <= 0:
             return
         sample = first_event_s / tokens
@@ -69,9 +71,10 @@
     def prefill_s(
         self, service: str, sizes: Sequence[str], size: int, tokens: int
     ) -> float:
-        """Return how long a prompt takes the model with this index.
+        """Return the expected prefill time of a prompt, in seconds.
 
-        ``sizes`` are the service's models, the smallest first.
+        ``sizes`` are the service's models, smallest first; ``size`` is the
+        index of the model that runs the prompt.
         """
         factor = 1.0
         for below in range(size, -1, -1):
@@ -84,12 +87,12 @@
 
 
 def engine_rank(prefill_s: float, priority: int, left_s: float) -> int:
-    """Return the rank at the engine, 0 is served first.
+    """Return the rank of a request at the engine; rank 0 is served first.
 
-    ``priority`` is what the operator declared, 0 is the highest: among
-    readings of like length it decides. ``left_s`` is what is left of the
-    aim: a reading that cannot be in time any more goes last, since it
-    would be late all the same and make others late as well.
+    ``priority`` is what the operator declared, 0 being the highest; it decides
+    between prefills of similar length. ``left_s`` is the time left until the
+    latency target. A prefill that cannot meet the target any more gets the
+    last rank, since it would be late in any case and delay other requests.
 
     >>> engine_rank(0.01, 0, 2.0), engine_rank(0.1, 0, 2.0)
     (0, 3)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
@@ -1,11 +1,11 @@
-"""Which sessions stay with the version in use while another is rolled out.
-
-The load pattern is sessions whose requests follow each other within seconds,
-each of them at any entry. A session is placed by its name, and a roll-out's
-first step takes the places below its share: a session that is under way in one
-of them would go on with the other version in the middle. So those that the
-version in use has served of late are told to all entries, and stay until the
-next step. What begins later is placed as usual.
+"""Sessions that stay on the version in use during a roll-out.
+
+Requests of one session follow each other within seconds, each at any entry. A
+session is placed by its name, and the first step of a roll-out moves the
+places below its share to the new version. A running session in one of these
+places would change versions halfway. The sessions that the version in use has
+served recently are therefore announced to all entries, and stay on it until
+the next step. Sessions that begin later are placed as usual.
 """
 
 from __future__ import annotations
@@ -17,20 +17,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Places are whole numbers below this one, as a checksum gives them.
+# Places are integers below this number, the range of a checksum.
 PLACE_COUNT: Final = 2**32
-# Sessions of the last seconds at one entry; a flood of names must not fill
-# the memory.
+# Recent sessions at one entry; a flood of names must not fill the memory.
 MAX_SEEN: Final = 4096
-# Roll-outs under way at once.
+# Steps of roll-outs that run at the same time.
 MAX_STEPS: Final = 64
-# Sessions of one step: where no new server comes for hours, the version in use
-# stands in for all that begin meanwhile.
+# Sessions of one step. While no new server comes for hours, the version in use
+# serves all sessions that begin meanwhile.
 MAX_RETAINED: Final = 65_536
 
 
 class Step(NamedTuple):
-    """One step of a roll-out, by the version that is rolled out."""
+    """One step of a roll-out; ``version`` is the new version."""
 
     service: str
     version: str
@@ -38,16 +37,17 @@
 
 
 class RetainedSessions:
-    """What one entry knows of the sessions that stay.
+    """The retained sessions of each roll-out step, as one entry knows them.
 
-    ``idle_s`` is how long after its last request a session may go on.
+    ``idle_s`` is the time in seconds after its last request within which a
+    session may continue.
 
     >>> step = Step("words", "v2", 0)
-    >>> sessions = StayingSessions(5.0)
-    >>> sessions.served("words", 7, 0.0)
-    >>> sessions.begins(step, 0.1, 1.0)
+    >>> sessions = RetainedSessions(5.0)
+    >>> sessions.record_served("words", 7, 0.0)
+    >>> sessions.begin_step(step, 0.1, 1.0)
     (7,)
-    >>> sessions.stays(step, 7), sessions.stays(step, 8)
+    >>> sessions.is_retained(step, 7), sessions.is_retained(step, 8)
     (True, False)
     """
 
@@ -58,9 +58,10 @@
         self._begun_steps: set[Step] = set()
 
     def record_served(self, service: str, place: int, now_s: float) -> None:
-        """Note a session that the version in use serves."""
+        """Record that the version in use serves a session now."""
         key = (service, place)
-        # The latest ones stand last.
+        # Reinserting the key keeps the dictionary ordered by time, latest
+        # last.
         self._seen.pop(key, None)
         self._seen[key] = now_s
         if len(self._seen) > MAX_SEEN:
@@ -71,7 +72,7 @@
     def begin_step(
         self, step: Step, share: float, now_s: float
     ) -> tuple[int, ...]:
-        """Return the places to tell the others, once for a step."""
+        """Retain the recent sessions; return their places once for a step."""
         if step in self._begun_steps:
             return ()
         if len(self._begun_steps) >= MAX_STEPS:
@@ -88,7 +89,7 @@
         return tuple(places)
 
     def retain(self, step: Step, places: Iterable[int]) -> tuple[int, ...]:
-        """Let sessions stay; return those that did not before."""
+        """Retain sessions; return the places that were not retained before."""
         retained = self._retained.setdefault(step, set())
         if len(retained) >= MAX_RETAINED:
             return ()
@@ -97,7 +98,7 @@
         return tuple(added)
 
     def is_retained(self, step: Step, place: int) -> bool:
-        """Tell whether a session goes on with the version in use."""
+        """Return whether a session stays on the version in use."""
         return place in self._retained.get(step, ())
 
     def _forget_idle(self, now_s: float) -> None:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
@@ -1,24 +1,23 @@
-"""Which model of an engine a request runs on, and when it climbs.
+"""Choice of the model size for a request, and when it escalates.
 
-The load pattern is a mix of easy and hard requests of one class, which
-nothing tells apart before a model has begun to answer. Always the largest
-model costs fifteen times the smallest one's price and fills the engines;
-always the smallest spoils the answers to hard requests. So a request
-begins on the smallest, and the model's own opinion of its answer, which
-comes with the answer's head, says whether the answer may go out or the
-request climbs. What is dropped has cost the reading of its prompt on the
-cheapest model.
+Easy and hard requests of one class cannot be told apart before a model has
+begun to answer. The largest model costs fifteen times as much as the smallest
+one and fills the engines; the smallest one gives poor answers to hard
+requests. A request therefore begins on the smallest model. The model's
+confidence in its answer, which arrives with the head of the answer, decides
+whether the answer is released or the request escalates. A dropped answer has
+cost one prefill on the cheapest model.
 
-A model's confidence says how far the request is from what the model can
-do: near half of the scale it is about what the model just can or cannot,
-far below no model but the largest can. So an answer that misses
-`ACCEPT_CONFIDENCE` by little climbs by one model, which costs half of the
-largest and reads a prompt in a quarter of its time, and any other answer
-straight to the largest. Through the middle always, most requests would be
+Confidence shows how far the request exceeds what the model can do. Near half
+of the scale the request is at the model's limit; far below, only the largest
+model can answer it. An answer that misses `ACCEPT_CONFIDENCE` narrowly
+therefore escalates by one model, which costs half as much as the largest and
+needs a quarter of its prefill time. Any other answer escalates directly to the
+largest model. If every request went through the middle model, most would be
 read three times.
 
-Under overload the time that a climb takes is another request's: a second
-load pattern, answered by `FULL_STRAIN`.
+Under overload, the time for an escalation is taken from other requests, so the
+threshold falls with the strain, down to 0 at `FULL_STRAIN`.
 """
 
 from __future__ import annotations
@@ -29,20 +28,20 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Of 100. Lower lets more poor answers out, higher pays for the large model
-# where the answer was good.
+# Of 100. A lower value releases more poor answers; a higher one pays for the
+# large model although the answer was good.
 ACCEPT_CONFIDENCE: Final = 60
-# A model between has an answer to give only after a near miss of the one
-# below. Both opinions are rough and speak of the same request, so that the
-# second needs to say less.
+# A middle model answers only after a near miss of the next smaller one. Both
+# confidences are rough estimates for the same request, so the second one may
+# be lower.
 ACCEPT_AFTER_NEAR_MISS: Final = 50
-# The middle model's confidence lies some twelve above the smallest one's, so
-# that from here on most of its answers can be accepted.
+# The middle model's confidence is about twelve higher than the smallest one's,
+# so from this value on most of its answers can be accepted.
 NEAR_MISS_CONFIDENCE: Final = 45
-# The largest model reads a prompt in ten times the smallest one's time, so
-# a climb keeps up to ten requests waiting behind it. As their wait nears this
-# share of the aim, answers go out that would otherwise climb, the better ones
-# first.
+# The largest model's prefill takes ten times as long as the smallest one's, so
+# an escalation delays up to ten requests. As the queueing delay nears this
+# share of the latency target, answers are released that would otherwise
+# escalate, those with the highest confidence first.
 FULL_STRAIN: Final = 0.5
 
 
@@ -58,13 +57,13 @@
     attempts_left: int,
     strain: float = 0.0,
 ) -> int | None:
-    """Return the model to climb to, None where the answer may go out.
+    """Return the model to escalate to, None to release the answer.
 
-    ``confidence`` is the model's opinion of its answer, 0 to 100, None
-    where it gave none. Without an attempt left the answer goes out: a
-    poor answer earns more than none. A climb by one needs an attempt more
-    than that, to climb on from there. ``strain`` is how long requests wait
-    at the servers now, as a share of their aim.
+    ``confidence`` is the model's confidence in its answer, 0 to 100, None if
+    it gave none. Without an attempt left the answer is released, as a poor
+    answer is worth more than none. An escalation by one model needs one more
+    attempt, to escalate again from there. ``strain`` is the current queueing
+    delay at the servers, as a share of the latency target.
     """
     between = 0 < size < len(sizes) - 1
     threshold = ACCEPT_AFTER_NEAR_MISS if between else ACCEPT_CONFIDENCE
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/versions.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/versions.py
@@ -1,8 +1,8 @@
-"""Which version of a model a new session or request goes to.
+"""Choice of the version of a model for a new session or request.
 
 A roll-out sends a share of the new work to the new version. Withdrawn and
-quarantined versions get none, whatever the share says: the entry may hold
-a share that is one revision older than the quarantine.
+quarantined versions get no work whatever the share is, because the share that
+an entry holds may be one revision older than the quarantine.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     random_unit: float,
     allowed: Collection[str] | None = None,
 ) -> str | None:
-    """Return the identity of the version for new work, None if none may.
+    """Return the identity of the version for new work, None if none may run.
 
-    ``random_unit`` is drawn from 0 to 1 by the caller. ``allowed`` holds
-    the identities that the profile and customer may use; None allows all.
+    The caller draws ``random_unit`` from 0 to 1. ``allowed`` holds the
+    identities that the profile and customer may use; None allows all.
     """
     stable = version_id(model.name, model.stable)
     usable = _usable(stable, model, in_force, allowed)
@@ -45,7 +45,7 @@
 
 
 def may_run(identity: str, model: Model, in_force: InForce) -> bool:
-    """Tell whether a version may get new work at all."""
+    """Return whether a version may get new work at all."""
     return _usable(identity, model, in_force, None)
 
 
@@ -67,10 +67,10 @@
 def _fallback(
     model: Model, in_force: InForce, allowed: Collection[str] | None
 ) -> str | None:
-    """Return the declared fallback where it may be used.
+    """Return the declared fallback if it may be used.
 
-    Which version takes over is the operators' word: one that is declared
-    and not rolled out yet must not get all the work by chance.
+    Only operators choose the version that takes over. A version that is
+    declared but not rolled out yet must not get all the work by chance.
     """
     if not model.fallback:
         return None
