--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -1,21 +1,19 @@
-"""At which step of a profile a request begins, and when it may stop.
-
-The load pattern is a mix of classes of which cheap models answer some as
-well as strong ones. Always strong pays several times too much; always
-cheap first pays for both on hard classes, adds latency, and lets unrated
-bad answers through. The quality target is a constraint for each class of
-requests, cost (weighed with latency by the profile) is the objective.
-
-A plan begins at one step and either accepts unrated answers or sends them
-on. Its expected quality and cost follow from the learned pass rates and
-from how often a rating comes while the answer waits. The cheapest plan
-whose quality is at the target with `MARGIN_DEVIATIONS` to spare is taken;
-where none is, the one of the highest quality. While a class is unknown,
-requests begin at the strong step but for an explored share, whose answers
+"""Cascades: the step of a profile that a request begins at and ends at.
+
+Some classes of requests are answered as well by cheap models as by strong
+ones. Strong models alone cost several times too much. Beginning every request
+at the cheap model pays for both models on hard classes, adds latency, and
+releases bad answers that were not rated. The quality target is a constraint
+for each class of requests; cost, weighted with latency by the profile, is the
+objective.
+
+A plan begins at one step and either accepts unrated answers or escalates them.
+Its expected quality and cost follow from the learned pass rates and from how
+often a rating arrives while the answer waits. The cheapest plan whose quality
+meets the target with a margin of `MARGIN_DEVIATIONS` is used; if there is
+none, the plan that begins at the strongest step is. While a class is unknown,
+requests begin at the strong step, except for an explored share whose answers
 are accepted only with a good rating.
-
-Shown by ``dev/bench decisions --scenario cascade`` and
-``--scenario cascade-drift``.
 """
 
 from __future__ import annotations
@@ -40,24 +38,27 @@
     from sycamorestand_model.nodes import RatingCount
 
 PASS_RATING: Final = 0.5
-# One deviation: at two, a class five points above the target needs
-# hundreds of ratings before the cheap step is used; at none, half of the
-# classes at the target are just below it.
+# In standard deviations. With two, a class five percentage points above the
+# target needs hundreds of ratings before the cheap step is used; with none,
+# half of the classes that seem to meet the target are just below it.
 MARGIN_DEVIATIONS: Final = 1.0
 EXPLORED_RATINGS: Final = 40.0
-# While a step is unknown, or may yet prove good enough. The rarer ratings
-# are, the longer this lasts; its price is the cheap step's each time.
+# Explored share while a step is unknown or may still prove good enough. The
+# rarer ratings are, the longer this lasts, and each exploration costs the
+# price of the cheap step.
 EXPLORE_UNDECIDED: Final = 0.2
-# A class given up on may become easy again with a new version; two in a
-# hundred requests find that out within a day and cost little.
+# Explored share of a class whose cheap step failed. The class may become easy
+# with a new version; two in a hundred requests show that within a day at a low
+# cost.
 EXPLORE_FLOOR: Final = 0.02
 INLINE_RATE_STEP: Final = 0.02
-# A plan is kept for this many answers of its class: a few hardly move
-# an estimate, and planning costs more than the rest of a decision.
+# A plan is kept for this many answers of its class. A few answers hardly
+# change an estimate, and planning costs more than the rest of a decision.
 REPLAN_ANSWERS: Final = 20
 LATENCY_PRIOR_MS: Final = 500.0
-# The bound on added latency holds for slow answers too, not the average
-# one: token counts give answers twice the average in about one of ten.
+# The bound on added latency must hold for slow answers as well as average
+# ones. Token counts make about one in ten answers twice as slow as the
+# average.
 SLOW_ANSWER_FACTOR: Final = 2.0
 
 
@@ -69,7 +70,7 @@
 
 
 class Plan(NamedTuple):
-    """One way to answer, with what is expected of it."""
+    """One way to answer a request, with its expected results."""
 
     first_step: int
     accepts_unrated: bool
@@ -80,11 +81,11 @@
 
 
 class CascadeLearner:
-    """What one process has learned about steps and request classes.
+    """Learned results of steps by request class, and the plans from them.
 
-    ``first_step`` chooses where to begin; after each answer ``accept``
-    tells whether it may be released; ``observe`` takes in the outcome,
-    and again, with ``passed``, a rating that comes late.
+    ``first_step`` chooses the step to begin at. After each answer, ``accept``
+    decides whether to release it. ``observe`` records the outcome, and is
+    called again with ``passed`` when a rating arrives late.
     """
 
     def __init__(self) -> None:
@@ -105,8 +106,8 @@
     ) -> int:
         """Return the index of the step to begin with.
 
-        A call that is not idempotent gets exactly one step: running it
-        again at the next one would run it twice.
+        A call that is not idempotent gets exactly one step, because escalating
+        it would run it twice.
         """
         self._set_prices(profile.name, prices)
         plan = self.plan(profile, request_class, idempotent)
@@ -128,7 +129,10 @@
         rating: float | None,
         idempotent: bool = True,
     ) -> bool:
-        """Tell whether a step's answer may be released to the caller."""
+        """Return whether a step's answer may be released to the caller.
+
+        The call also updates how often ratings arrive while the answer waits.
+        """
         if not idempotent or step >= len(profile.steps) - 1:
             return True
         self._update_inline_rate(
@@ -149,11 +153,11 @@
         latency_ms: float,
         escalated: bool = False,
     ) -> None:
-        """Learn from one answer.
+        """Record one answer.
 
-        ``escalated`` tells that an earlier step failed the same request:
-        those are harder, and counted by themselves. A late rating of an
-        answer observed before comes with a cost of zero.
+        With ``escalated``, an earlier step failed the same request. Such
+        requests are harder, so they are counted separately. A late rating of
+        an answer that was observed before comes with a cost of zero.
         """
         if cost_micros > 0:
             self._rates.observe_use(
@@ -165,11 +169,11 @@
             self._rates.observe(subject, request_class, passed)
 
     def observe_ratings(self, counts: Iterable[RatingCount]) -> None:
-        """Take in ratings that other entries were given.
+        """Record ratings that other entries received.
 
-        Each entry alone sees few requests of a class: with ten of them
-        it would take each ten times as long to learn that the cheap step
-        is good enough, and the strong one is paid for meanwhile.
+        Each entry sees few requests of a class. Without the others' ratings,
+        each of ten entries would take ten times as long to learn that the
+        cheap step is good enough, and would pay for the strong step meanwhile.
         """
         for count in counts:
             subject = count.version
@@ -242,7 +246,7 @@
     def _plan_from(
         self, profile: Profile, request_class: str, step: int, accepts: bool
     ) -> Plan:
-        """Return a plan from its first step on, all later ones included."""
+        """Return the plan that begins at a step, including all later steps."""
         first = self._single_step_plan(profile, request_class, step)
         if step >= len(profile.steps) - 1:
             return first
@@ -332,8 +336,9 @@
 
 
 def _escalated(version: str) -> str:
-    # The suffix keeps the model's name in front of the separator, but
-    # apart from it, so that hard requests do not spoil its estimate.
+    # The prefix changes the model's name in front of the separator, so that
+    # the ratings of hard requests do not affect the estimate of the model
+    # itself.
     return f"escalated:{version}"
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
@@ -1,4 +1,4 @@
-"""Readable reasons for one decision, for ``sycactl explain``."""
+"""Text explanations of single decisions, for ``sycactl explain``."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def explain_admission(result: Started | Waiting | Refused) -> str:
-    """Return why a request started, waits or was refused."""
+    """Return why a request was started, queued or refused."""
     if isinstance(result, Started):
         return "started: a slot was free and nobody waited for it"
     if isinstance(result, Waiting):
@@ -28,7 +28,7 @@
 
 
 def explain_choice(choices: Sequence[Choice]) -> list[str]:
-    """Return one line for each candidate server, best first."""
+    """Return one line for each candidate server, lowest score first."""
     if not choices:
         return ["no candidate server"]
     scores = dict(choices[0].scores)
@@ -41,7 +41,7 @@
 def explain_cascade(
     learner: CascadeLearner, profile: Profile, request_class: str
 ) -> list[str]:
-    """Return what every plan is expected to give, the taken one marked."""
+    """Return the expectations of every plan, with the chosen one marked."""
     chosen = learner.plan(profile, request_class)
     lines = [f"target {profile.quality_target:.3f} for {request_class}"]
     for plan in learner.plans(profile, request_class):
@@ -58,7 +58,7 @@
 
 
 def explain_verdict(version: str, verdict: Verdict) -> list[str]:
-    """Return why a roll-out went on, waits or stopped."""
+    """Return why a roll-out advanced, continued or stopped."""
     kind = type(verdict).__name__.lower()
     lines = [f"{version}: {kind}: {verdict.reason}"]
     if isinstance(verdict, Stop):
