--- a/packages/sycamorestand-decisions/tests/test_admission.py
+++ b/packages/sycamorestand-decisions/tests/test_admission.py
@@ -46,7 +46,9 @@
         assert admission.offer(ticket(1), 0.0) == Started(1)
         assert isinstance(admission.offer(ticket(2), 0.0), Waiting)
 
-    def test_refuses_at_once_what_cannot_start_in_time(self) -> None:
+    def test_refuses_immediately_a_request_that_cannot_start_in_time(
+        self,
+    ) -> None:
         """The pool has one slot and work for five seconds waiting.
 
         A request with a deadline two seconds away is refused when it is
@@ -60,7 +62,9 @@
         assert isinstance(answer, Refused)
         assert 1.0 <= answer.retry_after_s <= 30.0
 
-    def test_refuses_what_cannot_finish_even_with_a_free_slot(self) -> None:
+    def test_refuses_a_request_too_long_for_its_deadline_despite_a_free_slot(
+        self,
+    ) -> None:
         answer = admission_of(1).offer(
             ticket(1, deadline_s=1.0, expected_s=5.0), 0.0
         )
@@ -86,7 +90,7 @@
 
 
 class TestFairness:
-    def test_a_flood_hurts_itself(self) -> None:
+    def test_a_flooding_customer_does_not_delay_others(self) -> None:
         """One customer has a hundred requests waiting, another sends one.
 
         The one starts with the next free slot: the customers are served
@@ -100,7 +104,7 @@
         (started,) = admission.start_ready(0.05)
         assert started.customer == "small"
 
-    def test_use_of_an_idle_pool_is_not_held_against(self) -> None:
+    def test_use_of_an_idle_pool_is_not_charged_later(self) -> None:
         """One customer used an idle pool for long, then both send much.
 
         Nobody waited for what it used. From now on both get the same; the
@@ -117,7 +121,7 @@
         starts = self._drain(admission, 100, 20)
         assert 8 <= sum(t.customer == "old" for t in starts) <= 12
 
-    def test_a_pause_saves_nothing_up(self) -> None:
+    def test_a_pause_of_batch_work_earns_no_credit(self) -> None:
         """Interactive work ran alone for long, then batch work comes.
 
         Owed a tenth of all that time, batch would take every slot until
@@ -137,7 +141,7 @@
         starts = self._drain(admission, 60, 20)
         assert sum(t.priority == "batch" for t in starts) <= 4
 
-    def test_an_idle_customer_need_not_wait_for_a_slot(self) -> None:
+    def test_an_idle_customer_starts_beyond_the_slots(self) -> None:
         """All ten slots are taken by one customer's long requests.
 
         Another one's request starts in the one slot that is kept beyond
@@ -198,7 +202,7 @@
 
 
 class TestExpire:
-    def test_refuses_as_soon_as_a_start_in_time_is_lost(self) -> None:
+    def test_refuses_as_soon_as_a_start_in_time_is_impossible(self) -> None:
         """Twelve requests wait when seven of eight slots are lost.
 
         The last of them cannot start in time any more. They are refused
@@ -217,7 +221,7 @@
         assert all(t.deadline_s > 1.0 for t, _ in refused)
         assert 10 not in {t.ticket_id for t, _ in refused}
 
-    def test_nothing_is_refused_twice(self) -> None:
+    def test_no_request_is_refused_twice(self) -> None:
         admission = admission_of(1)
         admission.offer(ticket(1), 0.0)
         admission.offer(ticket(2, deadline_s=5.0), 0.0)
--- a/packages/sycamorestand-decisions/tests/test_affinity.py
+++ b/packages/sycamorestand-decisions/tests/test_affinity.py
@@ -25,7 +25,7 @@
     def test_key(self, parts: list[str], key: str) -> None:
         assert prefix_key(parts) == key
 
-    def test_one_club_meets_one_server_from_every_entry(self) -> None:
+    def test_every_entry_places_one_prefix_on_the_same_server(self) -> None:
         """Requests of one club share all but their last part.
 
         Placed by the last part they went to a server each, which read the
--- a/packages/sycamorestand-decisions/tests/test_arrival_pool.py
+++ b/packages/sycamorestand-decisions/tests/test_arrival_pool.py
@@ -17,30 +17,30 @@
 SIZES: Final = [10, 24, 88, 195, 330]
 # Of their kind: some entries have four times the requests of others.
 WEIGHTS: Final = [0.5, 1.0, 1.0, 2.0]
-A_SECOND: Final = 1.1
-CLIMB_SHARE: Final = 0.47
+REQUESTS_PER_S: Final = 1.1
+ESCALATED_SHARE: Final = 0.47
 BEGIN_S: Final = 16.0
 # Smaller installations have three voters.
 FEW_ENTRIES: Final = 24
 
 
-class TestCalmLoad:
+class TestNormalLoad:
     @pytest.mark.parametrize("entries", SIZES)
     @pytest.mark.parametrize("seed", range(3))
-    def test_parts_can_spend_what_the_whole_can(
+    def test_many_entries_are_denied_no_more_than_one_entry(
         self, entries: int, seed: int
     ) -> None:
         """A tenth of the climbs were denied while the whole had plenty."""
         allowance = Allowance(ratio=0.9, slack=2.2 * entries, window_s=10.0)
         parts = Installation(allowance, entries, seed).denied_share()
         whole = Installation(allowance, 1, seed)
-        whole.a_second = entries * A_SECOND
+        whole.requests_per_s = entries * REQUESTS_PER_S
         assert parts <= whole.denied_share() + 0.05
 
 
-class TestSum:
+class TestTotal:
     @pytest.mark.parametrize("entries", SIZES)
-    def test_stays_within_the_allowance_whatever_is_lost(
+    def test_total_stays_within_the_allowance_despite_losses(
         self, entries: int
     ) -> None:
         """Servers are lost after calm seconds; messages and processes too.
@@ -52,11 +52,11 @@
         allowance = Allowance(ratio=0.9, slack=2.2 * entries, window_s=10.0)
         installation = Installation(allowance, entries, 7)
         installation.overload()
-        assert installation.further
+        assert installation.further_arrivals
         for begin_s in range(60):
-            requests = installation.requests(begin_s / 2)
+            requests = installation.counted_requests(begin_s / 2)
             allowed = allowance.ratio * requests + allowance.slack
-            assert installation.added(begin_s / 2) <= allowed
+            assert installation.further_arrival_count(begin_s / 2) <= allowed
 
 
 class Installation:
@@ -69,53 +69,58 @@
         voters = 3 if entries <= FEW_ENTRIES else 5
         self.pools = [ArrivalPool(allowance, 0.0) for _ in range(voters)]
         self.weights = self.random.choices(WEIGHTS, k=entries)
-        self.a_second = A_SECOND
+        self.requests_per_s = REQUESTS_PER_S
         self.lossy = False
-        self.firsts: list[float] = []
-        self.further: list[float] = []
-        self._late: list[tuple[int, Trade]] = []
+        self.first_arrivals: list[float] = []
+        self.further_arrivals: list[float] = []
+        self._late_trades: list[tuple[int, Trade]] = []
 
     def denied_share(self) -> float:
         """Return the share of climbs denied in half a minute of calm."""
-        climbs: list[tuple[float, int]] = []
+        escalations: list[tuple[float, int]] = []
         denied = 0
         for now_s, entry in self._arrivals(30.0):
-            while climbs and climbs[0][0] <= now_s:
-                climb_s, climber = heapq.heappop(climbs)
-                denied += not self._climbs(climber, climb_s)
-            self._first(entry, now_s)
-            if self.random.random() < CLIMB_SHARE:
+            while escalations and escalations[0][0] <= now_s:
+                escalation_s, escalating_entry = heapq.heappop(escalations)
+                denied += not self._try_escalate(
+                    escalating_entry, escalation_s
+                )
+            self._record_first_arrival(entry, now_s)
+            if self.random.random() < ESCALATED_SHARE:
                 after_s = self.random.uniform(0.1, 1.0)
-                heapq.heappush(climbs, (now_s + after_s, entry))
-        return denied / (CLIMB_SHARE * len(self.firsts))
+                heapq.heappush(escalations, (now_s + after_s, entry))
+        return denied / (ESCALATED_SHARE * len(self.first_arrivals))
 
     def overload(self) -> None:
         """Let each request ask for five more, and lose what can be lost."""
-        wishes: list[tuple[float, int]] = []
+        pending: list[tuple[float, int]] = []
         for now_s, entry in self._arrivals(30.0):
             self.lossy = now_s > BEGIN_S + 10
-            while wishes and wishes[0][0] <= now_s:
-                wish_s, wisher = heapq.heappop(wishes)
-                self._wish(wisher, wish_s)
-            self._first(entry, now_s)
+            while pending and pending[0][0] <= now_s:
+                pending_s, pending_entry = heapq.heappop(pending)
+                self._try_add_twice(pending_entry, pending_s)
+            self._record_first_arrival(entry, now_s)
             for number in range(5 if now_s > BEGIN_S + 12 else 0):
-                heapq.heappush(wishes, (now_s + 0.05 * number, entry))
+                heapq.heappush(pending, (now_s + 0.05 * number, entry))
             if self.random.random() < 0.01:
                 self.entries[entry] = ArrivalBudget(self.allowance)
             if self.random.random() < 0.002:
                 number = self.random.randrange(len(self.pools))
                 self.pools[number] = ArrivalPool(self.allowance, now_s)
 
-    def requests(self, begin_s: float) -> int:
+    def counted_requests(self, begin_s: float) -> int:
         """Return the requests that a window is judged by."""
-        return max(self._within(self.firsts, begin_s - d) for d in (0, 5, 10))
+        return max(
+            self._count_within(self.first_arrivals, begin_s - d)
+            for d in (0, 5, 10)
+        )
 
-    def added(self, begin_s: float) -> int:
+    def further_arrival_count(self, begin_s: float) -> int:
         """Return the further arrivals of a window."""
-        return self._within(self.further, begin_s)
+        return self._count_within(self.further_arrivals, begin_s)
 
     def _arrivals(self, seconds: float) -> list[tuple[float, int]]:
-        rate = len(self.entries) * self.a_second
+        rate = len(self.entries) * self.requests_per_s
         now_s = BEGIN_S
         arrivals = []
         while now_s < BEGIN_S + seconds:
@@ -125,57 +130,57 @@
             arrivals.append((now_s, entry))
         return arrivals
 
-    def _first(self, entry: int, now_s: float) -> None:
-        self.firsts.append(now_s)
+    def _record_first_arrival(self, entry: int, now_s: float) -> None:
+        self.first_arrivals.append(now_s)
         self.entries[entry].record_first_arrival(SERVICE, now_s)
         self._trade(entry, now_s)
 
-    def _climbs(self, entry: int, now_s: float) -> bool:
+    def _try_escalate(self, entry: int, now_s: float) -> bool:
         count = len(self.entries)
         for _ in range(2):
             if self.entries[entry].has_spare(SERVICE, count, now_s):
-                return self._add(entry, now_s)
+                return self._try_add(entry, now_s)
             self._trade(entry, now_s, SERVICE)
         return False
 
-    def _wish(self, entry: int, now_s: float) -> None:
-        if not self._add(entry, now_s):
-            self._add(entry, now_s)
+    def _try_add_twice(self, entry: int, now_s: float) -> None:
+        if not self._try_add(entry, now_s):
+            self._try_add(entry, now_s)
 
-    def _add(self, entry: int, now_s: float) -> bool:
+    def _try_add(self, entry: int, now_s: float) -> bool:
         count = len(self.entries)
-        may = self.entries[entry].try_spend(SERVICE, count, now_s)
-        if may:
-            self.further.append(now_s)
-        self._trade(entry, now_s, "" if may else SERVICE)
-        return may
+        is_granted = self.entries[entry].try_spend(SERVICE, count, now_s)
+        if is_granted:
+            self.further_arrivals.append(now_s)
+        self._trade(entry, now_s, "" if is_granted else SERVICE)
+        return is_granted
 
     def _trade(self, entry: int, now_s: float, needed: str = "") -> None:
         budget = self.entries[entry]
         trade = budget.open_trade(len(self.entries), now_s, needed)
         if trade is None:
             return
-        fate = self.random.random() if self.lossy else 1.0
-        if fate < 0.05:
-            self._late.append((entry, trade))
-        elif fate < 0.1:
-            self._reaches(entry, trade, now_s)
+        outcome = self.random.random() if self.lossy else 1.0
+        if outcome < 0.05:
+            self._late_trades.append((entry, trade))
+        elif outcome < 0.1:
+            self._deliver(entry, trade, now_s)
         else:
-            lent = self._reaches(entry, trade, now_s)
+            lent = self._deliver(entry, trade, now_s)
             budget.close_trade(trade.number, lent)
-        if len(self._late) > len(self.entries) / 4:
-            for late in self._late:
-                self._reaches(*late, now_s)
-            self._late.clear()
+        if len(self._late_trades) > len(self.entries) / 4:
+            for late in self._late_trades:
+                self._deliver(*late, now_s)
+            self._late_trades.clear()
 
-    def _reaches(
+    def _deliver(
         self, entry: int, trade: Trade, now_s: float
     ) -> dict[str, float]:
         pools = len(self.pools)
         pool = self.pools[entry % pools]
         return pool.trade(trade.given, trade.asked, pools, now_s)
 
-    def _within(self, times: list[float], begin_s: float) -> int:
+    def _count_within(self, times: list[float], begin_s: float) -> int:
         begin_s += BEGIN_S
         end_s = begin_s + self.allowance.window_s
         return sum(begin_s <= time < end_s for time in times)
--- a/packages/sycamorestand-decisions/tests/test_arrivals.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals.py
@@ -18,12 +18,12 @@
 
 
 class TestArrivalBudget:
-    def test_without_an_allowance_nothing_is_bounded(self) -> None:
+    def test_without_an_allowance_there_is_no_limit(self) -> None:
         budget = ArrivalBudget(Allowance())
         assert all(budget.try_spend(SERVICE, 3, 0.1 * n) for n in range(500))
 
     @pytest.mark.parametrize("restarts", [False, True])
-    def test_full_servers_and_climbs_together_stay_within_it(
+    def test_refusals_and_escalations_together_stay_within_the_allowance(
         self, restarts: bool
     ) -> None:
         """Half of the servers crash; the others refuse what they cannot hold.
@@ -33,14 +33,14 @@
         killed in the middle of it and forget their counts. Whatever window
         is looked at, all entries together stay within what is allowed.
         """
-        firsts, further = play(restarts)
+        firsts, further = simulate_overload(restarts)
         for begin_s in range(0, 50, 2):
-            arrived = within(further, begin_s)
+            arrived = count_within(further, begin_s)
             assert arrived <= allowed(firsts, begin_s)
 
     @pytest.mark.parametrize("change", ["restart", "move"])
     @pytest.mark.parametrize("seed", range(5))
-    def test_nothing_is_spent_twice_as_entries_or_callers_change(
+    def test_budget_is_not_spent_twice_as_entries_or_callers_change(
         self, change: str, seed: int
     ) -> None:
         """Calm for twenty seconds, then servers are lost and all are full.
@@ -50,12 +50,12 @@
         before the change by one set of entries, and what came after it by
         another: 652 arrivals in one window, 624 allowed.
         """
-        firsts, further = play_a_change(change, Random(seed))
+        firsts, further = simulate_change(change, Random(seed))
         for begin_s in range(0, 60):
-            arrived = within(further, begin_s / 2)
+            arrived = count_within(further, begin_s / 2)
             assert arrived <= allowed(firsts, begin_s / 2)
 
-    def test_a_calm_days_climbs_are_not_held_up(self) -> None:
+    def test_escalations_at_low_load_are_granted(self) -> None:
         """Nearly half of the requests climb, on an entry with little work."""
         random = Random(4)
         budget = ArrivalBudget(ALLOWANCE)
@@ -68,7 +68,7 @@
                 denied += not budget.try_spend(SERVICE, ENTRIES, now_s)
         assert denied <= 0.02 * 0.46 * 2_000
 
-    def test_services_do_not_share_it(self) -> None:
+    def test_services_have_separate_budgets(self) -> None:
         budget = ArrivalBudget(ALLOWANCE)
         for service in (SERVICE, "ledger") * 4:
             budget.record_first_arrival(service, 0.0)
@@ -77,7 +77,7 @@
         assert budget.try_spend("ledger", ENTRIES, 0.0)
 
     @pytest.mark.parametrize("entries", [0, 1, 60])
-    def test_the_budget_comes_back_with_requests(self, entries: int) -> None:
+    def test_requests_refill_an_empty_budget(self, entries: int) -> None:
         budget = ArrivalBudget(ALLOWANCE)
         while budget.try_spend(SERVICE, entries, 0.0):
             pass
@@ -89,7 +89,7 @@
                 added += 1
         assert added >= int(20 * ALLOWANCE.ratio * EARNED_SHARE)
 
-    def test_a_server_that_is_lost_finds_what_calm_seconds_left(self) -> None:
+    def test_saved_budget_covers_the_loss_of_a_server(self) -> None:
         """Of a dozen streams under way half break off in one moment."""
         budget = ArrivalBudget(ALLOWANCE)
         for number in range(40):
@@ -99,7 +99,7 @@
 
 
 class TestTrades:
-    def test_what_was_asked_for_counts_as_kept_until_the_answer(self) -> None:
+    def test_asked_arrivals_count_as_kept_until_the_answer(self) -> None:
         """It earned all that it may keep, and then what was lent came too."""
         budget = full_budget()
         spend_all(budget, 12.0)
@@ -152,7 +152,7 @@
         pass
 
 
-def play(restarts: bool) -> tuple[list[float], list[float]]:
+def simulate_overload(restarts: bool) -> tuple[list[float], list[float]]:
     """Return when first and further arrivals of all entries were."""
     random = Random(9)
     budgets = [ArrivalBudget(ALLOWANCE) for _ in range(ENTRIES)]
@@ -173,7 +173,7 @@
     return firsts, further
 
 
-def play_a_change(
+def simulate_change(
     change: str, random: Random
 ) -> tuple[list[float], list[float]]:
     """Return when first and further arrivals of all entries were."""
@@ -198,7 +198,7 @@
     return firsts, further
 
 
-def within(times: list[float], begin_s: float) -> int:
+def count_within(times: list[float], begin_s: float) -> int:
     """Return how many lie in the window that begins there."""
     end_s = begin_s + ALLOWANCE.window_s
     return sum(begin_s <= time < end_s for time in times)
@@ -209,12 +209,14 @@
 
     By its requests, or those half a window before.
     """
-    requests = max(within(firsts, begin_s), within(firsts, begin_s - 5))
+    requests = max(
+        count_within(firsts, begin_s), count_within(firsts, begin_s - 5)
+    )
     return ALLOWANCE.ratio * requests + ALLOWANCE.slack
 
 
 class TestSpare:
-    def test_the_last_ones_are_kept_for_what_is_urgent(self) -> None:
+    def test_the_reserve_is_kept_for_urgent_arrivals(self) -> None:
         """Climbs and moves had spent all when callers were about to leave."""
         budget = ArrivalBudget(Allowance(ratio=0.9, slack=60.0))
         for _ in range(2):
@@ -225,5 +227,5 @@
             budget.record_first_arrival("words", 0.0)
         assert budget.has_spare("words", 10, 0.0)
 
-    def test_without_a_bound_there_is_always_spare(self) -> None:
+    def test_without_an_allowance_there_is_always_spare(self) -> None:
         assert ArrivalBudget(Allowance()).has_spare("words", 10, 0.0)
--- a/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -24,11 +24,11 @@
         assert limit_s <= left_s
         assert left_s < 0.8 or limit_s <= left_s / 2
 
-    def test_overtaken_is_given_up_first(self) -> None:
+    def test_an_overtaken_request_is_abandoned_first(self) -> None:
         overtaken_s, whole_s = first_event_limits_s(4.0, 20.0)
         assert overtaken_s < whole_s <= 4.0
 
-    def test_aim_as_long_as_the_callers_time_is_no_bound(self) -> None:
+    def test_a_target_as_long_as_the_callers_time_is_no_limit(self) -> None:
         """An answer is of use to the end of the caller's time.
 
         A server that hangs must be left while another can still answer,
@@ -37,13 +37,13 @@
         _, whole_s = first_event_limits_s(5.0, 5.0)
         assert whole_s < 4.0
 
-    def test_pause_of_a_calm_server_is_no_reason(self) -> None:
+    def test_the_gap_limit_exceeds_gaps_of_a_calm_server(self) -> None:
         assert gap_limit_s(1.2) > 2 * 1.2
         assert gap_limit_s(0.1) >= 1.0
 
 
-class TestQuickLimit:
-    def test_a_cheap_reading_leaves_long_before_its_aim(self) -> None:
+class TestShortPrefillLimit:
+    def test_a_short_prefill_moves_long_before_its_target(self) -> None:
         """A digest of 50,000 tokens is read at one server of five.
 
         The question behind it would begin after two seconds there, and
@@ -53,11 +53,11 @@
         assert limit_s is not None
         assert limit_s < 0.15 * 2.0
 
-    def test_a_long_reading_stays(self) -> None:
+    def test_a_long_prefill_does_not_move(self) -> None:
         """Asked elsewhere, it would be read twice."""
         assert short_prefill_limit_s(2.0, 0.4, 0.0) is None
 
-    def test_under_a_burst_nobody_leaves(self) -> None:
+    def test_no_request_moves_during_a_burst(self) -> None:
         """Requests wait for half a second at every server.
 
         Whoever left would go to the end of a queue as long, and each move
@@ -66,8 +66,8 @@
         assert short_prefill_limit_s(2.0, 0.02, 0.5) is None
 
 
-class TestProgress:
-    def test_queue_worked_off_in_turn_overtakes_nobody(self) -> None:
+class TestServerProgress:
+    def test_a_queue_served_in_order_overtakes_no_request(self) -> None:
         """A server answers in turn, slowly; the last one waits longest."""
         progress = ServerProgress()
         for sent_s in (1.0, 2.0, 3.0):
@@ -80,7 +80,7 @@
         assert progress.has_overtaken("s-1", 1.0)
         assert not progress.has_overtaken("s-2", 1.0)
 
-    def test_requests_sent_together_come_in_any_order(self) -> None:
+    def test_requests_sent_together_may_be_answered_in_any_order(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 1.1, 1.5)
         assert not progress.has_overtaken("s-1", 1.0)
@@ -105,13 +105,13 @@
             assert progress.is_serving_in_order("s-1", sent_s)
         assert given_up > 5
 
-    def test_a_server_that_answers_nobody_is(self) -> None:
+    def test_a_server_that_answers_no_request_is_at_fault(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 1.0, 1.5)
         assert not progress.is_serving_in_order("s-1", 2.0)
         assert not progress.is_serving_in_order("s-2", 2.0)
 
-    def test_a_server_that_passes_one_over_is(self) -> None:
+    def test_a_server_that_skips_a_request_is_at_fault(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 3.0, 3.5)
         assert not progress.is_serving_in_order("s-1", 1.0)
@@ -120,13 +120,13 @@
 class TestFirstEvent:
     @pytest.mark.parametrize("aim_s", [0.5, 4.0])
     @pytest.mark.parametrize("left_s", [1.0, 20.0])
-    def test_whoever_is_overtaken_goes_first(
+    def test_the_timeout_when_overtaken_is_the_shorter_one(
         self, aim_s: float, left_s: float
     ) -> None:
         overtaken_s, in_any_case_s = first_event_limits_s(aim_s, left_s)
         assert 0 < overtaken_s <= in_any_case_s
 
-    def test_a_long_prompt_is_not_given_up_while_it_is_read(self) -> None:
+    def test_a_long_prompt_is_not_abandoned_during_its_prefill(self) -> None:
         """A prompt of 37,000 tokens takes 2.9 s to read on a large model.
 
         It was given up after 2.4 s of an aim of 4 s and begun anew at the
@@ -153,7 +153,7 @@
         assert times.max_total_s("review", 0.0, 5.0) == 2.5
         assert times.max_answer_s("quote") == 0.0
 
-    def test_few_answers_say_nothing_of_the_longest(self) -> None:
+    def test_few_answers_give_no_maximum(self) -> None:
         """Soon after a start only short answers have ended."""
         times = AnswerTimes()
         assert times.max_total_s("review", 0.0, 5.0) == math.inf
@@ -168,7 +168,7 @@
             times.record_answer("review", AnswerTime(0.5, 2.0, 50))
         assert times.max_total_s("review", 0.2, 5.0) == 10.5
 
-    def test_what_still_runs_counts(self) -> None:
+    def test_running_requests_count(self) -> None:
         """Answers that ended say little of those that take long."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
--- a/packages/sycamorestand-decisions/tests/test_cascade.py
+++ b/packages/sycamorestand-decisions/tests/test_cascade.py
@@ -37,7 +37,7 @@
     learner.observe(PROFILE.name, version, KIND, passed, cost, 400.0)
 
 
-def first_steps(learner: CascadeLearner, idempotent: bool = True) -> float:
+def mean_first_step(learner: CascadeLearner, idempotent: bool = True) -> float:
     random = Random(2)
     steps = [
         learner.first_step(PROFILE, KIND, PRICES, 0.0, random, idempotent)
@@ -47,17 +47,19 @@
 
 
 class TestFirstStep:
-    def test_unknown_class_begins_strong_but_for_a_share(self) -> None:
-        assert 0.7 <= first_steps(learner_of(0.0, 0)) <= 0.9
+    def test_unknown_class_begins_strong_except_for_an_explored_share(
+        self,
+    ) -> None:
+        assert 0.7 <= mean_first_step(learner_of(0.0, 0)) <= 0.9
 
     def test_good_cheap_step_is_used(self) -> None:
-        assert first_steps(learner_of(0.98, 300)) == 0.0
+        assert mean_first_step(learner_of(0.98, 300)) == 0.0
 
     def test_bad_cheap_step_is_still_explored_a_little(self) -> None:
-        share = first_steps(learner_of(0.3, 300))
+        share = mean_first_step(learner_of(0.3, 300))
         assert 0.94 <= share < 1.0
 
-    def test_without_ratings_nothing_cheap_is_trusted(self) -> None:
+    def test_without_ratings_no_cheap_answer_is_released(self) -> None:
         """The rating service is down from the first day.
 
         No answer of the cheap version is known to be good, so unrated
@@ -67,10 +69,10 @@
         learner = learner_of(0.0, 0)
         for _ in range(300):
             observe(learner, "small@1", None, 100.0)
-        assert first_steps(learner) >= 0.7
+        assert mean_first_step(learner) >= 0.7
         assert not learner.accept(PROFILE, 0, KIND, None)
 
-    def test_bound_on_added_latency_keeps_to_the_last_step(self) -> None:
+    def test_bound_on_added_latency_excludes_the_cheap_step(self) -> None:
         """The cheap step takes 400 ms and the profile allows 100.
 
         A request sent on to the last step would be later than the
@@ -89,10 +91,10 @@
         run the call twice.
         """
         learner = learner_of(0.3, 300)
-        assert first_steps(learner, idempotent=False) == 1.0
+        assert mean_first_step(learner, idempotent=False) == 1.0
         assert learner.accept(PROFILE, 0, KIND, 0.0, idempotent=False)
 
-    def test_a_new_version_starts_where_its_model_stood(self) -> None:
+    def test_a_new_version_starts_from_its_models_ratings(self) -> None:
         learner = learner_of(0.98, 300)
         prices = (StepPrice("small@2", 100.0), PRICES[1])
         random = Random(3)
@@ -115,7 +117,7 @@
     @pytest.mark.parametrize(
         ("passes", "accepted"), [(0.98, True), (0.5, False)]
     )
-    def test_unrated_answers_follow_the_class(
+    def test_unrated_answers_follow_the_pass_rate_of_the_class(
         self, passes: float, accepted: bool
     ) -> None:
         learner = learner_of(passes, 300, inline=False)
@@ -123,7 +125,7 @@
 
 
 class TestDrift:
-    def test_a_class_that_becomes_hard_goes_back_to_strong(self) -> None:
+    def test_a_class_that_becomes_hard_begins_strong_again(self) -> None:
         """The mix drifts: requests of a class become hard.
 
         Their ratings come late, so nothing catches the bad answers.
@@ -133,7 +135,7 @@
         learner = learner_of(0.98, 400, inline=False)
         for number in range(200):
             observe(learner, "small@1", number % 2 == 0, 100.0)
-        assert first_steps(learner) >= 0.75
+        assert mean_first_step(learner) >= 0.75
 
 
 class TestObjective:
--- a/packages/sycamorestand-decisions/tests/test_demand.py
+++ b/packages/sycamorestand-decisions/tests/test_demand.py
@@ -58,7 +58,7 @@
 
 
 class TestAverageDemand:
-    def test_a_short_burst_asks_for_no_replica(self) -> None:
+    def test_a_short_burst_adds_no_replica(self) -> None:
         """Five times the work comes for ten seconds.
 
         A load takes minutes, so a replica for it would be ready when the
@@ -79,7 +79,7 @@
         average.add({"x@1": 0.0}, 2000.0)
         assert average.means() == {}
 
-    def test_a_clock_that_is_set_back_does_no_harm(self) -> None:
+    def test_a_clock_that_is_set_back_changes_no_mean(self) -> None:
         average = AverageDemand()
         average.add({"x@1": 9.0}, 100.0)
         average.add({"x@1": 90.0}, 50.0)
@@ -87,7 +87,7 @@
 
 
 class TestRecentRequests:
-    def test_shares_follow_a_shift_and_forget(self) -> None:
+    def test_shares_follow_a_shift_and_decay(self) -> None:
         recent = RecentRequests()
         recent.add("x@1", 1000, 0.0)
         recent.add("y@1", 1000, 1000.0)
@@ -102,12 +102,14 @@
         used = versions_in_use(in_force(shares=shares))
         assert used == {"m@1": 2, "m@2": 2, "m@3": 2}
 
-    def test_a_stopped_rollout_is_not(self) -> None:
+    def test_the_version_of_a_stopped_rollout_is_not_in_use(self) -> None:
         shares = {"m": RolloutShare("2", 0.1, 1, "stopped")}
         assert "m@2" not in versions_in_use(in_force(shares=shares))
 
     @pytest.mark.parametrize("field", ["withdrawn", "quarantined"])
-    def test_what_may_have_no_work_is_not(self, field: str) -> None:
+    def test_withdrawn_and_quarantined_versions_are_not_in_use(
+        self, field: str
+    ) -> None:
         used = versions_in_use(in_force(**{field: ("m@1",)}))
         assert used == {"m@3": 2}
 
--- a/packages/sycamorestand-decisions/tests/test_explain.py
+++ b/packages/sycamorestand-decisions/tests/test_explain.py
@@ -30,7 +30,7 @@
         assert [line.split(":")[0] for line in lines] == ["a", "b"]
         assert explain_choice(()) == ["no candidate server"]
 
-    def test_cascade_marks_the_plan_taken(self) -> None:
+    def test_cascade_marks_the_chosen_plan(self) -> None:
         profile = Profile(
             "nest", (CascadeStep("small"), CascadeStep("large")), 0.9
         )
--- a/packages/sycamorestand-decisions/tests/test_placement.py
+++ b/packages/sycamorestand-decisions/tests/test_placement.py
@@ -20,7 +20,7 @@
 
 
 class TestPlanOrders:
-    def test_loads_where_there_is_room(self) -> None:
+    def test_loads_on_a_server_with_free_capacity(self) -> None:
         servers = [server("a", "x@1"), server("b", "x@1", "y@1")]
         demand = {"x@1": Demand(1, 8), "y@1": Demand(7.5, 8)}
         orders = plan_orders(servers, demand, (), (), NOW_S)
@@ -69,7 +69,7 @@
         ]
         assert not plan_orders(servers, {"new@1": Demand(4, 8)}, (), (), NOW_S)
 
-    def test_a_fresh_replica_stays(self) -> None:
+    def test_a_recent_replica_is_not_unloaded(self) -> None:
         servers = [
             ServerSlots("a", 1, {"idle@1": NOW_S - MIN_REPLICA_AGE_S / 2})
         ]
@@ -87,11 +87,11 @@
 
 
 class TestWantedReplicas:
-    def test_hysteresis_between_the_marks(self) -> None:
+    def test_hysteresis_between_the_watermarks(self) -> None:
         assert wanted_replicas(Demand(12.0, 8), 2) == 2
         assert wanted_replicas(Demand(14.5, 8), 2) == 3
         assert wanted_replicas(Demand(9.0, 8), 3) == 3
         assert wanted_replicas(Demand(2.0, 8), 3) == 1
 
-    def test_pins_are_the_least(self) -> None:
+    def test_pins_are_the_least_number_of_replicas(self) -> None:
         assert wanted_replicas(Demand(0.0, 8, 2), 2) == 2
--- a/packages/sycamorestand-decisions/tests/test_prefill.py
+++ b/packages/sycamorestand-decisions/tests/test_prefill.py
@@ -27,7 +27,7 @@
 
 
 class TestPrefillRates:
-    def test_learns_the_rate_behind_the_waits(self) -> None:
+    def test_learns_the_rate_despite_queueing(self) -> None:
         """Half of the requests wait, some for seconds."""
         random = Random(5)
         rates = PrefillRates()
@@ -47,13 +47,13 @@
         expected = rates.prefill_s("words", SIZES, 0, 5_000)
         assert expected == pytest.approx(4 * 5_000 * SMALL_S, rel=0.3)
 
-    def test_a_short_prompt_teaches_nothing(self) -> None:
+    def test_a_short_prompt_is_ignored(self) -> None:
         rates = PrefillRates()
         before = rates.prefill_s("words", SIZES, 0, 5_000)
         rates.observe("words", "small", MIN_TOKENS - 1, 4.0)
         assert rates.prefill_s("words", SIZES, 0, 5_000) == before
 
-    def test_an_unseen_model_reads_more_slowly_than_the_one_below(
+    def test_an_unseen_model_is_slower_than_the_next_smaller_one(
         self,
     ) -> None:
         """The entry has just started and nothing has climbed yet."""
@@ -68,14 +68,14 @@
         ]
         assert expected == sorted(set(expected))
 
-    def test_a_route_without_models_has_a_rate_too(self) -> None:
+    def test_a_route_without_models_has_a_rate(self) -> None:
         rates = PrefillRates()
         rates.observe("words", "", 10_000, 0.5)
         assert rates.prefill_s("words", (), 0, 10_000) == pytest.approx(0.5)
 
 
 class TestEngineRank:
-    def test_longer_readings_come_later(self) -> None:
+    def test_longer_prefills_rank_later(self) -> None:
         ranks = [
             engine_rank(FIRST_RANK_S * 2**n / 1.5, 0, 1e9) for n in range(14)
         ]
@@ -84,13 +84,13 @@
         assert ranks[-1] == RANKS - 1
 
     @pytest.mark.parametrize("priority", [0, 1, 2, 9, 40])
-    def test_the_operators_order_holds_among_like_readings(
+    def test_the_priority_decides_among_similar_prefills(
         self, priority: int
     ) -> None:
         rank = engine_rank(0.05, priority, 2.0)
         assert engine_rank(0.05, 0, 2.0) <= rank <= RANKS - 1
 
-    def test_what_is_late_all_the_same_goes_last(self) -> None:
+    def test_a_request_that_is_late_anyway_gets_the_last_rank(self) -> None:
         """A burst has passed; some requests have waited beyond their aim.
 
         Read first, they would make those late that can still be in time.
@@ -99,23 +99,23 @@
         assert engine_rank(0.05, 0, left_s=-3.0) == RANKS - 1
         assert engine_rank(0.05, 0, left_s=0.06) < RANKS - 1
 
-    def test_long_among_short(self) -> None:
+    def test_ranks_make_fewer_requests_late(self) -> None:
         """One digest in five among short questions on a busy engine.
 
         Read as they come, every question behind a digest of 50,000 tokens
         waits for seconds. Short readings first, fewer of either kind begin
         late: the questions take a small part of the engine's time.
         """
-        as_they_come = late_by_kind(play(lambda prompt: 0))
+        as_they_come = late_by_kind(simulate(lambda prompt: 0))
         ranked = late_by_kind(
-            play(lambda prompt: engine_rank(prompt.read_s, 0, 2.0))
+            simulate(lambda prompt: engine_rank(prompt.read_s, 0, 2.0))
         )
         assert as_they_come["question"] > 0.05
         assert ranked["question"] < as_they_come["question"] / 5
         assert ranked["digest"] <= as_they_come["digest"]
 
 
-def play(rank: Callable[[Prompt], int]) -> list[tuple[Prompt, float]]:
+def simulate(rank: Callable[[Prompt], int]) -> list[tuple[Prompt, float]]:
     """Return prompts with their waits at one engine that obeys ranks."""
     prompts = _prompts()
     waiting: list[tuple[int, int, Prompt]] = []
--- a/packages/sycamorestand-decisions/tests/test_queue_delay.py
+++ b/packages/sycamorestand-decisions/tests/test_queue_delay.py
@@ -9,10 +9,10 @@
 
 
 class TestQueueDelay:
-    def test_nothing_seen_is_no_wait(self) -> None:
+    def test_without_observations_there_is_no_delay(self) -> None:
         assert QueueDelay().delay_s(100.0) == 0.0
 
-    def test_a_burst_shows_within_a_second_and_is_forgotten(self) -> None:
+    def test_a_burst_shows_within_a_second_and_decays(self) -> None:
         # Four requests a second wait 0.1 s each; in a burst sixteen a
         # second wait 2 s. What the entry does about it must begin within
         # the burst, and end soon after it.
@@ -27,20 +27,20 @@
             delay.observe(6.0 + number / 4, 0.1)
         assert delay.delay_s(9.0) < 0.5
 
-    def test_one_long_wait_is_no_strain_on_the_service(self) -> None:
+    def test_one_long_wait_does_not_look_like_a_burst(self) -> None:
         # One server of ten hangs; nine answers came at once.
         delay = QueueDelay()
         for number in range(10):
             delay.observe(number * 0.1, 2.0 if number == 5 else 0.0)
         assert delay.delay_s(1.0) < 0.3
 
-    def test_without_requests_it_fades(self) -> None:
+    def test_the_delay_decays_without_requests(self) -> None:
         delay = QueueDelay()
         delay.observe(0.0, 4.0)
         assert delay.delay_s(10 * DECAY_TIME_S) < 0.01
 
     @pytest.mark.parametrize("waited_s", [-3.0, 0.0])
-    def test_a_prompt_read_faster_than_thought_is_no_wait(
+    def test_a_prefill_faster_than_expected_is_no_delay(
         self, waited_s: float
     ) -> None:
         delay = QueueDelay()
--- a/packages/sycamorestand-decisions/tests/test_retained_sessions.py
+++ b/packages/sycamorestand-decisions/tests/test_retained_sessions.py
@@ -19,15 +19,17 @@
     return sessions
 
 
-class TestStaying:
-    def test_a_step_tells_those_below_its_share_once(self) -> None:
+class TestRetainedSessions:
+    def test_a_step_announces_sessions_below_its_share_once(self) -> None:
         sessions = seen(0.05, 0.5)
         assert sessions.begin_step(STEP, 0.1, 1.0) == (
             int(0.05 * PLACE_COUNT),
         )
         assert sessions.begin_step(STEP, 0.1, 1.0) == ()
 
-    def test_what_was_told_before_the_step_was_seen_is_kept(self) -> None:
+    def test_sessions_announced_before_the_step_begins_are_retained(
+        self,
+    ) -> None:
         """Another entry has the step first and tells of its sessions."""
         sessions = seen(0.05)
         sessions.retain(STEP, (7,))
@@ -36,22 +38,22 @@
         )
         assert sessions.is_retained(STEP, 7)
 
-    def test_those_that_ended_long_ago_do_not_stay(self) -> None:
+    def test_idle_sessions_are_not_retained(self) -> None:
         sessions = seen(0.05)
         assert sessions.begin_step(STEP, 0.1, IDLE_S + 0.1) == ()
 
-    def test_another_services_sessions_are_not_told(self) -> None:
+    def test_sessions_of_another_service_are_not_announced(self) -> None:
         sessions = seen(0.05)
         other = STEP._replace(service="pictures")
         assert sessions.begin_step(other, 0.1, 1.0) == ()
 
-    def test_a_later_step_has_its_own(self) -> None:
+    def test_a_later_step_retains_its_own_sessions(self) -> None:
         sessions = seen(0.05)
         sessions.begin_step(STEP, 0.1, 1.0)
         later = STEP._replace(number=1)
         assert not sessions.is_retained(later, int(0.05 * PLACE_COUNT))
 
-    def test_a_flood_of_names_fills_no_memory(self) -> None:
+    def test_a_flood_of_names_is_bounded(self) -> None:
         """The newest are kept."""
         sessions = RetainedSessions(IDLE_S)
         for place in range(2 * MAX_SEEN):
--- a/packages/sycamorestand-decisions/tests/test_retry.py
+++ b/packages/sycamorestand-decisions/tests/test_retry.py
@@ -18,7 +18,7 @@
         )
         assert 1 <= granted <= 100
 
-    def test_one_customer_cannot_spend_for_all(self) -> None:
+    def test_one_customer_cannot_spend_the_budget_of_others(self) -> None:
         budget = RetryBudget()
         while budget.may_retry("broken", 0.0, "error"):
             pass
@@ -47,7 +47,7 @@
 
 
 class TestHedgeBudget:
-    def test_only_idempotent_requests_that_wait_long(self) -> None:
+    def test_only_idempotent_requests_that_wait_long_are_hedged(self) -> None:
         budget = HedgeBudget()
         assert not budget.may_hedge(0.0, 99.0, False)
         assert not budget.may_hedge(0.0, 0.0, True)
--- a/packages/sycamorestand-decisions/tests/test_rollout.py
+++ b/packages/sycamorestand-decisions/tests/test_rollout.py
@@ -41,7 +41,7 @@
     return counted
 
 
-class TestJudge:
+class TestEvaluateRollout:
     @pytest.mark.parametrize(
         ("worse", "signal"),
         [
@@ -50,7 +50,7 @@
             (stats(2, 300, latency_ms=1_500.0), "latency"),
         ],
     )
-    def test_stops_what_is_worse(
+    def test_stops_a_worse_version(
         self, worse: VersionStats, signal: str
     ) -> None:
         verdict = evaluate_rollout(stats(1, 5_000), worse, ROLLOUT, 100.0)
@@ -58,7 +58,7 @@
         assert signal in verdict.reason
         assert verdict.evidence
 
-    def test_stops_what_is_bad_for_one_class_only(self) -> None:
+    def test_stops_a_version_that_is_bad_for_one_class_only(self) -> None:
         """One class of ten in a hundred requests gets wrong answers.
 
         Overall ratings fall by two points, which is no harm in itself;
@@ -101,7 +101,7 @@
         assert isinstance(verdict, Continue)
         assert "ratings" in verdict.reason
 
-    def test_a_biased_rating_service_stops_nothing(self) -> None:
+    def test_a_biased_rating_service_stops_no_rollout(self) -> None:
         """Half-way through, the rating service rates all answers lower.
 
         The new version has most of its requests in the bad hour, the old
@@ -116,7 +116,7 @@
         verdict = evaluate_rollout(old, new, ROLLOUT, 7_300.0)
         assert not isinstance(verdict, Stop)
 
-    def test_without_an_old_version_beside_nothing_is_judged(self) -> None:
+    def test_blocks_without_the_old_version_are_not_compared(self) -> None:
         """At full use no request goes to the old version any more.
 
         In these blocks the rating service rates lower. Compared with the
@@ -183,7 +183,7 @@
         assert isinstance(verdicts["nest@1"], Stop)
         assert "portal@1" not in verdicts
 
-    def test_a_biased_rating_service_withdraws_nothing(self) -> None:
+    def test_a_biased_rating_service_withdraws_no_version(self) -> None:
         """All versions' ratings fall in the same minutes.
 
         Withdrawing them all would leave the callers without any answer,
@@ -192,7 +192,7 @@
         verdicts = self._watch(0.6, 0.6)
         assert not any(isinstance(v, Stop) for v in verdicts.values())
 
-    def test_alone_it_tells_operators_and_withdraws_nothing(self) -> None:
+    def test_a_single_version_is_reported_but_not_withdrawn(self) -> None:
         """One version is in use, and its ratings fall.
 
         Nothing tells whether it or the rating service changed. Operators
@@ -205,7 +205,7 @@
         assert isinstance(verdict, Continue)
         assert "rating service" in verdict.reason
 
-    def test_a_forgotten_version_is_not_judged(self) -> None:
+    def test_a_forgotten_version_gets_no_verdict(self) -> None:
         watch = VersionWatch()
         self._history(watch, "nest@1")
         watch.forget("nest@1")
@@ -233,7 +233,7 @@
         small = log_evidence(15, 100, 0.1)
         assert log_evidence(40, 100, 0.1) > small
 
-    def test_no_count_is_no_evidence(self) -> None:
+    def test_without_counts_there_is_no_evidence(self) -> None:
         assert log_evidence(0, 0, 0.1) == 0.0
 
 
@@ -244,7 +244,9 @@
         "nest", "2", (0.1, 1.0), 50, steps_s=(8.0, 2.0), patience_s=1.0
     )
 
-    def judged(self, errors: int, now_s: float, requests: int = 9) -> object:
+    def verdict_for(
+        self, errors: int, now_s: float, requests: int = 9
+    ) -> object:
         new = empty_stats()
         for number in range(requests):
             add_sample(new, "chat", 0.0, number < errors, 500.0, None)
@@ -253,8 +255,8 @@
         )
 
     def test_each_step_has_its_own_time(self) -> None:
-        assert isinstance(self.judged(0, 7.9, 60), Continue)
-        assert isinstance(self.judged(0, 8.0, 60), Advance)
+        assert isinstance(self.verdict_for(0, 7.9, 60), Continue)
+        assert isinstance(self.verdict_for(0, 8.0, 60), Advance)
 
     def test_a_suspect_version_is_stopped_at_the_limit(self) -> None:
         """Half of nine answers fail, too few for proof.
@@ -262,17 +264,19 @@
         Without the limit the roll-out held until its time was over, and
         the bad version kept its share of the callers.
         """
-        assert isinstance(self.judged(3, 8.5), Continue)
-        assert isinstance(self.judged(3, 9.0), Stop)
+        assert isinstance(self.verdict_for(3, 8.5), Continue)
+        assert isinstance(self.verdict_for(3, 9.0), Stop)
 
-    def test_a_sound_one_goes_on_at_the_limit_with_few_requests(self) -> None:
-        assert isinstance(self.judged(0, 8.5), Continue)
-        assert isinstance(self.judged(0, 9.0), Advance)
+    def test_a_healthy_version_advances_at_the_limit_with_few_requests(
+        self,
+    ) -> None:
+        assert isinstance(self.verdict_for(0, 8.5), Continue)
+        assert isinstance(self.verdict_for(0, 9.0), Advance)
 
-    def test_without_any_request_it_holds(self) -> None:
-        assert isinstance(self.judged(0, 9.0, 0), Continue)
+    def test_without_any_request_the_rollout_waits(self) -> None:
+        assert isinstance(self.verdict_for(0, 9.0, 0), Continue)
 
-    def test_a_class_that_fails_anyway_is_no_doubt(self) -> None:
+    def test_a_class_with_a_high_expected_rate_raises_no_doubt(self) -> None:
         """Requests of one route time out by themselves, a third of them.
 
         Eight of eleven do by chance on the new version, and no other class
@@ -296,15 +300,17 @@
         All of its answers take longer than the median and none longer than
         nine of ten: it was let on to all work.
         """
-        assert isinstance(self.judged_among_spread(seed=1, least=0.6), Stop)
+        assert isinstance(self.verdict_among_spread(seed=1, least=0.6), Stop)
 
-    def test_a_sound_version_among_wide_spread_answers_goes_on(self) -> None:
+    def test_a_healthy_version_among_wide_spread_answers_advances(
+        self,
+    ) -> None:
         verdicts = [
-            self.judged_among_spread(seed, least=0.0) for seed in range(100)
+            self.verdict_among_spread(seed, least=0.0) for seed in range(100)
         ]
         assert all(isinstance(verdict, Advance) for verdict in verdicts)
 
-    def judged_among_spread(self, seed: int, least: float) -> object:
+    def verdict_among_spread(self, seed: int, least: float) -> object:
         """Judge twelve answers; the fastest are slower by ``least``."""
         random = Random(seed)
         old, new = empty_stats(), empty_stats()
--- a/packages/sycamorestand-decisions/tests/test_selection.py
+++ b/packages/sycamorestand-decisions/tests/test_selection.py
@@ -14,7 +14,7 @@
     return ServerSelector(Random(seed))
 
 
-def serve(
+def record_attempt(
     selector: ServerSelector,
     name: str,
     now_s: float,
@@ -59,12 +59,14 @@
         assert counts["s0"] <= 15
         assert len(counts) == 9
 
-    def test_a_slow_server_gets_little(self) -> None:
+    def test_a_slow_server_gets_few_requests(self) -> None:
         selector = selector_of()
         for candidate in NINE:
             slow = candidate.name == "s0"
             for _ in range(5):
-                serve(selector, candidate.name, 0.0, 2.5 if slow else 1.0)
+                record_attempt(
+                    selector, candidate.name, 0.0, 2.5 if slow else 1.0
+                )
         counts: Counter[str | None] = Counter()
         for _ in range(90):
             name = selector.choose(NINE, 0.0)
@@ -73,7 +75,7 @@
             counts[name] += 1
         assert counts["s0"] <= 6
 
-    def test_limits_that_shrank_cause_no_error(self) -> None:
+    def test_a_limit_that_shrank_fails_no_request(self) -> None:
         """A request was let in, then every server's limit shrank.
 
         The caller would see an error for a request that no server has
@@ -114,7 +116,7 @@
         selector.cache_event(other, ["prefix"], True, 0.0)
         assert selector.choose(NINE, 1.0, "prefix") == other
 
-    def test_an_event_for_a_lost_server_changes_nothing(self) -> None:
+    def test_an_event_for_a_lost_server_is_ignored(self) -> None:
         """The event that a prefix was stored comes after its server left.
 
         Hints are only hints: the key goes to its place on the ring.
@@ -133,7 +135,7 @@
 
 
 class TestEjection:
-    def test_a_failing_server_is_out_then_probed_once(self) -> None:
+    def test_a_failing_server_is_ejected_then_probed_once(self) -> None:
         """A server fails five requests in a row.
 
         Callers see five retries, then it gets nothing. After its time out
@@ -142,9 +144,9 @@
         """
         selector = selector_of()
         for candidate in NINE:
-            serve(selector, candidate.name, 0.0)
+            record_attempt(selector, candidate.name, 0.0)
         for _ in range(5):
-            serve(selector, "s0", 1.0, outcome="error")
+            record_attempt(selector, "s0", 1.0, outcome="error")
         names = {selector.choose(NINE, 2.0) for _ in range(200)}
         assert "s0" not in names
         later_s = 2.0 + FIRST_EJECTION_S
@@ -156,16 +158,16 @@
     def test_a_good_probe_starts_slowly(self) -> None:
         selector = selector_of()
         for candidate in NINE:
-            serve(selector, candidate.name, 0.0)
+            record_attempt(selector, candidate.name, 0.0)
         for _ in range(5):
-            serve(selector, "s0", 1.0, outcome="error")
+            record_attempt(selector, "s0", 1.0, outcome="error")
         back_s = 2.0 + FIRST_EJECTION_S
-        serve(selector, "s0", back_s)
+        record_attempt(selector, "s0", back_s)
         at_once = selector.capacity(NINE, back_s)
         assert at_once < 9 * 16
         assert selector.capacity(NINE, back_s + 60.0) == 9 * 16
 
-    def test_answers_from_before_the_ejection_change_nothing(self) -> None:
+    def test_answers_from_before_the_ejection_are_no_probes(self) -> None:
         """Five requests fail while two more are under way on the server.
 
         One of these ends well, one fails. Neither is the probe: the server
@@ -173,11 +175,11 @@
         """
         selector = selector_of()
         for candidate in NINE:
-            serve(selector, candidate.name, 0.0)
+            record_attempt(selector, candidate.name, 0.0)
         for _ in range(2):
             selector.record_start("s0", 0.5)
         for _ in range(5):
-            serve(selector, "s0", 1.0, outcome="error")
+            record_attempt(selector, "s0", 1.0, outcome="error")
         selector.record_finish("s0", 2.0, 1.5, "ok")
         selector.record_finish("s0", 3.0, 2.5, "error")
         only = [NINE[0]]
@@ -187,7 +189,7 @@
         selector.record_start("s0", probed_s)
         assert selector.choose(only, probed_s) is None
 
-    def test_no_more_than_a_third_is_out(self) -> None:
+    def test_no_more_than_a_third_is_ejected(self) -> None:
         """Every server fails at once, as when the network is down.
 
         Ejecting all of them would turn a short fault into a long one: six
@@ -195,23 +197,23 @@
         """
         selector = selector_of()
         for candidate in NINE:
-            serve(selector, candidate.name, 0.0)
+            record_attempt(selector, candidate.name, 0.0)
             for _ in range(8):
-                serve(selector, candidate.name, 1.0, outcome="error")
+                record_attempt(selector, candidate.name, 1.0, outcome="error")
         metrics = selector.metrics(2.0)
         assert sum(m.ejected for m in metrics.values()) == 3
 
-    def test_overload_lowers_the_limit_and_ejects_nobody(self) -> None:
+    def test_overload_lowers_the_limit_without_ejection(self) -> None:
         selector = selector_of()
         selector.capacity(NINE, 0.0)
         for second in range(1, 20):
-            serve(selector, "s0", float(second), outcome="overloaded")
+            record_attempt(selector, "s0", float(second), outcome="overloaded")
         assert selector.limit("s0") < 16
         assert not selector.metrics(20.0)["s0"].ejected
 
 
 class TestLimit:
-    def test_follows_a_queue_that_the_server_reports(self) -> None:
+    def test_falls_with_a_queue_that_the_server_reports(self) -> None:
         """Three entries each send a server its whole capacity.
 
         The server reports a queue; every entry lowers its limit by the
@@ -237,7 +239,7 @@
 
 
 class TestExplain:
-    def test_names_every_candidate_and_its_state(self) -> None:
+    def test_lists_every_candidate_with_its_state(self) -> None:
         selector = selector_of()
         choices = selector.explain(NINE, 0.0, frozenset({"s3"}))
         states = {choice.name: choice.reason for choice in choices}
--- a/packages/sycamorestand-decisions/tests/test_shared_ratings.py
+++ b/packages/sycamorestand-decisions/tests/test_shared_ratings.py
@@ -15,7 +15,7 @@
 PRICES = (StepPrice("small@1", 10.0), StepPrice("large@1", 100.0))
 
 
-def begins_at(learner: CascadeLearner) -> int:
+def median_first_step(learner: CascadeLearner) -> int:
     """Return the step that most requests begin at."""
     random = Random(1)
     steps = [
@@ -33,30 +33,32 @@
         answers are rated. The other entries know the cheap one is good.
         """
         learner = CascadeLearner()
-        assert begins_at(learner) == 1
+        assert median_first_step(learner) == 1
         learner.observe_ratings(
             [RatingCount("small@1", CLASS, False, 95, 100)]
         )
-        assert begins_at(learner) == 0
+        assert median_first_step(learner) == 0
 
-    def test_a_step_that_others_found_bad_is_not_begun_at(self) -> None:
+    def test_a_step_with_bad_ratings_elsewhere_is_not_begun_at(self) -> None:
         learner = CascadeLearner()
         learner.observe_ratings(
             [RatingCount("small@1", CLASS, False, 30, 100)]
         )
-        assert begins_at(learner) == 1
+        assert median_first_step(learner) == 1
 
-    def test_ratings_of_harder_requests_are_learned_apart(self) -> None:
+    def test_ratings_of_escalated_requests_are_counted_separately(
+        self,
+    ) -> None:
         learner = CascadeLearner()
         learner.observe_ratings([RatingCount("small@1", CLASS, True, 0, 200)])
         learner.observe_ratings(
             [RatingCount("small@1", CLASS, False, 95, 100)]
         )
-        assert begins_at(learner) == 0
+        assert median_first_step(learner) == 0
 
 
 class TestCounts:
-    def test_a_batch_is_what_its_ratings_are_one_by_one(self) -> None:
+    def test_a_batch_counts_like_its_ratings_one_by_one(self) -> None:
         batch, single = PassRates(), PassRates()
         batch.observe_counts("small@1", CLASS, 15, 20)
         for number in range(20):
--- a/packages/sycamorestand-decisions/tests/test_size_ladder.py
+++ b/packages/sycamorestand-decisions/tests/test_size_ladder.py
@@ -34,28 +34,28 @@
             pytest.param(2, 0, 1, None, id="nothing is larger"),
         ],
     )
-    def test_climb(
+    def test_escalation(
         self, size: int, confidence: int | None, left: int, expected: int
     ) -> None:
         assert next_size(SIZES, size, confidence, left) == expected
 
-    def test_under_strain_the_worst_answers_climb_last(self) -> None:
+    def test_under_strain_only_the_worst_answers_escalate(self) -> None:
         """Long prompts among short ones, and more than the servers take.
 
         Each climb of a long prompt is a second of a server, in which ten
         short requests wait. The better an answer is, the sooner it goes
         out as it is; when waits reach half of the aim, all do.
         """
-        climbing = [
+        escalating = [
             sum(
                 next_size(SIZES, 0, confidence, 2, strain) is not None
                 for confidence in range(101)
             )
             for strain in (0.0, 0.1, 0.25, 0.4, FULL_STRAIN, 3.0)
         ]
-        assert climbing == [60, 48, 30, 12, 0, 0]
+        assert escalating == [60, 48, 30, 12, 0, 0]
 
-    def test_every_climb_ends_within_the_attempts(self) -> None:
+    def test_every_escalation_ends_within_the_attempts(self) -> None:
         """Each model has a poor opinion of its answer.
 
         A climb that spent the last attempt below the largest model would
--- a/packages/sycamorestand-decisions/tests/test_stopping.py
+++ b/packages/sycamorestand-decisions/tests/test_stopping.py
@@ -14,7 +14,7 @@
 LIMIT_S: Final = 7.0
 PATIENCE_S: Final = 20.0
 # How long callers still come after the stop has begun.
-COMING_S: Final = 2.0
+ARRIVALS_S: Final = 2.0
 STOPS: Final = 400
 
 
@@ -36,55 +36,55 @@
 SHORT: Final = Kind("tags", 0.5, 0.6)
 
 
-def play(kind: Kind, seed: int, decide: bool) -> Played:
+def simulate(kind: Kind, seed: int, check: bool) -> Played:
     """Play planned stops, each with the callers that still come."""
     random = Random(seed)
-    taken = cut = elsewhere = 0
+    accepted = cut = refused = 0
     for _ in range(STOPS):
         times = AnswerTimes()
         for _ in range(8):
             times.record_answer(
                 kind.route, AnswerTime(0.0, _time_s(kind, random), 1)
             )
-        ends_in_s = LIMIT_S - random.uniform(0.0, COMING_S)
+        ends_in_s = LIMIT_S - random.uniform(0.0, ARRIVALS_S)
         longest_s = times.max_total_s(kind.route, 0.0, 0.0)
-        if decide and may_outlast_stop(ends_in_s, PATIENCE_S, longest_s):
-            elsewhere += 1
+        if check and may_outlast_stop(ends_in_s, PATIENCE_S, longest_s):
+            refused += 1
             continue
-        taken += 1
+        accepted += 1
         cut += _time_s(kind, random) > ends_in_s
-    return Played(taken, cut, elsewhere)
+    return Played(accepted, cut, refused)
 
 
 def _time_s(kind: Kind, random: Random) -> float:
     return kind.median_s * random.lognormvariate(0.0, kind.spread)
 
 
-class TestGoesElsewhere:
-    def test_streams_that_the_stop_would_cut(self) -> None:
+class TestMayOutlastStop:
+    def test_refuses_streams_that_the_stop_would_cut(self) -> None:
         """A stop cut streams that came after it had begun."""
         for seed in range(5):
-            without = play(LONG, seed, decide=False)
-            played = play(LONG, seed, decide=True)
+            without = simulate(LONG, seed, check=False)
+            played = simulate(LONG, seed, check=True)
             assert without.cut > 0.2 * STOPS
             assert played.cut < without.cut / 5
 
-    def test_short_answers_stay(self) -> None:
+    def test_accepts_short_answers(self) -> None:
         """A caller sent elsewhere has used up its one retry."""
         for seed in range(5):
-            played = play(SHORT, seed, decide=True)
+            played = simulate(SHORT, seed, check=True)
             assert played.sent_elsewhere <= 0.01 * STOPS
             assert played.cut <= 0.01 * STOPS
 
-    def test_unknown_times_are_a_reason(self) -> None:
+    def test_refuses_while_durations_are_unknown(self) -> None:
         """An entry that had just started took what its stop then cut."""
         assert may_outlast_stop(3.0, 20.0, math.inf)
 
-    def test_nor_is_a_process_without_an_end(self) -> None:
+    def test_accepts_in_a_process_without_an_end(self) -> None:
         assert not may_outlast_stop(float("inf"), 20.0, 9.0)
 
-    def test_what_the_caller_ends_sooner_is_not_cut_by_the_stop(self) -> None:
+    def test_accepts_requests_whose_deadline_precedes_the_end(self) -> None:
         assert not may_outlast_stop(3.0, 2.0, 9.0)
 
-    def test_what_comes_at_the_very_end_goes(self) -> None:
+    def test_refuses_requests_at_the_very_end(self) -> None:
         assert may_outlast_stop(0.0, 20.0, 0.2)
--- a/packages/sycamorestand-decisions/tests/test_version_fallback.py
+++ b/packages/sycamorestand-decisions/tests/test_version_fallback.py
@@ -26,7 +26,7 @@
     def test_it_is_not_used_while_the_stable_version_may_run(self) -> None:
         assert choose_version(model("1"), InForce(), 0.5) == "nest@2"
 
-    def test_a_withdrawn_fallback_is_no_fallback(self) -> None:
+    def test_a_withdrawn_fallback_is_not_used(self) -> None:
         in_force = InForce(quarantined=("nest@2",), withdrawn=("nest@1",))
         assert choose_version(model("1"), in_force, 0.5) is None
 
@@ -35,7 +35,7 @@
         allowed = {"nest@2", "nest@3"}
         assert choose_version(model("1"), in_force, 0.5, allowed) is None
 
-    def test_a_roll_out_under_way_goes_before_it(self) -> None:
+    def test_a_running_rollout_takes_precedence(self) -> None:
         shares = {"nest": RolloutShare("3", 0.05, 1, "running")}
         in_force = InForce(withdrawn=("nest@2",), shares=shares)
         assert choose_version(model("1"), in_force, 0.9) == "nest@3"
--- a/packages/sycamorestand-decisions/tests/test_versions.py
+++ b/packages/sycamorestand-decisions/tests/test_versions.py
@@ -39,7 +39,7 @@
     ) -> None:
         assert choose_version(MODEL, in_force, random_unit) == chosen
 
-    def test_keeps_to_what_is_allowed(self) -> None:
+    def test_chooses_only_allowed_versions(self) -> None:
         in_force = InForce(shares=SHARES)
         allowed = ("nest@1",)
         assert choose_version(MODEL, in_force, 0.1, allowed) == "nest@1"
