--- a/packages/sycamorestand-decisions/tests/test_admission.py
+++ b/packages/sycamorestand-decisions/tests/test_admission.py
@@ -49,11 +49,11 @@
     def test_refuses_immediately_a_request_that_cannot_start_in_time(
         self,
     ) -> None:
-        """The pool has one slot and work for five seconds waiting.
+        """Guards against queueing a request that will be refused later.
 
-        A request with a deadline two seconds away is refused when it is
-        offered: it would only learn the same after those two seconds. The
-        answer says when to come back.
+        The pool has one slot and five seconds of waiting work. A request whose
+        deadline is two seconds away is refused when it is offered, with the
+        time after which to retry.
         """
         admission = admission_of(1)
         for number in range(6):
@@ -76,10 +76,10 @@
         assert answer.retry_after_s > 0
 
     def test_queue_of_a_customer_is_bounded(self) -> None:
-        """A customer sends without end while nothing finishes.
+        """Guards against unbounded memory and checks of the queue.
 
-        Its queue stops growing at the bound and everything after is
-        refused, so that memory and the walk over the queue stay bounded.
+        A customer sends without pause while no request finishes. Its queue
+        stops growing at the limit, and all further requests are refused.
         """
         admission = admission_of(1)
         for number in range(2 * MAX_WAITING_PER_CUSTOMER):
@@ -93,8 +93,8 @@
     def test_a_flooding_customer_does_not_delay_others(self) -> None:
         """One customer has a hundred requests waiting, another sends one.
 
-        The one starts with the next free slot: the customers are served
-        in turn, not their requests in order of arrival.
+        The single request gets the next free slot: customers are served in
+        turn, not their requests in order of arrival.
         """
         admission = admission_of(1)
         for number in range(100):
@@ -105,10 +105,11 @@
         assert started.customer == "small"
 
     def test_use_of_an_idle_pool_is_not_charged_later(self) -> None:
-        """One customer used an idle pool for long, then both send much.
+        """One customer used an idle pool for long, then both send a lot.
 
-        Nobody waited for what it used. From now on both get the same; the
-        newcomer does not first get as much as the other one ever had.
+        No request waited for the slots it used. From now on both customers get
+        the same share; the new one must not get all slots until it has caught
+        up.
         """
         admission = admission_of(1)
         for number in range(100):
@@ -122,10 +123,10 @@
         assert 8 <= sum(t.customer == "old" for t in starts) <= 12
 
     def test_a_pause_of_batch_work_earns_no_credit(self) -> None:
-        """Interactive work ran alone for long, then batch work comes.
+        """Interactive work runs alone for long, then batch work arrives.
 
-        Owed a tenth of all that time, batch would take every slot until
-        it has caught up. It gets its tenth from now on, no more.
+        With credit for a tenth of that time, batch work would take every slot
+        until it had caught up. It must get a tenth from now on and no more.
         """
         admission = admission_of(1)
         for number in range(50):
@@ -142,10 +143,10 @@
         assert sum(t.priority == "batch" for t in starts) <= 4
 
     def test_an_idle_customer_starts_beyond_the_slots(self) -> None:
-        """All ten slots are taken by one customer's long requests.
+        """All ten slots are taken by the long requests of one customer.
 
-        Another one's request starts in the one slot that is kept beyond
-        them; its second waits like everybody's.
+        The first request of another customer starts in the one slot beyond the
+        ten; its second request waits.
         """
         admission = admission_of(10)
         for number in range(12):
@@ -160,10 +161,10 @@
         assert 28 <= counts["a"] <= 32
 
     def test_batch_is_not_starved(self) -> None:
-        """Interactive work alone would fill every slot for good.
+        """Guards against starvation of batch work by interactive work.
 
-        Batch requests still get about a tenth of the starts, so that they
-        are done some day; more would be noticed by interactive callers.
+        Batch requests get about a tenth of the starts, so that they finish
+        eventually; a larger share would delay interactive callers noticeably.
         """
         admission = admission_of(1)
         admission.offer(ticket(0), 0.0)
@@ -205,8 +206,9 @@
     def test_refuses_as_soon_as_a_start_in_time_is_impossible(self) -> None:
         """Twelve requests wait when seven of eight slots are lost.
 
-        The last of them cannot start in time any more. They are refused
-        now, with time to go elsewhere, not when their deadline has passed.
+        The last of them can no longer start in time. They must be refused
+        immediately, while the callers can still try elsewhere, rather than
+        when their deadline has passed.
         """
         admission = admission_of(8)
         for number in range(8):
@@ -230,7 +232,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Any order of calls: no slot is given twice, no request is lost."""
+    """Check in any order of calls that no slot or request is lost."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/sycamorestand-decisions/tests/test_affinity.py
+++ b/packages/sycamorestand-decisions/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Tests of where a prompt prefix is placed."""
+"""Tests of affinity keys of prompts."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
         assert prefix_key(parts) == key
 
     def test_every_entry_places_one_prefix_on_the_same_server(self) -> None:
-        """Requests of one club share all but their last part.
+        """Requests of one club share all parts but the last.
 
-        Placed by the last part they went to a server each, which read the
-        club's history again: callers waited for it, and the engines had
-        less left for all others.
+        Placed by the last part, they went to different servers, each of which
+        read the club's history again. Callers waited for that, and the engines
+        had less capacity for other requests.
         """
         servers = [Candidate(f"engine-{n}", 64) for n in range(9)]
         chosen = {
--- a/packages/sycamorestand-decisions/tests/test_arrival_pool.py
+++ b/packages/sycamorestand-decisions/tests/test_arrival_pool.py
@@ -1,4 +1,4 @@
-"""Entries that lend each other what they do not need."""
+"""Tests of entries that lend each other unused arrivals."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 SERVICE: Final = "words"
 SIZES: Final = [10, 24, 88, 195, 330]
-# Of their kind: some entries have four times the requests of others.
+# Relative request rates of entries; some have four times those of others.
 WEIGHTS: Final = [0.5, 1.0, 1.0, 2.0]
 REQUESTS_PER_S: Final = 1.1
 ESCALATED_SHARE: Final = 0.47
 BEGIN_S: Final = 16.0
-# Smaller installations have three voters.
+# Installations of up to this size have three voters, larger ones five.
 FEW_ENTRIES: Final = 24
 
 
@@ -30,7 +30,11 @@
     def test_many_entries_are_denied_no_more_than_one_entry(
         self, entries: int, seed: int
     ) -> None:
-        """A tenth of the climbs were denied while the whole had plenty."""
+        """Guards against denials while the installation has budget left.
+
+        Without a pool, a tenth of the escalations were denied because their
+        own entry had no budget, while all entries together had plenty.
+        """
         allowance = Allowance(ratio=0.9, slack=2.2 * entries, window_s=10.0)
         parts = Installation(allowance, entries, seed).denied_share()
         whole = Installation(allowance, 1, seed)
@@ -43,24 +47,24 @@
     def test_total_stays_within_the_allowance_despite_losses(
         self, entries: int
     ) -> None:
-        """Servers are lost after calm seconds; messages and processes too.
+        """Guards against more further arrivals than the allowance.
 
-        Each request asks five more servers, if it may. One trade in ten
-        does not reach its pool or comes late, and so do answers; entries
-        and pools are killed.
+        Servers are lost after calm seconds, and each request asks for five
+        more arrivals. One trade in ten does not reach its pool, or it or its
+        answer arrives late. Entries and pools are killed.
         """
         allowance = Allowance(ratio=0.9, slack=2.2 * entries, window_s=10.0)
         installation = Installation(allowance, entries, 7)
         installation.overload()
         assert installation.further_arrivals
         for begin_s in range(60):
-            requests = installation.counted_requests(begin_s / 2)
+            requests = installation.requests(begin_s / 2)
             allowed = allowance.ratio * requests + allowance.slack
             assert installation.further_arrival_count(begin_s / 2) <= allowed
 
 
 class Installation:
-    """Entries and pools of one installation, and the requests they see."""
+    """Entries and pools of one installation, and the requests they receive."""
 
     def __init__(self, allowance: Allowance, entries: int, seed: int) -> None:
         self.allowance = allowance
@@ -76,7 +80,7 @@
         self._late_trades: list[tuple[int, Trade]] = []
 
     def denied_share(self) -> float:
-        """Return the share of climbs denied in half a minute of calm."""
+        """Return the share of escalations denied in 30 s of low load."""
         escalations: list[tuple[float, int]] = []
         denied = 0
         for now_s, entry in self._arrivals(30.0):
@@ -92,7 +96,7 @@
         return denied / (ESCALATED_SHARE * len(self.first_arrivals))
 
     def overload(self) -> None:
-        """Let each request ask for five more, and lose what can be lost."""
+        """Let each request ask for five more arrivals, with lost messages."""
         pending: list[tuple[float, int]] = []
         for now_s, entry in self._arrivals(30.0):
             self.lossy = now_s > BEGIN_S + 10
@@ -108,15 +112,15 @@
                 number = self.random.randrange(len(self.pools))
                 self.pools[number] = ArrivalPool(self.allowance, now_s)
 
-    def counted_requests(self, begin_s: float) -> int:
-        """Return the requests that a window is judged by."""
+    def requests(self, begin_s: float) -> int:
+        """Return the requests that the allowance of a window is based on."""
         return max(
             self._count_within(self.first_arrivals, begin_s - d)
             for d in (0, 5, 10)
         )
 
     def further_arrival_count(self, begin_s: float) -> int:
-        """Return the further arrivals of a window."""
+        """Return the number of further arrivals in a window."""
         return self._count_within(self.further_arrivals, begin_s)
 
     def _arrivals(self, seconds: float) -> list[tuple[float, int]]:
--- a/packages/sycamorestand-decisions/tests/test_arrivals.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals.py
@@ -1,4 +1,4 @@
-"""One budget for all arrivals beyond a request's first."""
+"""Tests of the budget for all arrivals beyond a request's first one."""
 
 from __future__ import annotations
 
@@ -26,12 +26,13 @@
     def test_refusals_and_escalations_together_stay_within_the_allowance(
         self, restarts: bool
     ) -> None:
-        """Half of the servers crash; the others refuse what they cannot hold.
+        """Guards against more further arrivals than the allowance.
 
-        Each of 25 entries wants to send every request to three servers, the
-        busiest ones twenty times as many as the others. Entries may be
-        killed in the middle of it and forget their counts. Whatever window
-        is looked at, all entries together stay within what is allowed.
+        Half of the servers crash; the others refuse what they cannot hold.
+        Each of 25 entries tries to send every request to three servers, and
+        the busiest entries have twenty times the requests of the others.
+        Entries may be killed meanwhile and lose their counts. In every window,
+        all entries together must stay within the allowance.
         """
         firsts, further = simulate_overload(restarts)
         for begin_s in range(0, 50, 2):
@@ -43,12 +44,13 @@
     def test_budget_is_not_spent_twice_as_entries_or_callers_change(
         self, change: str, seed: int
     ) -> None:
-        """Calm for twenty seconds, then servers are lost and all are full.
+        """Guards against spending the budget of calm seconds twice.
 
-        In the middle of it every entry is killed, or the callers go over to
-        entries that had none. What was not used in the calm seconds was spent
-        before the change by one set of entries, and what came after it by
-        another: 652 arrivals in one window, 624 allowed.
+        After twenty calm seconds, servers are lost and the others are full.
+        Then every entry is killed, or the callers move to entries that had
+        none. The first set of entries spent the unused budget before the
+        change and the second set again after it: 652 arrivals in one window,
+        with 624 allowed.
         """
         firsts, further = simulate_change(change, Random(seed))
         for begin_s in range(0, 60):
@@ -56,7 +58,7 @@
             assert arrived <= allowed(firsts, begin_s / 2)
 
     def test_escalations_at_low_load_are_granted(self) -> None:
-        """Nearly half of the requests climb, on an entry with little work."""
+        """Nearly half of the requests escalate; the entry has few of them."""
         random = Random(4)
         budget = ArrivalBudget(ALLOWANCE)
         now_s = 0.0
@@ -90,7 +92,7 @@
         assert added >= int(20 * ALLOWANCE.ratio * EARNED_SHARE)
 
     def test_saved_budget_covers_the_loss_of_a_server(self) -> None:
-        """Of a dozen streams under way half break off in one moment."""
+        """Half of a dozen running streams break at the same moment."""
         budget = ArrivalBudget(ALLOWANCE)
         for number in range(40):
             budget.record_first_arrival(SERVICE, number / 4)
@@ -100,7 +102,11 @@
 
 class TestTrades:
     def test_asked_arrivals_count_as_kept_until_the_answer(self) -> None:
-        """It earned all that it may keep, and then what was lent came too."""
+        """Guards against keeping more than the limit through a trade.
+
+        The entry earned all that it may keep, and then received the loan as
+        well.
+        """
         budget = full_budget()
         spend_all(budget, 12.0)
         trade = budget.open_trade(ENTRIES, 12.0, SERVICE)
@@ -113,7 +119,7 @@
         assert share.left == pytest.approx(share.most - asked)
 
     def test_an_unanswered_gift_counts_as_kept_for_a_window(self) -> None:
-        """It reached the pool, and the entry earned it a second time."""
+        """Guards against earning a gift again that reached the pool."""
         budget = full_budget()
         trade = budget.open_trade(ENTRIES, 10.0)
         assert trade is not None
@@ -147,13 +153,13 @@
 
 
 def spend_all(budget: ArrivalBudget, now_s: float) -> None:
-    """Add arrivals until none is left."""
+    """Spend further arrivals until none is left."""
     while budget.try_spend(SERVICE, ENTRIES, now_s):
         pass
 
 
 def simulate_overload(restarts: bool) -> tuple[list[float], list[float]]:
-    """Return when first and further arrivals of all entries were."""
+    """Return the times of first and further arrivals at all entries."""
     random = Random(9)
     budgets = [ArrivalBudget(ALLOWANCE) for _ in range(ENTRIES)]
     weights = [20.0 if number < 2 else 1.0 for number in range(ENTRIES)]
@@ -176,7 +182,7 @@
 def simulate_change(
     change: str, random: Random
 ) -> tuple[list[float], list[float]]:
-    """Return when first and further arrivals of all entries were."""
+    """Return the times of first and further arrivals at all entries."""
     old = [ArrivalBudget(ALLOWANCE) for _ in range(ENTRIES)]
     new = [ArrivalBudget(ALLOWANCE) for _ in range(ENTRIES)]
     firsts, further = [], []
@@ -199,15 +205,16 @@
 
 
 def count_within(times: list[float], begin_s: float) -> int:
-    """Return how many lie in the window that begins there."""
+    """Return how many times lie in the window that starts at ``begin_s``."""
     end_s = begin_s + ALLOWANCE.window_s
     return sum(begin_s <= time < end_s for time in times)
 
 
 def allowed(firsts: list[float], begin_s: float) -> float:
-    """Return what the owner of the servers allows in a window.
+    """Return the further arrivals that are allowed in a window.
 
-    By its requests, or those half a window before.
+    The allowance is based on the window's own requests, or on those of the
+    window that starts 5 s earlier if there are more.
     """
     requests = max(
         count_within(firsts, begin_s), count_within(firsts, begin_s - 5)
@@ -217,7 +224,11 @@
 
 class TestSpare:
     def test_the_reserve_is_kept_for_urgent_arrivals(self) -> None:
-        """Climbs and moves had spent all when callers were about to leave."""
+        """Guards against escalations and moves that spend the whole budget.
+
+        They had spent it all when other callers were about to leave
+        unanswered.
+        """
         budget = ArrivalBudget(Allowance(ratio=0.9, slack=60.0))
         for _ in range(2):
             budget.record_first_arrival("words", 0.0)
--- a/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
@@ -1,4 +1,4 @@
-"""Entries that share one budget, in any order of what may happen."""
+"""Stateful test of entries that share one arrival budget."""
 
 from __future__ import annotations
 
@@ -26,12 +26,13 @@
 
 
 class SharedBudget(RuleBasedStateMachine):
-    """All that reaches one service's servers, entry by entry.
+    """All arrivals at the servers of one service, from every entry.
 
-    Entries send, add all that they may, are killed and forget, or do not
-    know for a while how many there are. They trade with pools, which are
-    killed too; a trade, or its answer, is late or does not come. Whatever
-    the order, no window holds more than the owner of the servers allows.
+    Entries send requests, spend all further arrivals that they may, and are
+    killed and lose their counts; for a while they may not know the number of
+    entries. They trade with pools, which are killed too. A trade or its answer
+    may be late or lost. In any order of these events, no window may have more
+    arrivals than the owner of the servers allows.
     """
 
     def __init__(self) -> None:
@@ -134,7 +135,7 @@
 
     @invariant()
     def stays_within_the_allowance(self) -> None:
-        """Look at the windows that end now; earlier ones were looked at."""
+        """Check the window that ends now; earlier ones were checked before."""
         begin_s = self.now_s - ALLOWANCE.window_s
         before_s = begin_s - ALLOWANCE.window_s
         further = sum(when_s > begin_s for when_s in self.further)
--- a/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a slow backend server is waited for."""
+"""Tests of how long an attempt waits for a slow backend server."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
         assert overtaken_s < whole_s <= 4.0
 
     def test_a_target_as_long_as_the_callers_time_is_no_limit(self) -> None:
-        """An answer is of use to the end of the caller's time.
+        """Guards against waiting for a hanging server until the deadline.
 
-        A server that hangs must be left while another can still answer,
-        or every request on it fails by its caller's time.
+        An answer is of use until the end of the caller's time. An attempt must
+        leave a server that hangs while another server can still answer, or
+        every request on it fails at its deadline.
         """
         _, whole_s = first_event_limits_s(5.0, 5.0)
         assert whole_s < 4.0
@@ -44,31 +45,31 @@
 
 class TestShortPrefillLimit:
     def test_a_short_prefill_moves_long_before_its_target(self) -> None:
-        """A digest of 50,000 tokens is read at one server of five.
+        """One server of five prefills a digest of 50,000 tokens.
 
-        The question behind it would begin after two seconds there, and
-        after a tenth of one at any other server.
+        A question behind it would begin after two seconds there, and after a
+        tenth of a second at any other server.
         """
         limit_s = short_prefill_limit_s(2.0, 0.02, 0.05)
         assert limit_s is not None
         assert limit_s < 0.15 * 2.0
 
     def test_a_long_prefill_does_not_move(self) -> None:
-        """Asked elsewhere, it would be read twice."""
+        """Another server would read the prompt a second time."""
         assert short_prefill_limit_s(2.0, 0.4, 0.0) is None
 
     def test_no_request_moves_during_a_burst(self) -> None:
-        """Requests wait for half a second at every server.
+        """Requests queue for half a second at every server.
 
-        Whoever left would go to the end of a queue as long, and each move
-        would draw on the budget that crashes need.
+        A request that moves would go to the end of a queue of the same length,
+        and each move would spend budget that is needed when servers crash.
         """
         assert short_prefill_limit_s(2.0, 0.02, 0.5) is None
 
 
 class TestServerProgress:
     def test_a_queue_served_in_order_overtakes_no_request(self) -> None:
-        """A server answers in turn, slowly; the last one waits longest."""
+        """A slow server answers in order; the last request waits longest."""
         progress = ServerProgress()
         for sent_s in (1.0, 2.0, 3.0):
             progress.record_first_event("s-1", sent_s, sent_s + 2.0)
@@ -86,11 +87,11 @@
         assert not progress.has_overtaken("s-1", 1.0)
 
     def test_a_server_under_a_burst_is_not_at_fault(self) -> None:
-        """A burst: the server answers in turn, each later than the last.
+        """In a burst, the server answers in order, each request later.
 
-        Requests behind the burst are given up before their turn. Counted
-        as faults five of them took the server out, and its load went to
-        the others, which were next.
+        Requests at the end of the queue are abandoned before their turn. When
+        they counted as failures, five of them ejected the server, and its load
+        moved to the other servers, which were ejected next.
         """
         progress = ServerProgress()
         given_up = 0
@@ -127,17 +128,18 @@
         assert 0 < overtaken_s <= in_any_case_s
 
     def test_a_long_prompt_is_not_abandoned_during_its_prefill(self) -> None:
-        """A prompt of 37,000 tokens takes 2.9 s to read on a large model.
+        """Guards against abandoning a prompt that is being read.
 
-        It was given up after 2.4 s of an aim of 4 s and begun anew at the
-        next server, where it took another 2.9 s: the caller had its first
-        event after 6.1 s, and both servers' other callers had waited.
+        A prompt of 37,000 tokens takes 2.9 s to read on a large model. It was
+        abandoned after 2.4 s of a target of 4 s, and the next server started
+        over and took another 2.9 s. The caller got the first event after 6.1
+        s, and other requests waited at both servers.
         """
         limits_s = first_event_limits_s(4.0, 19.3, 37_000)
         assert min(limits_s) > 2.9
 
     def test_a_long_prompt_leaves_time_for_another_server(self) -> None:
-        """The server that should read it hangs instead."""
+        """The server that should read the prompt hangs instead."""
         tokens = 37_000
         _, limit_s = first_event_limits_s(4.0, 20.0, tokens)
         assert 20.0 - limit_s > 2 * tokens / PREFILL_TOKENS_PER_S
@@ -162,14 +164,14 @@
         assert times.max_total_s("review", 0.0, 5.0) == math.inf
 
     def test_servers_that_became_slow_make_answers_longer(self) -> None:
-        """The long answers of now have not ended yet."""
+        """The long answers of the slow servers have not ended yet."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
             times.record_answer("review", AnswerTime(0.5, 2.0, 50))
         assert times.max_total_s("review", 0.2, 5.0) == 10.5
 
     def test_running_requests_count(self) -> None:
-        """Answers that ended say little of those that take long."""
+        """Answers that have ended say little about those that take long."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
             times.record_answer("review", AnswerTime(0.1, 0.4, 5))
--- a/packages/sycamorestand-decisions/tests/test_canary.py
+++ b/packages/sycamorestand-decisions/tests/test_canary.py
@@ -1,4 +1,4 @@
-"""The servers that take part in the first share of a roll-out."""
+"""Tests of the servers that receive the first share of a roll-out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 class TestCanaryServers:
     def test_each_server_carries_its_final_load(self) -> None:
-        """All 18 at a share of 0.4 would idle, and fail only when full."""
+        """With a share of 0.4, all 18 would be underloaded until full use."""
         assert len(canary_servers(NAMES, 0.4)) == 7
 
     def test_every_entry_chooses_the_same_servers(self) -> None:
--- a/packages/sycamorestand-decisions/tests/test_cascade.py
+++ b/packages/sycamorestand-decisions/tests/test_cascade.py
@@ -62,9 +62,9 @@
     def test_without_ratings_no_cheap_answer_is_released(self) -> None:
         """The rating service is down from the first day.
 
-        No answer of the cheap version is known to be good, so unrated
-        ones are never released and most requests begin strong: dearer,
-        but at the quality that the profile demands.
+        No answer of the cheap version is known to be good. Unrated answers
+        must not be released, and most requests must begin strong: at a higher
+        cost, but with the quality that the profile demands.
         """
         learner = learner_of(0.0, 0)
         for _ in range(300):
@@ -73,10 +73,10 @@
         assert not learner.accept(PROFILE, 0, KIND, None)
 
     def test_bound_on_added_latency_excludes_the_cheap_step(self) -> None:
-        """The cheap step takes 400 ms and the profile allows 100.
+        """The cheap step takes 400 ms and the profile allows 100 ms.
 
-        A request sent on to the last step would be later than the
-        profile allows, so none begins at the cheap one.
+        A request that escalates to the last step would add more latency than
+        the profile allows, so none may begin at the cheap step.
         """
         learner = learner_of(0.95, 300)
         hasty = PROFILE._replace(max_added_latency_ms=100)
@@ -84,11 +84,11 @@
         assert step == 1
 
     def test_a_call_that_is_not_idempotent_is_never_explored(self) -> None:
-        """A sheet order asks the model for a call that may run once.
+        """Guards against running a call twice that must run once.
 
-        It gets one step, chosen by its pass rate alone, and whatever the
-        rating says, its answer is released: running the next step would
-        run the call twice.
+        The call gets one step, chosen by its pass rate alone. Its answer is
+        released whatever the rating is, because the next step would run the
+        call again.
         """
         learner = learner_of(0.3, 300)
         assert mean_first_step(learner, idempotent=False) == 1.0
@@ -128,9 +128,9 @@
     def test_a_class_that_becomes_hard_begins_strong_again(self) -> None:
         """The mix drifts: requests of a class become hard.
 
-        Their ratings come late, so nothing catches the bad answers.
-        Ratings of some hundred answers fade the old ones out, and the
-        class begins strong again.
+        Ratings arrive late, so bad answers are released. After some hundred
+        ratings the old ones have decayed, and the class must begin strong
+        again.
         """
         learner = learner_of(0.98, 400, inline=False)
         for number in range(200):
@@ -140,10 +140,10 @@
 
 class TestObjective:
     def test_latency_weight_may_prefer_the_strong_step(self) -> None:
-        """The cheap version is slow and the strong one fast.
+        """The cheap version is slow and the strong one is fast.
 
-        The Guild, who pays, begins cheap; the Authority, whose callers
-        wait, begins strong.
+        The Guild's weight is on cost, so its requests begin cheap. The
+        Authority's callers wait for answers, so its requests begin strong.
         """
         learner = learner_of(0.98, 50)
         for _ in range(300):
--- a/packages/sycamorestand-decisions/tests/test_demand.py
+++ b/packages/sycamorestand-decisions/tests/test_demand.py
@@ -42,10 +42,10 @@
 
     @pytest.mark.parametrize("age_s", [None, FRESH_S + 1.0])
     def test_a_silent_server_is_not_idle(self, age_s: float | None) -> None:
-        """One of three busy servers stops to report its load.
+        """One of three busy servers stops reporting its load.
 
-        Counted as idle, demand falls by a third and its version loses a
-        replica while the server still answers.
+        If it counted as idle, demand would fall by a third and its version
+        would lose a replica while the server still answers.
         """
         reports = [report(name, "x@1", busy=12) for name in "ab"]
         reports.append(report("c", "x@1", busy=0, age_s=age_s))
@@ -59,10 +59,10 @@
 
 class TestAverageDemand:
     def test_a_short_burst_adds_no_replica(self) -> None:
-        """Five times the work comes for ten seconds.
+        """Five times the demand arrives for ten seconds.
 
-        A load takes minutes, so a replica for it would be ready when the
-        burst is long over. A rise that stays is followed.
+        A load takes minutes, so a replica for the burst would be ready long
+        after its end. A lasting rise must be followed.
         """
         average = AverageDemand()
         average.add({"x@1": 9.0}, 0.0)
--- a/packages/sycamorestand-decisions/tests/test_ejection.py
+++ b/packages/sycamorestand-decisions/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Tests of which servers are left out for a while."""
+"""Tests of outlier ejection by latency."""
 
 from __future__ import annotations
 
@@ -26,11 +26,10 @@
     def test_one_long_answer_among_ten_ejects_no_server(
         self, long_s: float, place: int
     ) -> None:
-        """A call in a hundred takes much longer than the others.
+        """One call in a hundred takes much longer than the others.
 
-        The average of ten answers rose fourfold with it, the server was
-        left out for ten seconds, and the two others had its calls to
-        answer, which came late there.
+        The average of ten answers rose fourfold, the server was ejected for
+        ten seconds, and the two other servers answered its calls late.
         """
         latencies_s = [0.045] * 10
         latencies_s[place] = long_s
--- a/packages/sycamorestand-decisions/tests/test_placement.py
+++ b/packages/sycamorestand-decisions/tests/test_placement.py
@@ -41,7 +41,7 @@
         """Demand jumps right after four changes were made.
 
         Without the limit the pool would spend its time loading. The next
-        change waits until the window has passed.
+        change must wait until the window has passed.
         """
         servers = [server("a"), server("b")]
         demand = {"x@1": Demand(4, 8)}
@@ -50,10 +50,10 @@
         assert plan_orders(servers, demand, (), recent, NOW_S + 600.0)
 
     def test_withdrawn_versions_are_unloaded_last(self) -> None:
-        """A version is needed; an unused and a withdrawn one take room.
+        """A version needs capacity that an idle and a withdrawn one hold.
 
-        The unused one goes first: the withdrawn one may still have
-        sessions, and its withdrawal may be taken back.
+        The idle one is unloaded first: the withdrawn one may still have
+        sessions, and its withdrawal may be reverted.
         """
         servers = [server("a", "bad@1", "idle@1")]
         demand = {"new@1": Demand(4, 8)}
--- a/packages/sycamorestand-decisions/tests/test_prefill.py
+++ b/packages/sycamorestand-decisions/tests/test_prefill.py
@@ -1,4 +1,4 @@
-"""How long engines read, and in which order."""
+"""Tests of learned prefill times and of ranks at the engines."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 class TestPrefillRates:
     def test_learns_the_rate_despite_queueing(self) -> None:
-        """Half of the requests wait, some for seconds."""
+        """Half of the requests queue, some of them for seconds."""
         random = Random(5)
         rates = PrefillRates()
         for _ in range(300):
@@ -56,7 +56,7 @@
     def test_an_unseen_model_is_slower_than_the_next_smaller_one(
         self,
     ) -> None:
-        """The entry has just started and nothing has climbed yet."""
+        """The entry has just started and no request has escalated yet."""
         rates = PrefillRates()
         expected = [
             rates.prefill_s("words", SIZES, n, 9_000) for n in range(3)
@@ -91,9 +91,10 @@
         assert engine_rank(0.05, 0, 2.0) <= rank <= RANKS - 1
 
     def test_a_request_that_is_late_anyway_gets_the_last_rank(self) -> None:
-        """A burst has passed; some requests have waited beyond their aim.
+        """After a burst, some requests have waited beyond their target.
 
-        Read first, they would make those late that can still be in time.
+        With a prefill before others, they would make requests late that can
+        still be in time.
         """
         assert engine_rank(0.05, 0, left_s=0.04) == RANKS - 1
         assert engine_rank(0.05, 0, left_s=-3.0) == RANKS - 1
@@ -102,9 +103,9 @@
     def test_ranks_make_fewer_requests_late(self) -> None:
         """One digest in five among short questions on a busy engine.
 
-        Read as they come, every question behind a digest of 50,000 tokens
-        waits for seconds. Short readings first, fewer of either kind begin
-        late: the questions take a small part of the engine's time.
+        In order of arrival, every question behind a digest of 50,000 tokens
+        waits for seconds. With short prefills first, fewer requests of either
+        kind are late, as the questions take a small part of the engine's time.
         """
         as_they_come = late_by_kind(simulate(lambda prompt: 0))
         ranked = late_by_kind(
@@ -116,7 +117,7 @@
 
 
 def simulate(rank: Callable[[Prompt], int]) -> list[tuple[Prompt, float]]:
-    """Return prompts with their waits at one engine that obeys ranks."""
+    """Return prompts with their waits at one engine that follows ranks."""
     prompts = _prompts()
     waiting: list[tuple[int, int, Prompt]] = []
     waits: list[tuple[Prompt, float]] = []
@@ -136,7 +137,7 @@
 
 
 def late_by_kind(waits: list[tuple[Prompt, float]]) -> dict[str, float]:
-    """Return the share of each kind that had no first event within 2 s."""
+    """Return the share of each kind without a first event within 2 s."""
     late: dict[str, list[bool]] = {}
     for prompt, wait_s in waits:
         late.setdefault(prompt.kind, []).append(wait_s + prompt.read_s > 2.0)
--- a/packages/sycamorestand-decisions/tests/test_queue_delay.py
+++ b/packages/sycamorestand-decisions/tests/test_queue_delay.py
@@ -1,4 +1,4 @@
-"""The wait at a service's servers, from one entry's observations."""
+"""Tests of the queueing delay estimated from one entry's observations."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
         assert QueueDelay().delay_s(100.0) == 0.0
 
     def test_a_burst_shows_within_a_second_and_decays(self) -> None:
-        # Four requests a second wait 0.1 s each; in a burst sixteen a
-        # second wait 2 s. What the entry does about it must begin within
-        # the burst, and end soon after it.
+        # Four requests a second wait 0.1 s each; in a burst, sixteen a
+        # second wait 2 s each. The estimate must rise within the burst and
+        # fall soon after it.
         delay = QueueDelay()
         for number in range(20):
             delay.observe(number / 4, 0.1)
@@ -28,7 +28,7 @@
         assert delay.delay_s(9.0) < 0.5
 
     def test_one_long_wait_does_not_look_like_a_burst(self) -> None:
-        # One server of ten hangs; nine answers came at once.
+        # One server of ten hangs; the other nine answer immediately.
         delay = QueueDelay()
         for number in range(10):
             delay.observe(number * 0.1, 2.0 if number == 5 else 0.0)
--- a/packages/sycamorestand-decisions/tests/test_retained_sessions.py
+++ b/packages/sycamorestand-decisions/tests/test_retained_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions under way stay with their version for a step."""
+"""Tests of sessions that stay on their version during a step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def seen(*places: float, at_s: float = 0.0) -> RetainedSessions:
-    """Return sessions at these shares of all places, served at a time."""
+    """Return sessions at these shares of the places, served at a time."""
     sessions = RetainedSessions(IDLE_S)
     for place in places:
         sessions.record_served("words", int(place * PLACE_COUNT), at_s)
@@ -30,7 +30,7 @@
     def test_sessions_announced_before_the_step_begins_are_retained(
         self,
     ) -> None:
-        """Another entry has the step first and tells of its sessions."""
+        """Another entry begins the step first and announces its sessions."""
         sessions = seen(0.05)
         sessions.retain(STEP, (7,))
         assert sessions.begin_step(STEP, 0.1, 1.0) == (
@@ -54,7 +54,7 @@
         assert not sessions.is_retained(later, int(0.05 * PLACE_COUNT))
 
     def test_a_flood_of_names_is_bounded(self) -> None:
-        """The newest are kept."""
+        """Only the latest sessions are kept."""
         sessions = RetainedSessions(IDLE_S)
         for place in range(2 * MAX_SEEN):
             sessions.record_served("words", place, 0.0)
--- a/packages/sycamorestand-decisions/tests/test_retry.py
+++ b/packages/sycamorestand-decisions/tests/test_retry.py
@@ -6,10 +6,10 @@
 
 class TestRetryBudget:
     def test_a_failing_pool_gets_few_retries(self) -> None:
-        """Every request of every customer fails, a thousand in a second.
+        """All of a thousand requests in a second fail, for every customer.
 
-        Without a budget the pool would get a thousand more. Here it gets
-        what was saved up, at most a tenth.
+        Without a budget the pool would get a thousand more. With it, retries
+        are limited to the saved-up budget, at most a tenth.
         """
         budget = RetryBudget()
         granted = sum(
@@ -54,10 +54,10 @@
         assert budget.may_hedge(0.0, 99.0, True)
 
     def test_hedges_stay_a_small_share(self) -> None:
-        """All servers become slow together, every request waits long.
+        """All servers become slow together, so every request waits long.
 
-        Hedging all would double the load. The budget lets through its
-        savings and two in a hundred.
+        Hedging all requests would double the load. The budget allows its
+        initial content and two in a hundred requests.
         """
         budget = HedgeBudget()
         hedged = 0
--- a/packages/sycamorestand-decisions/tests/test_rollout.py
+++ b/packages/sycamorestand-decisions/tests/test_rollout.py
@@ -59,10 +59,10 @@
         assert verdict.evidence
 
     def test_stops_a_version_that_is_bad_for_one_class_only(self) -> None:
-        """One class of ten in a hundred requests gets wrong answers.
+        """One class, ten in a hundred requests, gets wrong answers.
 
-        Overall ratings fall by two points, which is no harm in itself;
-        the class's own ratings show it.
+        Overall ratings fall by two percentage points, which is within the
+        margin; only the ratings of the class show the fault.
         """
         old = merge((stats(1, 9_000), stats(2, 1_000, request_class="review")))
         new = merge(
@@ -93,8 +93,8 @@
     def test_holds_while_the_rating_service_is_down(self) -> None:
         """The rating service goes down in the middle of a roll-out.
 
-        Nothing shows harm and nothing shows health. The roll-out neither
-        stops nor goes on until ratings come again.
+        There is evidence of neither harm nor health. The roll-out must neither
+        stop nor advance until ratings arrive again.
         """
         new = stats(2, 2_000, rated=False)
         verdict = evaluate_rollout(stats(1, 5_000), new, ROLLOUT, 9_999.0)
@@ -102,10 +102,10 @@
         assert "ratings" in verdict.reason
 
     def test_a_biased_rating_service_stops_no_rollout(self) -> None:
-        """Half-way through, the rating service rates all answers lower.
+        """Halfway through, the rating service rates all answers lower.
 
         The new version has most of its requests in the bad hour, the old
-        one before it. Compared block by block they are the same.
+        version before it. Compared block by block, both versions are equal.
         """
         old = merge(
             (stats(1, 9_000), stats(2, 1_000, passes=0.6, now_s=7_200.0))
@@ -119,9 +119,9 @@
     def test_blocks_without_the_old_version_are_not_compared(self) -> None:
         """At full use no request goes to the old version any more.
 
-        In these blocks the rating service rates lower. Compared with the
-        old version's earlier hours this looks like a worse version; there
-        is nothing beside it, so nothing is stopped.
+        In these blocks the rating service rates lower. Compared with earlier
+        blocks of the old version, the new one would look worse and be stopped
+        by mistake.
         """
         old = stats(1, 5_000)
         new = merge((stats(2, 300), stats(3, 900, passes=0.6, now_s=7_200.0)))
@@ -129,10 +129,10 @@
         assert not isinstance(verdict, Stop)
 
     def test_full_use_waits_for_ratings_of_each_class(self) -> None:
-        """A class has 150 ratings when the step before full use is done.
+        """A class has 150 ratings when the step before full use ends.
 
-        A version bad for that class could still look healthy by chance,
-        and at full use there is nothing left to compare with.
+        A version that is bad for this class could still look healthy by
+        chance, and at full use there is no old version left to compare with.
         """
         old = merge((stats(1, 5_000), stats(2, 900, request_class="review")))
         new = merge((stats(3, 800), stats(4, 150, request_class="review")))
@@ -153,8 +153,8 @@
     def test_resumes_at_the_committed_step(self) -> None:
         """The leader is lost during the third step.
 
-        The next one begins with that step's share and no counts: it waits
-        for new evidence, and skips no step.
+        The next leader begins with that step's share and without counts. It
+        must wait for new evidence and skip no step.
         """
         monitor = RolloutMonitor(ROLLOUT, 500.0, step=2)
         assert monitor.share == ROLLOUT.shares[2]
@@ -184,19 +184,19 @@
         assert "portal@1" not in verdicts
 
     def test_a_biased_rating_service_withdraws_no_version(self) -> None:
-        """All versions' ratings fall in the same minutes.
+        """The ratings of all versions fall in the same minutes.
 
-        Withdrawing them all would leave the callers without any answer,
-        because of a fault in the rating service.
+        Withdrawing all versions because of a fault in the rating service would
+        leave the callers without any answer.
         """
         verdicts = self._watch(0.6, 0.6)
         assert not any(isinstance(v, Stop) for v in verdicts.values())
 
     def test_a_single_version_is_reported_but_not_withdrawn(self) -> None:
-        """One version is in use, and its ratings fall.
+        """The only version in use gets lower ratings.
 
-        Nothing tells whether it or the rating service changed. Operators
-        get the reason; new work goes on.
+        Whether the version or the rating service changed cannot be told apart.
+        Operators get the reason, and new work continues.
         """
         watch = VersionWatch()
         self._history(watch, "nest@1")
@@ -238,7 +238,7 @@
 
 
 class TestTimeLimit:
-    """A roll-out that has to end within a time."""
+    """A roll-out that must end within a time limit."""
 
     LIMITED = Rollout(
         "nest", "2", (0.1, 1.0), 50, steps_s=(8.0, 2.0), patience_s=1.0
@@ -259,10 +259,10 @@
         assert isinstance(self.verdict_for(0, 8.0, 60), Advance)
 
     def test_a_suspect_version_is_stopped_at_the_limit(self) -> None:
-        """Half of nine answers fail, too few for proof.
+        """Three of nine answers fail, too few to stop before the limit.
 
-        Without the limit the roll-out held until its time was over, and
-        the bad version kept its share of the callers.
+        Without the check at the limit, the roll-out waited until its time was
+        over, and the bad version kept its share of the callers.
         """
         assert isinstance(self.verdict_for(3, 8.5), Continue)
         assert isinstance(self.verdict_for(3, 9.0), Stop)
@@ -277,10 +277,10 @@
         assert isinstance(self.verdict_for(0, 9.0, 0), Continue)
 
     def test_a_class_with_a_high_expected_rate_raises_no_doubt(self) -> None:
-        """Requests of one route time out by themselves, a third of them.
+        """A third of one route's requests time out with either version.
 
-        Eight of eleven do by chance on the new version, and no other class
-        fails; the sound version was stopped at the limit.
+        By chance, eight of eleven do on the new version, while no other class
+        fails. The healthy version was stopped at the limit.
         """
         old, new = empty_stats(), empty_stats()
         for number in range(60):
@@ -295,10 +295,10 @@
     def test_a_slow_version_among_wide_spread_answers_is_stopped(
         self,
     ) -> None:
-        """Queues spread the old version's answers; the new one has none.
+        """Queues spread the old version's latencies; the new one has no queue.
 
         All of its answers take longer than the median and none longer than
-        nine of ten: it was let on to all work.
+        nine of ten, so the version was advanced to all work.
         """
         assert isinstance(self.verdict_among_spread(seed=1, least=0.6), Stop)
 
@@ -311,7 +311,7 @@
         assert all(isinstance(verdict, Advance) for verdict in verdicts)
 
     def verdict_among_spread(self, seed: int, least: float) -> object:
-        """Judge twelve answers; the fastest are slower by ``least``."""
+        """Return the verdict on 12 answers; ``least`` delays the fastest."""
         random = Random(seed)
         old, new = empty_stats(), empty_stats()
         for _ in range(300):
--- a/packages/sycamorestand-decisions/tests/test_selection.py
+++ b/packages/sycamorestand-decisions/tests/test_selection.py
@@ -42,8 +42,9 @@
     def test_own_requests_spread_under_a_stale_report(self) -> None:
         """The last report, two seconds old, shows one server idle.
 
-        Following it, every request would go there until the next report.
-        Own requests in flight count at once, so they spread.
+        By the report alone, every request would go to that server until the
+        next report. The entry's own running requests count immediately, so
+        requests spread over all servers.
         """
         selector = selector_of()
         candidates = [
@@ -76,11 +77,11 @@
         assert counts["s0"] <= 6
 
     def test_a_limit_that_shrank_fails_no_request(self) -> None:
-        """A request was let in, then every server's limit shrank.
+        """A request was admitted, then the limit of every server shrank.
 
-        The caller would see an error for a request that no server has
-        refused. A server past its limit is still chosen; it queues one
-        request for a moment.
+        The caller must not get an error for a request that no server refused.
+        A server beyond its limit is still chosen and queues one request for a
+        moment.
         """
         selector = selector_of()
         one = [Candidate("s0", 1)]
@@ -97,8 +98,9 @@
     def test_a_hot_key_does_not_overload_its_server(self) -> None:
         """Every request carries the same session key.
 
-        Affinity without a bound sends all to one server until it is at
-        its limit. Here the others take over once it is clearly busier.
+        Affinity without a bound sends all requests to one server until it
+        reaches its limit. Other servers must take over once it is clearly
+        busier.
         """
         selector = selector_of()
         counts: Counter[str] = Counter()
@@ -117,9 +119,9 @@
         assert selector.choose(NINE, 1.0, "prefix") == other
 
     def test_an_event_for_a_lost_server_is_ignored(self) -> None:
-        """The event that a prefix was stored comes after its server left.
+        """The event that a prefix was stored arrives after its server left.
 
-        Hints are only hints: the key goes to its place on the ring.
+        Hints are advisory: the key must go to its place on the hash ring.
         """
         selector = selector_of()
         home = selector.choose(NINE, 0.0, "prefix")
@@ -138,9 +140,9 @@
     def test_a_failing_server_is_ejected_then_probed_once(self) -> None:
         """A server fails five requests in a row.
 
-        Callers see five retries, then it gets nothing. After its time out
-        one request probes it; the others wait for that outcome, so that a
-        server still broken costs one request, not a wave.
+        After the ejection ends, one request probes the server and the others
+        wait for its outcome. A server that is still broken must cost one
+        request, not a burst of requests.
         """
         selector = selector_of()
         for candidate in NINE:
@@ -168,10 +170,10 @@
         assert selector.capacity(NINE, back_s + 60.0) == 9 * 16
 
     def test_answers_from_before_the_ejection_are_no_probes(self) -> None:
-        """Five requests fail while two more are under way on the server.
+        """Five requests fail while two more run on the server.
 
-        One of these ends well, one fails. Neither is the probe: the server
-        stays out for its time, and then gets one request, not a wave.
+        One of these succeeds, one fails. Neither is the probe: the server must
+        stay ejected for its time and then get a single request.
         """
         selector = selector_of()
         for candidate in NINE:
@@ -192,8 +194,8 @@
     def test_no_more_than_a_third_is_ejected(self) -> None:
         """Every server fails at once, as when the network is down.
 
-        Ejecting all of them would turn a short fault into a long one: six
-        of nine stay in use.
+        Ejecting all of them would prolong a short fault: six of nine stay in
+        use.
         """
         selector = selector_of()
         for candidate in NINE:
@@ -216,9 +218,8 @@
     def test_falls_with_a_queue_that_the_server_reports(self) -> None:
         """Three entries each send a server its whole capacity.
 
-        The server reports a queue; every entry lowers its limit by the
-        same factor until they fit together, and one report is answered
-        once.
+        The server reports a queue. Every entry must lower its limit by the
+        same factor until all entries fit together, once for each report.
         """
         selector = selector_of()
         full = [Candidate("s0", 16, 16, 32, 0.2)]
--- a/packages/sycamorestand-decisions/tests/test_shared_ratings.py
+++ b/packages/sycamorestand-decisions/tests/test_shared_ratings.py
@@ -27,10 +27,11 @@
 
 class TestSharedRatings:
     def test_an_entry_learns_from_the_others(self) -> None:
-        """An entry starts and knows nothing of a class.
+        """A new entry knows nothing of a class.
 
-        Alone it would begin at the strong step until forty of its own
-        answers are rated. The other entries know the cheap one is good.
+        Alone it would begin at the strong step until forty of its own answers
+        are rated. The ratings of other entries show that the cheap step is
+        good.
         """
         learner = CascadeLearner()
         assert median_first_step(learner) == 1
--- a/packages/sycamorestand-decisions/tests/test_size_ladder.py
+++ b/packages/sycamorestand-decisions/tests/test_size_ladder.py
@@ -1,4 +1,4 @@
-"""Tests of the climb from the smallest model to larger ones."""
+"""Tests of the escalation from the smallest model to larger ones."""
 
 from __future__ import annotations
 
@@ -40,11 +40,12 @@
         assert next_size(SIZES, size, confidence, left) == expected
 
     def test_under_strain_only_the_worst_answers_escalate(self) -> None:
-        """Long prompts among short ones, and more than the servers take.
+        """Long and short prompts exceed the capacity of the servers.
 
-        Each climb of a long prompt is a second of a server, in which ten
-        short requests wait. The better an answer is, the sooner it goes
-        out as it is; when waits reach half of the aim, all do.
+        Each escalation of a long prompt takes a second of a server, during
+        which ten short requests wait. The higher the confidence of an answer,
+        the lower the strain at which it is released; once the queueing delay
+        reaches half of the target, all answers are released.
         """
         escalating = [
             sum(
@@ -56,10 +57,10 @@
         assert escalating == [60, 48, 30, 12, 0, 0]
 
     def test_every_escalation_ends_within_the_attempts(self) -> None:
-        """Each model has a poor opinion of its answer.
+        """Each model has low confidence in its answer.
 
-        A climb that spent the last attempt below the largest model would
-        give the caller a poor answer that one more run had made good.
+        If an escalation spent the last attempt below the largest model, the
+        caller would get a poor answer that one more run could have replaced.
         """
         for attempts in range(1, 5):
             for confidence in (0, NEAR_MISS_CONFIDENCE):
--- a/packages/sycamorestand-decisions/tests/test_starting.py
+++ b/packages/sycamorestand-decisions/tests/test_starting.py
@@ -28,8 +28,9 @@
 
     def test_a_burst_at_the_start_is_bounded(self) -> None:
         # All callers come back in the second after a restart of all
-        # entries. Without a bound each holds a connection and its body,
-        # and the memory of a small VM is full before the lease comes.
+        # entries. Each waiting request holds a connection and its body.
+        # Without a limit, they fill the memory of a small VM before the
+        # entry gets its lease.
         held = 0
         for _ in range(10_000):
             held += hold_s(0.1, 20.0, held) > 0
--- a/packages/sycamorestand-decisions/tests/test_stopping.py
+++ b/packages/sycamorestand-decisions/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Which requests a stopping process sends elsewhere."""
+"""Tests of which requests a stopping process refuses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 LIMIT_S: Final = 7.0
 PATIENCE_S: Final = 20.0
-# How long callers still come after the stop has begun.
+# How long callers still arrive after the stop has begun.
 ARRIVALS_S: Final = 2.0
 STOPS: Final = 400
 
 
 class Kind(NamedTuple):
-    """Answers of one route: the median and the spread of their times."""
+    """Answers of one route: median and spread of their durations."""
 
     route: str
     median_s: float
@@ -37,7 +37,7 @@
 
 
 def simulate(kind: Kind, seed: int, check: bool) -> Played:
-    """Play planned stops, each with the callers that still come."""
+    """Simulate planned stops, each with callers that still arrive."""
     random = Random(seed)
     accepted = cut = refused = 0
     for _ in range(STOPS):
@@ -62,7 +62,7 @@
 
 class TestMayOutlastStop:
     def test_refuses_streams_that_the_stop_would_cut(self) -> None:
-        """A stop cut streams that came after it had begun."""
+        """A stop cut off streams that arrived after it had begun."""
         for seed in range(5):
             without = simulate(LONG, seed, check=False)
             played = simulate(LONG, seed, check=True)
@@ -70,14 +70,14 @@
             assert played.cut < without.cut / 5
 
     def test_accepts_short_answers(self) -> None:
-        """A caller sent elsewhere has used up its one retry."""
+        """A refused caller uses up its only retry."""
         for seed in range(5):
             played = simulate(SHORT, seed, check=True)
             assert played.sent_elsewhere <= 0.01 * STOPS
             assert played.cut <= 0.01 * STOPS
 
     def test_refuses_while_durations_are_unknown(self) -> None:
-        """An entry that had just started took what its stop then cut."""
+        """A newly started entry accepted streams that its stop cut off."""
         assert may_outlast_stop(3.0, 20.0, math.inf)
 
     def test_accepts_in_a_process_without_an_end(self) -> None:
--- a/packages/sycamorestand-decisions/tests/test_version_fallback.py
+++ b/packages/sycamorestand-decisions/tests/test_version_fallback.py
@@ -14,10 +14,10 @@
 
 class TestFallback:
     def test_it_takes_over_from_a_quarantined_stable_version(self) -> None:
-        """The stable version turns bad in service and is quarantined.
+        """The stable version degrades in service and is quarantined.
 
-        New work goes to the declared fallback at once. Version 3, which
-        is declared but not rolled out, gets none of it.
+        New work goes to the declared fallback immediately. Version 3, which is
+        declared but not rolled out, must get none of it.
         """
         in_force = InForce(quarantined=("nest@2",))
         assert choose_version(model("1"), in_force, 0.5) == "nest@1"
