--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
@@ -131,8 +131,10 @@
     ) -> Started | Waiting | Refused:
         """Start a new request, queue it, or refuse it."""
         pool = self._pool(ticket.pool)
-        least_s = MIN_SERVICE_SHARE * pool.times.mean_s(ticket.expected_s)
-        if now_s + least_s > ticket.deadline_s:
+        min_service_s = MIN_SERVICE_SHARE * pool.times.mean_s(
+            ticket.expected_s
+        )
+        if now_s + min_service_s > ticket.deadline_s:
             pool.refused_deadline += 1
             return Refused("cannot finish in time", MIN_RETRY_AFTER_S)
         if pool.can_start_at_once(ticket):
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/service_times.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/service_times.py
@@ -35,11 +35,11 @@
         self._mean_ratio = 1.0
         self._high_ratio = 1.5
 
-    def observe(self, expected_s: float, real_s: float) -> None:
+    def observe(self, expected_s: float, actual_s: float) -> None:
         """Record the expected and the actual time of a finished request."""
         step = MEAN_STEP if self.typical_s else 1.0
-        self.typical_s += step * (real_s - self.typical_s)
-        ratio = real_s / max(expected_s, 0.001)
+        self.typical_s += step * (actual_s - self.typical_s)
+        ratio = actual_s / max(expected_s, 0.001)
         ratio = min(max(ratio, MIN_RATIO), MAX_RATIO)
         self._mean_ratio += MEAN_STEP * (ratio - self._mean_ratio)
         above = ratio > self._high_ratio
--- a/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -25,8 +25,8 @@
         assert left_s < 0.8 or limit_s <= left_s / 2
 
     def test_an_overtaken_request_is_abandoned_first(self) -> None:
-        overtaken_s, whole_s = first_event_limits_s(4.0, 20.0)
-        assert overtaken_s < whole_s <= 4.0
+        overtaken_s, otherwise_s = first_event_limits_s(4.0, 20.0)
+        assert overtaken_s < otherwise_s <= 4.0
 
     def test_a_target_as_long_as_the_callers_time_is_no_limit(self) -> None:
         """Guards against waiting for a hanging server until the deadline.
@@ -35,8 +35,8 @@
         leave a server that hangs while another server can still answer, or
         every request on it fails at its deadline.
         """
-        _, whole_s = first_event_limits_s(5.0, 5.0)
-        assert whole_s < 4.0
+        _, otherwise_s = first_event_limits_s(5.0, 5.0)
+        assert otherwise_s < 4.0
 
     def test_the_gap_limit_exceeds_gaps_of_a_calm_server(self) -> None:
         assert gap_limit_s(1.2) > 2 * 1.2
@@ -94,17 +94,17 @@
         moved to the other servers, which were ejected next.
         """
         progress = ServerProgress()
-        given_up = 0
+        abandoned = 0
         for number in range(8, 40):
             sent_s = number * 0.1
-            given_up_s = sent_s + 2.4
-            in_turn = int(given_up_s / 0.4)
+            abandoned_s = sent_s + 2.4
+            in_turn = int(abandoned_s / 0.4)
             if in_turn >= number:
                 continue
-            progress.record_first_event("s-1", in_turn * 0.1, given_up_s)
-            given_up += 1
+            progress.record_first_event("s-1", in_turn * 0.1, abandoned_s)
+            abandoned += 1
             assert progress.is_serving_in_order("s-1", sent_s)
-        assert given_up > 5
+        assert abandoned > 5
 
     def test_a_server_that_answers_no_request_is_at_fault(self) -> None:
         progress = ServerProgress()
@@ -124,8 +124,8 @@
     def test_the_timeout_when_overtaken_is_the_shorter_one(
         self, aim_s: float, left_s: float
     ) -> None:
-        overtaken_s, in_any_case_s = first_event_limits_s(aim_s, left_s)
-        assert 0 < overtaken_s <= in_any_case_s
+        overtaken_s, otherwise_s = first_event_limits_s(aim_s, left_s)
+        assert 0 < overtaken_s <= otherwise_s
 
     def test_a_long_prompt_is_not_abandoned_during_its_prefill(self) -> None:
         """Guards against abandoning a prompt that is being read.
--- a/packages/sycamorestand-decisions/tests/test_cascade.py
+++ b/packages/sycamorestand-decisions/tests/test_cascade.py
@@ -79,8 +79,8 @@
         the profile allows, so none may begin at the cheap step.
         """
         learner = learner_of(0.95, 300)
-        hasty = PROFILE._replace(max_added_latency_ms=100)
-        step = learner.first_step(hasty, KIND, PRICES, 0.0, Random(1))
+        low_latency = PROFILE._replace(max_added_latency_ms=100)
+        step = learner.first_step(low_latency, KIND, PRICES, 0.0, Random(1))
         assert step == 1
 
     def test_a_call_that_is_not_idempotent_is_never_explored(self) -> None:
--- a/packages/sycamorestand-decisions/tests/test_retained_sessions.py
+++ b/packages/sycamorestand-decisions/tests/test_retained_sessions.py
@@ -58,6 +58,6 @@
         sessions = RetainedSessions(IDLE_S)
         for place in range(2 * MAX_SEEN):
             sessions.record_served("words", place, 0.0)
-        told = sessions.begin_step(STEP, 1.0, 0.0)
-        assert len(told) == MAX_SEEN
-        assert 2 * MAX_SEEN - 1 in told
+        announced = sessions.begin_step(STEP, 1.0, 0.0)
+        assert len(announced) == MAX_SEEN
+        assert 2 * MAX_SEEN - 1 in announced
