--- a/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
@@ -1,9 +1,10 @@
 """The configuration as a state machine on the replicated log.
 
-What it answers: operators race with equal numbers, and resend a change
-after its answer was lost. Every change therefore names itself (change id)
-and what it was based on (revision). Without the first a resend runs twice;
-without the second the later of two operators silently undoes the other.
+Every change carries a change id and the revision that it is based on. A
+client resends a change after its answer was lost; without the change id,
+the change would be applied twice. Two operators may change the same
+revision at the same time; without the base revision, the later change
+would silently undo the earlier one.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from typing import NamedTuple
 
 from sycamorestand_model.in_force import InForce
-from sycamorestand_state.change_ids import Answered
-from sycamorestand_state.change_ids import drop_old
+from sycamorestand_state.change_ids import drop_expired
 from sycamorestand_state.change_ids import MAX_CHANGE_ID_CHARACTERS
-from sycamorestand_state.change_ids import remember
+from sycamorestand_state.change_ids import store_answer
+from sycamorestand_state.change_ids import StoredAnswer
 from sycamorestand_state.changes import apply_declarations
 from sycamorestand_state.changes import create_cluster
 from sycamorestand_state.changes import drain_vm
@@ -31,7 +32,7 @@
 from sycamorestand_state.codec import fingerprint
 from sycamorestand_state.commands import ANY_REVISION
 from sycamorestand_state.commands import ApplyDeclarations
-from sycamorestand_state.commands import BASED_KINDS
+from sycamorestand_state.commands import BASE_REQUIRED_KINDS
 from sycamorestand_state.commands import Change
 from sycamorestand_state.commands import CreateCluster
 from sycamorestand_state.commands import decode_command
@@ -63,12 +64,13 @@
 from sycamorestand_state.rollouts import step_rollout
 from sycamorestand_state.rollouts import stop_rollout
 
-# About 10 MB at 500 bytes an entry: years of operators' changes, months
-# with a busy roll-out a day. Older ones are dropped from the front.
+# About 10 MB at 500 bytes an entry. This covers years of operators' changes,
+# or months with a busy roll-out each day. The oldest entries are dropped.
 MAX_AUDIT_ENTRIES: Final = 20_000
 MAX_EVIDENCE_CHARACTERS: Final = 2_000
-# How many of the changes in between a conflict names.
-CONFLICT_LINES: Final = 5
+# A conflict lists at most this many of the changes since its base revision,
+# and as many lines of each change's difference.
+MAX_CONFLICT_LINES: Final = 5
 
 _HANDLERS: Final[dict[type[Any], Any]] = {
     CreateCluster: create_cluster,
@@ -88,7 +90,7 @@
 
 class _Snapshot(NamedTuple):
     state: ConfigurationState
-    answers: list[tuple[str, Answered]]
+    answers: list[tuple[str, StoredAnswer]]
     audit: list[AuditEntry]
     orders: list[OrderRecord]
     order_fence: tuple[int, int]
@@ -96,33 +98,39 @@
 
 
 class ConfigurationMachine:
-    """Applies committed commands in the order of the log."""
+    """Applies committed commands to the configuration, in log order."""
 
     def __init__(self) -> None:
         self._state = ConfigurationState()
-        self._answers: dict[str, Answered] = {}
+        self._answers: dict[str, StoredAnswer] = {}
         self._audit: list[AuditEntry] = []
-        self._book = OrderBook()
+        self._order_book = OrderBook()
         self._clock_s = 0.0
         self._in_force = to_in_force(self._state)
 
     @property
     def revision(self) -> int:
-        """The revision in force; it never falls."""
+        """The revision in force; it never decreases."""
         return self._state.revision
 
     @property
     def cluster(self) -> ClusterIdentity | None:
-        """What the first start settled, None before it."""
+        """The identity of the cluster, None before its creation."""
         return self._state.cluster
 
     @property
     def previous_session_key(self) -> bytes:
-        """The key before the last rotation, for tokens handed out."""
+        """The session key before the last rotation.
+
+        Tokens that it signed are still valid.
+        """
         return self._state.previous_session_key
 
     def in_force(self) -> InForce:
-        """Return what entries act on; the same object until it changes."""
+        """Return the configuration that entries act on.
+
+        It is the same object until the configuration changes.
+        """
         return self._in_force
 
     def rollout(self, model: str) -> RolloutState | None:
@@ -130,72 +138,88 @@
         return self._state.rollouts.get(model)
 
     def rollouts(self) -> tuple[RolloutState, ...]:
-        """Return all committed roll-outs, also stopped ones."""
+        """Return all committed roll-outs, including stopped ones."""
         return tuple(self._state.rollouts.values())
 
     def orders(self) -> tuple[OrderRecord, ...]:
-        """Return the orders to engines, oldest change first."""
-        return tuple(self._book.orders.values())
+        """Return the orders to engines, ordered by their last change."""
+        return tuple(self._order_book.orders.values())
 
     def audit(self, after_index: int, limit: int) -> list[AuditEntry]:
-        """Return at most ``limit`` entries after an index of the log."""
+        """Return up to ``limit`` audit entries after an index of the log."""
         later = [
             entry for entry in self._audit if entry.log_index > after_index
         ]
         return later[:limit]
 
     def apply(self, index: int, command: bytes) -> ChangeResult:
-        """Apply the command at this index of the log."""
+        """Apply the command at this index of the log.
+
+        Raises `MalformedCommand` or `UnknownCommand` if the command cannot
+        be read. A refusal or conflict is returned as a result.
+        """
         decoded = decode_command(command)
-        # Leaders' wall clocks differ; ages must not run backwards.
+        # The wall clocks of leaders differ, and ages must not decrease
+        # after a leader change.
         self._clock_s = max(self._clock_s, decoded.now_s)
         if isinstance(decoded, RecordOrder):
             return self._apply_order(index, decoded)
         return self._apply_change(index, decoded)
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal state gives equal bytes."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         return encode_state(
             _Snapshot(
                 self._state,
                 list(self._answers.items()),
                 self._audit,
-                list(self._book.orders.values()),
-                (self._book.term, self._book.sequence),
+                list(self._order_book.orders.values()),
+                (self._order_book.term, self._order_book.sequence),
                 self._clock_s,
             )
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot in place of one's own."""
+        """Replace the whole state by that of a snapshot.
+
+        Raises `SnapshotUnreadable` for bytes that are no snapshot.
+        """
         loaded = decode_state(data, _Snapshot)
         self._state = loaded.state
         self._answers = dict(loaded.answers)
         self._audit = loaded.audit
         orders = {order.order_id: order for order in loaded.orders}
-        self._book = OrderBook(orders, *loaded.order_fence)
+        self._order_book = OrderBook(orders, *loaded.order_fence)
         self._clock_s = loaded.clock_s
         self._in_force = to_in_force(self._state)
 
     def _apply_change(self, index: int, command: Change) -> ChangeResult:
-        drop_old(self._answers, self._clock_s)
-        content = fingerprint((type(command).__name__, _content(command)))
+        drop_expired(self._answers, self._clock_s)
+        command_fingerprint = fingerprint(
+            (type(command).__name__, _without_time(command))
+        )
         known = self._answers.get(command.change_id)
         if known is not None:
-            return self._answer_again(index, command, known, content)
+            return self._answer_resend(
+                index, command, known, command_fingerprint
+            )
         decision = self._decide(command)
         result = self._commit(index, command, decision)
-        remember(
+        store_answer(
             self._answers,
             command.change_id,
-            Answered(content, result, self._clock_s),
+            StoredAnswer(command_fingerprint, result, self._clock_s),
         )
         return result
 
-    def _answer_again(
-        self, index: int, command: Change, known: Answered, content: bytes
+    def _answer_resend(
+        self,
+        index: int,
+        command: Change,
+        known: StoredAnswer,
+        command_fingerprint: bytes,
     ) -> ChangeResult:
-        if known.fingerprint == content:
+        if known.fingerprint == command_fingerprint:
             return known.result._replace(duplicate=True)
         decision = refused(
             self._state,
@@ -227,7 +251,9 @@
         if isinstance(command, CreateCluster):
             return ()
         base = command.base_revision
-        if base == ANY_REVISION and not isinstance(command, BASED_KINDS):
+        if base == ANY_REVISION and not isinstance(
+            command, BASE_REQUIRED_KINDS
+        ):
             return ()
         if base == self.revision:
             return ()
@@ -239,13 +265,13 @@
     def _changes_since(self, base_revision: int) -> list[str]:
         since = [
             f"revision {entry.revision} by {entry.operator}: {entry.kind}, "
-            + "; ".join(entry.difference[:CONFLICT_LINES])
+            + "; ".join(entry.difference[:MAX_CONFLICT_LINES])
             for entry in self._audit
             if entry.outcome == "applied"
             and entry.revision > base_revision
             and entry.kind != RecordOrder.__name__
         ]
-        return since[-CONFLICT_LINES:]
+        return since[-MAX_CONFLICT_LINES:]
 
     def _commit(
         self, index: int, command: Change, decision: Decision
@@ -255,7 +281,7 @@
             self._in_force = to_in_force(self._state)
         message = _message(command)
         evidence = decision.evidence
-        self._record(
+        self._append_audit_entry(
             AuditEntry(
                 index,
                 self.revision,
@@ -280,15 +306,15 @@
         )
 
     def _apply_order(self, index: int, command: RecordOrder) -> ChangeResult:
-        decision = record_order(self._book, command)
-        self._book = decision.book
+        decision = record_order(self._order_book, command)
+        self._order_book = decision.book
         outcome: Outcome = "applied" if decision.changed else "unchanged"
         if decision.finding:
             outcome = "refused"
-        # A resend that changed nothing is left out, as every retry of the
-        # leader would add a line.
+        # Orders that changed nothing are left out of the audit trail, as
+        # each retry of the leader would add an entry.
         if outcome != "unchanged":
-            self._record(
+            self._append_audit_entry(
                 AuditEntry(
                     index,
                     self.revision,
@@ -305,14 +331,14 @@
         findings = (decision.finding,) if decision.finding else ()
         return ChangeResult(outcome, self.revision, decision.finding, findings)
 
-    def _record(self, entry: AuditEntry) -> None:
+    def _append_audit_entry(self, entry: AuditEntry) -> None:
         evidence = entry.evidence[:MAX_EVIDENCE_CHARACTERS]
         self._audit.append(entry._replace(evidence=evidence))
         del self._audit[:-MAX_AUDIT_ENTRIES]
 
 
-def _content(command: Change) -> Change:
-    # The leader stamps the time anew at each resend.
+def _without_time(command: Change) -> Change:
+    # The leader sets a new time stamp on each resend.
     return command._replace(now_s=0.0)
 
 
