--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -10,10 +10,10 @@
 A plan begins at one step and either accepts unrated answers or escalates them.
 Its expected quality and cost follow from the learned pass rates and from how
 often a rating arrives while the answer waits. The cheapest plan whose quality
-meets the target with a margin of `MARGIN_DEVIATIONS` is used; if there is
-none, the plan that begins at the strongest step is. While a class is unknown,
-requests begin at the strong step, except for an explored share whose answers
-are accepted only with a good rating.
+meets the target with a margin of `MARGIN_DEVIATIONS` is used. If there is
+none, requests begin at the strongest step. While a class is unknown, requests
+begin at the strong step, except for an explored share whose answers are
+accepted only with a good rating.
 """
 
 from __future__ import annotations
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/explain.py
@@ -21,7 +21,7 @@
 def explain_admission(result: Started | Waiting | Refused) -> str:
     """Return why a request was started, queued or refused."""
     if isinstance(result, Started):
-        return "started: a slot was free and nobody waited for it"
+        return "started: a slot was free and no request was waiting"
     if isinstance(result, Waiting):
         return f"waits about {result.expected_wait_s:.2f} s for a slot"
     return f"refused: {result.reason}; retry in {result.retry_after_s:.1f} s"
