--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -1,9 +1,10 @@
-"""A call that must not be repeated, from its claim to its outcome.
+"""A non-idempotent call to a plain service, which runs at most once.
 
-The order is what makes it run at most once: the claim is durable, then
-the dispatch, then the first byte is written, then the outcome with the
-answer is durable, and only then is the answer released. Wherever that
-chain breaks, a second call with the key finds how far it came.
+The order of the steps guarantees that: the ledger stores the claim, then
+the dispatch; the entry writes the first byte; the ledger stores the
+outcome with the answer; only then does the entry release the answer.
+Whichever step fails, a later call with the same key reads from the ledger
+how far the first one got.
 """
 
 from __future__ import annotations
@@ -55,14 +56,15 @@
 _LOG = logging.getLogger(__name__)
 MAX_ATTEMPTS: Final = 3
 SERVER_RETRY_S: Final = 1.0
-SETTLE_PAUSE_S: Final = 0.5
+RESEND_PAUSE_S: Final = 0.5
 
 
 class ClaimedCall:
-    """State of one call; `run` goes on when the caller has left.
+    """One call with a claim; `run` continues after the caller has left.
 
-    ``run_state`` is what is known at any moment. Before the claim is
-    held it is ``unknown``, as an earlier call with the key may have run.
+    ``run_state`` is what is known about the execution so far. It is
+    ``unknown`` until the claim is held, because an earlier call with the
+    same key may have run.
     """
 
     def __init__(
@@ -77,15 +79,18 @@
         self._call = call
         self._service = service
         self._owner = _new_owner()
-        self._owner_spent = False
+        self._owner_used = False
         self._abandoned = False
 
     def abandon(self) -> None:
-        """Give up at the deadline; what was not written never will be."""
+        """Mark the call as past its deadline, so that it is not written."""
         self._abandoned = True
 
     async def run(self) -> None:
-        """Run the call to its outcome; never raises a `RequestError`."""
+        """Run the call to its outcome and set ``finished``.
+
+        A `RequestError` is stored in ``refusal`` and not raised.
+        """
         try:
             await self._run()
         except RequestError as error:
@@ -105,9 +110,9 @@
         try:
             recorded = await take_claim(self._context, claim)
         except LedgerFailed:
-            # The claim may be there all the same and would keep the key
-            # from ever running.
-            self._settle_later([self._outcome("not_run")])
+            # The ledger may have stored the claim although its answer is
+            # missing. Without an outcome it would block the key for ever.
+            self._record_in_background([self._outcome("not_run")])
             raise
         if recorded is not None:
             await self._charge_recorded(recorded)
@@ -116,14 +121,14 @@
         try:
             answer = await self._dispatch_in_slot()
         except CallFailed as error:
-            self._settle_later([self._outcome("unknown")])
+            self._record_in_background([self._outcome("unknown")])
             raise BackendFailed(
                 f"the service gave no whole answer: {error}", run="unknown"
             ) from error
         except RequestError:
-            self._settle_later([self._outcome("not_run")])
+            self._record_in_background([self._outcome("not_run")])
             raise
-        await self._record(answer)
+        await self._record_answer(answer)
 
     async def _dispatch_in_slot(self) -> ServiceAnswer:
         slot = await acquire_slot(self._context, self._call)
@@ -155,7 +160,7 @@
             if not answer.not_run:
                 return answer
             self.run_state = "not_run"
-            self._owner_spent = True
+            self._owner_used = True
         raise Overloaded(
             "no backend server of the service took the call", SERVER_RETRY_S
         )
@@ -163,13 +168,13 @@
     async def _attempt(self, server: Announcement) -> ServiceAnswer:
         context = self._context
         call = self._call
-        # A connection that has been idle may have gone silent without an
-        # error. Whether a call written into it ran could not be told.
+        # A connection that has been idle may be dead without an error. The
+        # entry could not know whether a call written to it has run.
         connection = await context.pool.acquire(
             server.address, context.settings.silent_idle_s
         )
         try:
-            held = await self._mark_dispatch(server)
+            held = await self._record_dispatch(server)
         except BaseException:
             connection.close()
             raise
@@ -177,7 +182,7 @@
         limit_s += context.settings.late_answer_s
         return await self._write(server, connection, limit_s, held)
 
-    async def _mark_dispatch(self, server: Announcement) -> bool:
+    async def _record_dispatch(self, server: Announcement) -> bool:
         call = self._call
         records = self._renewed_claim()
         records.append(
@@ -187,18 +192,20 @@
         return self._holds(results[-1])
 
     def _renewed_claim(self) -> list[LedgerRecord]:
-        """Return what claims the key anew after a server did not run it.
+        """Return the records that claim the key again for another server.
 
-        An owner dispatches once: the ledger could not tell a second
-        dispatch from a late first one. Outcome, claim and dispatch go in
-        one batch, so that no other attempt comes in between.
+        They are needed after a server has answered that it did not run the
+        call. An owner dispatches only once, because the ledger cannot
+        distinguish a second dispatch from a delayed first one. Outcome,
+        claim and dispatch are written in one batch, so that no other
+        attempt can claim the key in between.
         """
-        if not self._owner_spent:
+        if not self._owner_used:
             return []
         call = self._call
         outcome = self._outcome("not_run")
         self._owner = _new_owner()
-        self._owner_spent = False
+        self._owner_used = False
         content = fingerprint(call.method.encode(), call.target, call.body)
         claim = make_claim(
             call.customer, call.request_key, content, self._owner
@@ -208,9 +215,9 @@
     def _holds(self, result: LedgerResult) -> bool:
         if result.state == "ok":
             return True
-        # The first send of this very dispatch was applied and its answer
-        # was lost. Nothing has been written under this owner yet, and
-        # nobody else knows it, so the call may go.
+        # The ledger applied an earlier send of this dispatch and the answer
+        # was lost. Only this call uses the owner and has written nothing
+        # under it yet, so the call may be sent.
         own = result.owner == self._owner
         return own and result.claim_state == "dispatched"
 
@@ -236,7 +243,7 @@
             self.run_state = "not_run"
             raise
 
-    async def _record(self, answer: ServiceAnswer) -> None:
+    async def _record_answer(self, answer: ServiceAnswer) -> None:
         recorded = RecordedAnswer(
             answer.status, answer.content_type, answer.body
         )
@@ -248,7 +255,7 @@
         try:
             results = await write_ledger(self._context, records, run="ran")
         except LedgerFailed:
-            self._settle_later(records)
+            self._record_in_background(records)
             raise
         if charged:
             self._context.metrics.charges.inc({"state": results[1].state})
@@ -257,7 +264,7 @@
         self.answer = recorded
 
     async def _charge_recorded(self, recorded: RecordedAnswer) -> None:
-        # The entry that ran the call may have died before its charge.
+        # The entry that ran the call may have crashed before the charge.
         if recorded.status < 500:
             charge = service_charge(self._call, self._service.call_micros)
             results = await write_ledger(self._context, [charge], run="ran")
@@ -281,15 +288,19 @@
             answer=answer.body,
         )
 
-    def _settle_later(self, records: list[LedgerRecord]) -> None:
-        self._context.start_background(_settle, self._context, records)
+    def _record_in_background(self, records: list[LedgerRecord]) -> None:
+        self._context.start_background(
+            _record_until_durable, self._context, records
+        )
 
 
 def _new_owner() -> str:
     return secrets.token_hex(8)
 
 
-async def _settle(context: EntryContext, records: list[LedgerRecord]) -> None:
+async def _record_until_durable(
+    context: EntryContext, records: list[LedgerRecord]
+) -> None:
     with anyio.move_on_after(context.settings.late_answer_s):
         while True:
             try:
@@ -297,7 +308,7 @@
                 return
             except LedgerUnavailable:
                 context.metrics.ledger_failures.inc({})
-                await anyio.sleep(SETTLE_PAUSE_S)
+                await anyio.sleep(RESEND_PAUSE_S)
     _LOG.error("outcome not recorded", extra={"records": len(records)})
 
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_wire.py
@@ -1,4 +1,4 @@
-"""What an engine is sent, and what its answer's head tells."""
+"""The HTTP request to an engine, and the check of its response head."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from sycamorestand_model.backend_servers import Announcement
 
 OVERLOADED_RETRY_S: Final = 1.0
-# The server itself says with this header that it did not run a request.
+# With this header a server states that it did not run the request.
 NOT_RUN_HEADER: Final = b"x-not-run"
 RESUMED_HEADER: Final = b"x-resume-from"
 
 
 class EngineWork(NamedTuple):
-    """What is asked of an engine; ``body`` always asks for a stream.
+    """A request to an engine; its ``body`` always requests a stream.
 
-    ``affinity_key`` leads to the server that may hold the state of the
-    session or prefix; it is empty where there is none.
+    ``affinity_key`` selects the server that may have cached the state of
+    the session or prefix; it is empty if the request has neither.
     """
 
     customer: str
@@ -42,9 +42,17 @@
 
 
 def encode_engine_request(
-    work: EngineWork, server: Announcement, run_id: str, resume: bool, at: int
+    work: EngineWork,
+    server: Announcement,
+    run_id: str,
+    resume: bool,
+    resume_from: int,
 ) -> bytes:
-    """Return the bytes of a request, or of one for the rest of a run."""
+    """Return the bytes of a request.
+
+    With ``resume`` it requests the rest of the run ``run_id``, from the
+    event with index ``resume_from``.
+    """
     lines = [
         "POST /v1/chat/completions HTTP/1.1",
         f"Host: {server.address}",
@@ -60,24 +68,24 @@
         lines.append(f"X-Prefix-Key: {work.affinity_key}")
     if resume:
         lines.append(f"X-Resume-Run: {run_id}")
-        lines.append(f"X-Resume-From: {at}")
+        lines.append(f"X-Resume-From: {resume_from}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + work.body
 
 
 def check_head(head: ResponseHead, resumed_at: int | None = None) -> None:
-    """Raise where the answer is not the stream that was asked for.
+    """Raise an error if the response is not the requested stream.
 
-    A resumed stream must say from which event it goes on. An engine that
-    knows nothing of resuming would begin again, and the caller would get
-    the first tokens twice.
+    A resumed stream must name the event that it continues from. An engine
+    that does not support resuming would start from the beginning, and the
+    caller would get the first tokens twice.
     """
     if head.status == 200:
         if resumed_at is not None:
-            told = head.headers.get(RESUMED_HEADER, b"")
-            if told != b"%d" % resumed_at:
+            resumed_from = head.headers.get(RESUMED_HEADER, b"")
+            if resumed_from != b"%d" % resumed_at:
                 raise MalformedAnswer("it resumed from another event")
-        kind = head.headers.get(b"content-type", b"")
-        if kind.startswith(b"text/event-stream"):
+        content_type = head.headers.get(b"content-type", b"")
+        if content_type.startswith(b"text/event-stream"):
             return
         raise MalformedAnswer("its answer is no event stream")
     if head.status in (429, 503):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/services.py
@@ -21,7 +21,7 @@
 from sycamorestand_entry.errors import RequestKeyMissing
 from sycamorestand_entry.errors import UnknownService
 from sycamorestand_entry.http_messages import read_body
-from sycamorestand_entry.repeatable import call_repeatable
+from sycamorestand_entry.idempotent_call import call_idempotent
 from sycamorestand_entry.service_call import ServiceCall
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 async def answer_service(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Answer one call; what may be repeated is, the rest runs once."""
+    """Answer one call; only idempotent calls may be sent twice."""
     in_force = context.control.in_force()
     customer = context.authenticator.customer(request.headers, in_force)
     name, target = _split_target(request)
@@ -64,7 +64,7 @@
         deadline_after(options.deadline_ms, service.default_deadline_ms),
     )
     if idempotent:
-        await _answer_repeatable(context, call, service, responder)
+        await _answer_idempotent(context, call, service, responder)
     else:
         await _answer_once(context, call, service, responder)
 
@@ -81,13 +81,13 @@
     return name.decode("latin-1"), target
 
 
-async def _answer_repeatable(
+async def _answer_idempotent(
     context: EntryContext,
     call: ServiceCall,
     service: Service,
     responder: Responder,
 ) -> None:
-    answer = await call_repeatable(context, call)
+    answer = await call_idempotent(context, call)
     cost = 0
     if answer.status < 500:
         cost = await charge_once(
@@ -104,8 +104,8 @@
     responder: Responder,
 ) -> None:
     claimed = ClaimedCall(context, call, service)
-    # The call goes on in a task of the entry when the caller has left or
-    # its deadline has passed, so that a late answer is still recorded.
+    # The call runs in a background task, which continues after the caller
+    # has left or its deadline has passed. So a late answer is recorded too.
     context.start_background(claimed.run)
     with anyio.move_on_after(remaining_s(call.deadline_at_s)):
         await claimed.finished.wait()
