--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/cascade.py
@@ -35,7 +35,7 @@
     from collections.abc import Sequence
 
     from sycamorestand_model.declarations import Profile
-    from sycamorestand_model.nodes import RatingCount
+    from sycamorestand_model.entry_reports import RatingCount
 
 PASS_RATING: Final = 0.5
 # In standard deviations. With two, a class five percentage points above the
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
@@ -1,4 +1,4 @@
-"""Samples of versions added up between two reports."""
+"""Statistics of version samples, collected between two reports."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from sycamorestand_decisions.version_stats import add_sample
 from sycamorestand_decisions.version_stats import empty_stats
 from sycamorestand_decisions.version_stats import VersionStats
-from sycamorestand_model.nodes import RatingCount
+from sycamorestand_model.entry_reports import RatingCount
 
 if TYPE_CHECKING:
-    from sycamorestand_model.nodes import VersionSample
+    from sycamorestand_model.entry_reports import VersionSample
 
-# An answer rated below this counts as failed; ratings are 0 to 1.
+# An answer rated below this counts as failed; ratings range from 0 to 1.
 PASSING_RATING: Final = 0.5
-# A flood of made-up request classes must not grow the report beyond what
-# control may cost; what is over it is left out of the counts.
+# Bounds the size of a report, and so the load on control, if callers invent
+# request classes. Samples of a version are not counted beyond this number
+# of classes.
 MAX_CLASSES: Final = 16
 MAX_RATINGS: Final = 256
 
 
 class SampleCounts:
-    """Adds samples up, so that a report's size does not follow the load."""
+    """Aggregate samples, so that a report's size is independent of load."""
 
     def __init__(self) -> None:
         self._stats: dict[str, VersionStats] = {}
         self._ratings: dict[tuple[str, str, bool], tuple[int, int]] = {}
 
     def add(self, sample: VersionSample, now_s: float) -> None:
-        """Count one attempt on a version; ``now_s`` is wall-clock time."""
+        """Count one attempt at a version; ``now_s`` is wall-clock time."""
         self._add_rating(sample)
         stats = self._stats.setdefault(sample.version, empty_stats())
         if len(stats.strata) >= MAX_CLASSES:
@@ -48,8 +49,8 @@
             passed,
         )
 
-    def take_ratings(self) -> tuple[RatingCount, ...]:
-        """Return the ratings for other entries and start over."""
+    def drain_ratings(self) -> tuple[RatingCount, ...]:
+        """Return the counts of ratings for other entries and reset them."""
         counts = tuple(
             RatingCount(*key, *row) for key, row in self._ratings.items()
         )
@@ -66,8 +67,8 @@
         passed += sample.rating >= PASSING_RATING
         self._ratings[key] = (passed, rated + 1)
 
-    def take(self) -> tuple[StatsRow, ...]:
-        """Return all rows and start over."""
+    def drain(self) -> tuple[StatsRow, ...]:
+        """Return the rows of all versions and reset them."""
         rows = to_rows(self._stats)
         self._stats = {}
         return rows
