--- a/packages/sycamorestand-decisions/tests/test_admission.py
+++ b/packages/sycamorestand-decisions/tests/test_admission.py
@@ -46,12 +46,14 @@
         assert admission.offer(ticket(1), 0.0) == Started(1)
         assert isinstance(admission.offer(ticket(2), 0.0), Waiting)
 
-    def test_refuses_at_once_what_cannot_start_in_time(self) -> None:
-        """The pool has one slot and work for five seconds waiting.
-
-        A request with a deadline two seconds away is refused when it is
-        offered: it would only learn the same after those two seconds. The
-        answer says when to come back.
+    def test_refuses_immediately_a_request_that_cannot_start_in_time(
+        self,
+    ) -> None:
+        """Guards against queueing a request that will be refused later.
+
+        The pool has one slot and five seconds of waiting work. A request whose
+        deadline is two seconds away is refused when it is offered, with the
+        time after which to retry.
         """
         admission = admission_of(1)
         for number in range(6):
@@ -60,7 +62,9 @@
         assert isinstance(answer, Refused)
         assert 1.0 <= answer.retry_after_s <= 30.0
 
-    def test_refuses_what_cannot_finish_even_with_a_free_slot(self) -> None:
+    def test_refuses_a_request_too_long_for_its_deadline_despite_a_free_slot(
+        self,
+    ) -> None:
         answer = admission_of(1).offer(
             ticket(1, deadline_s=1.0, expected_s=5.0), 0.0
         )
@@ -72,10 +76,10 @@
         assert answer.retry_after_s > 0
 
     def test_queue_of_a_customer_is_bounded(self) -> None:
-        """A customer sends without end while nothing finishes.
+        """Guards against unbounded memory and checks of the queue.
 
-        Its queue stops growing at the bound and everything after is
-        refused, so that memory and the walk over the queue stay bounded.
+        A customer sends without pause while no request finishes. Its queue
+        stops growing at the limit, and all further requests are refused.
         """
         admission = admission_of(1)
         for number in range(2 * MAX_WAITING_PER_CUSTOMER):
@@ -86,11 +90,11 @@
 
 
 class TestFairness:
-    def test_a_flood_hurts_itself(self) -> None:
+    def test_a_flooding_customer_does_not_delay_others(self) -> None:
         """One customer has a hundred requests waiting, another sends one.
 
-        The one starts with the next free slot: the customers are served
-        in turn, not their requests in order of arrival.
+        The single request gets the next free slot: customers are served in
+        turn, not their requests in order of arrival.
         """
         admission = admission_of(1)
         for number in range(100):
@@ -100,11 +104,12 @@
         (started,) = admission.start_ready(0.05)
         assert started.customer == "small"
 
-    def test_use_of_an_idle_pool_is_not_held_against(self) -> None:
-        """One customer used an idle pool for long, then both send much.
+    def test_use_of_an_idle_pool_is_not_charged_later(self) -> None:
+        """One customer used an idle pool for long, then both send a lot.
 
-        Nobody waited for what it used. From now on both get the same; the
-        newcomer does not first get as much as the other one ever had.
+        No request waited for the slots it used. From now on both customers get
+        the same share; the new one must not get all slots until it has caught
+        up.
         """
         admission = admission_of(1)
         for number in range(100):
@@ -117,11 +122,11 @@
         starts = self._drain(admission, 100, 20)
         assert 8 <= sum(t.customer == "old" for t in starts) <= 12
 
-    def test_a_pause_saves_nothing_up(self) -> None:
-        """Interactive work ran alone for long, then batch work comes.
+    def test_a_pause_of_batch_work_earns_no_credit(self) -> None:
+        """Interactive work runs alone for long, then batch work arrives.
 
-        Owed a tenth of all that time, batch would take every slot until
-        it has caught up. It gets its tenth from now on, no more.
+        With credit for a tenth of that time, batch work would take every slot
+        until it had caught up. It must get a tenth from now on and no more.
         """
         admission = admission_of(1)
         for number in range(50):
@@ -137,11 +142,11 @@
         starts = self._drain(admission, 60, 20)
         assert sum(t.priority == "batch" for t in starts) <= 4
 
-    def test_an_idle_customer_need_not_wait_for_a_slot(self) -> None:
-        """All ten slots are taken by one customer's long requests.
+    def test_an_idle_customer_starts_beyond_the_slots(self) -> None:
+        """All ten slots are taken by the long requests of one customer.
 
-        Another one's request starts in the one slot that is kept beyond
-        them; its second waits like everybody's.
+        The first request of another customer starts in the one slot beyond the
+        ten; its second request waits.
         """
         admission = admission_of(10)
         for number in range(12):
@@ -156,10 +161,10 @@
         assert 28 <= counts["a"] <= 32
 
     def test_batch_is_not_starved(self) -> None:
-        """Interactive work alone would fill every slot for good.
+        """Guards against starvation of batch work by interactive work.
 
-        Batch requests still get about a tenth of the starts, so that they
-        are done some day; more would be noticed by interactive callers.
+        Batch requests get about a tenth of the starts, so that they finish
+        eventually; a larger share would delay interactive callers noticeably.
         """
         admission = admission_of(1)
         admission.offer(ticket(0), 0.0)
@@ -198,11 +203,12 @@
 
 
 class TestExpire:
-    def test_refuses_as_soon_as_a_start_in_time_is_lost(self) -> None:
+    def test_refuses_as_soon_as_a_start_in_time_is_impossible(self) -> None:
         """Twelve requests wait when seven of eight slots are lost.
 
-        The last of them cannot start in time any more. They are refused
-        now, with time to go elsewhere, not when their deadline has passed.
+        The last of them can no longer start in time. They must be refused
+        immediately, while the callers can still try elsewhere, rather than
+        when their deadline has passed.
         """
         admission = admission_of(8)
         for number in range(8):
@@ -217,7 +223,7 @@
         assert all(t.deadline_s > 1.0 for t, _ in refused)
         assert 10 not in {t.ticket_id for t, _ in refused}
 
-    def test_nothing_is_refused_twice(self) -> None:
+    def test_no_request_is_refused_twice(self) -> None:
         admission = admission_of(1)
         admission.offer(ticket(1), 0.0)
         admission.offer(ticket(2, deadline_s=5.0), 0.0)
@@ -226,7 +232,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Any order of calls: no slot is given twice, no request is lost."""
+    """Check in any order of calls that no slot or request is lost."""
 
     def __init__(self) -> None:
         super().__init__()
