--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
@@ -30,7 +30,7 @@
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import Role
 from sycamorestand_consensus.raft_state import send_now
-from sycamorestand_consensus.replication import sync_progress
+from sycamorestand_consensus.replication import refresh_progress
 
 # A learner under load is always a few batches behind. Fewer entries than
 # this are sent in one message, so the new voter delays no commit.
@@ -40,8 +40,8 @@
 def add_learner(state: RaftState, member_id: str, address: str) -> int:
     """Admit a learner, or change the address of a member."""
     _check_change(state)
-    found = find_member(state.membership, member_id)
-    voter = found is not None and found.voter
+    existing = find_member(state.membership, member_id)
+    voter = existing is not None and existing.voter
     member = Member(member_id, address, voter)
     return _append_change(state, with_member(state.membership, member))
 
@@ -49,10 +49,10 @@
 def promote(state: RaftState, member_id: str) -> int:
     """Make a learner a voter."""
     _check_change(state)
-    found = find_member(state.membership, member_id)
-    if found is None:
+    existing = find_member(state.membership, member_id)
+    if existing is None:
         raise MembershipRefused(f"{member_id} is not a member")
-    if found.voter:
+    if existing.voter:
         raise MembershipRefused(f"{member_id} votes already")
     progress = state.progress[member_id]
     silent_s = state.now_s - progress.acked_sent_s
@@ -61,17 +61,17 @@
         # that worked.
         raise MembershipRefused(f"{member_id} is silent for {silent_s:.1f} s")
     synced = progress.match_index
-    behind = state.commit_index - synced
-    if behind > PROMOTE_LAG_ENTRIES:
+    lag_entries = state.commit_index - synced
+    if lag_entries > PROMOTE_LAG_ENTRIES:
         # A voter that has not synced the log counts towards majorities
         # which then hold fewer copies than the number says.
-        raise MembershipRefused(f"{member_id} is {behind} entries behind")
+        raise MembershipRefused(f"{member_id} is {lag_entries} entries behind")
     if synced < state.memberships[-1][0]:
         # A member votes only once its own log names it. Promoted earlier
         # it would give no vote, and after the leader's restart the two
         # would wait for each other for good.
         raise MembershipRefused(f"{member_id} has not synced its admission")
-    member = found._replace(voter=True)
+    member = existing._replace(voter=True)
     return _append_change(state, with_member(state.membership, member))
 
 
@@ -143,7 +143,7 @@
     data = encode_membership(membership)
     entry = Entry(index, state.term, EntryKind.MEMBERSHIP, data)
     append_entries(state, (entry,))
-    sync_progress(state)
+    refresh_progress(state)
     return index
 
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
@@ -45,13 +45,13 @@
 from sycamorestand_consensus.messages import Snapshot
 from sycamorestand_consensus.progress import Barrier
 from sycamorestand_consensus.raft_state import append_entries
+from sycamorestand_consensus.raft_state import close_batch
+from sycamorestand_consensus.raft_state import mark_batches_synced
 from sycamorestand_consensus.raft_state import membership_at
-from sycamorestand_consensus.raft_state import note_stored
 from sycamorestand_consensus.raft_state import RaftState
 from sycamorestand_consensus.raft_state import Role
 from sycamorestand_consensus.raft_state import save_snapshot
 from sycamorestand_consensus.raft_state import set_hard_state
-from sycamorestand_consensus.raft_state import take_batch
 from sycamorestand_consensus.replication import replicate
 from sycamorestand_consensus.replication import send_heartbeats
 from sycamorestand_consensus.settings import ReplicaSettings
@@ -81,11 +81,11 @@
         member_id: str,
         settings: ReplicaSettings,
         seed: int,
-        found: Recovered,
+        recovered: Recovered,
         now_s: float,
     ) -> None:
         """Start from what was found on disk."""
-        self.state = RaftState(member_id, settings, seed, found, now_s)
+        self.state = RaftState(member_id, settings, seed, recovered, now_s)
         set_election_deadline(self.state)
         if not self.is_blank:
             assume_promise(self.state)
@@ -119,15 +119,15 @@
         """Take in a message from another member."""
         self.state.now_s = now_s
         handle_message(self.state, message)
-        self._settle()
+        self._process_loopback()
 
     def mark_synced(self, sequence: int, now_s: float) -> None:
         """Take in that all batches up to ``sequence`` are synced."""
         state = self.state
         state.now_s = now_s
-        note_stored(state, sequence)
+        mark_batches_synced(state, sequence)
         advance_commit(state)
-        self._settle()
+        self._process_loopback()
 
     def tick(self, now_s: float) -> None:
         """Take in that time has passed."""
@@ -137,7 +137,7 @@
             self._tick_leader()
         elif now_s >= self.next_wake_s():
             self._tick_without_leader()
-        self._settle()
+        self._process_loopback()
 
     def next_wake_s(self) -> float:
         """Return when the next tick is due."""
@@ -223,7 +223,7 @@
         """Return what is to be done since the last call."""
         state = self.state
         state.now_s = now_s
-        self._settle()
+        self._process_loopback()
         if state.role == Role.LEADER:
             if now_s >= state.heartbeat_due_s:
                 send_heartbeats(state)
@@ -231,9 +231,9 @@
             confirm_barriers(state)
         output = Output(
             messages=tuple(state.outgoing),
-            batch=take_batch(state),
+            batch=close_batch(state),
             install=state.install,
-            committed=_take_committed(state),
+            committed=_next_committed(state),
             confirmed=tuple(state.confirmed),
         )
         state.outgoing.clear()
@@ -259,7 +259,7 @@
             state.leader_id = ""
             set_election_deadline(state)
 
-    def _settle(self) -> None:
+    def _process_loopback(self) -> None:
         state = self.state
         while state.loopback:
             handle_message(state, state.loopback.popleft())
@@ -267,7 +267,7 @@
             become_follower(state, state.term, "")
 
 
-def _take_committed(state: RaftState) -> tuple[Entry, ...]:
+def _next_committed(state: RaftState) -> tuple[Entry, ...]:
     first = state.emitted_index + 1
     committed = state.log.between(first, state.commit_index)
     state.emitted_index = state.commit_index
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/disk_image.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/disk_image.py
@@ -36,7 +36,7 @@
         elif isinstance(record, LogTruncate):
             self._truncate(record.from_index)
         else:
-            self._save(record)
+            self._apply_snapshot(record)
 
     def drop_entries(self) -> None:
         """Drop all entries: a snapshot from the leader replaces them."""
@@ -75,7 +75,7 @@
         while self.entries and self.entries[-1].log_index >= from_index:
             self.entries.pop()
 
-    def _save(self, record: SaveSnapshot) -> None:
+    def _apply_snapshot(self, record: SaveSnapshot) -> None:
         if record.snapshot.last_index >= self.snapshot.last_index:
             self.snapshot = record.snapshot
         if not record.keep_log:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
@@ -24,7 +24,7 @@
 from sycamorestand_consensus.raft_state import send_after_sync
 from sycamorestand_consensus.raft_state import send_now
 from sycamorestand_consensus.raft_state import set_hard_state
-from sycamorestand_consensus.replication import sync_progress
+from sycamorestand_consensus.replication import refresh_progress
 
 
 def set_election_deadline(state: RaftState) -> None:
@@ -38,7 +38,7 @@
     wait_s = state.random.uniform(
         settings.election_min_s, settings.election_max_s
     )
-    if _comes_back_first(state):
+    if _is_restarted_leader(state):
         wait_s = settings.heartbeat_s
     state.election_deadline_s = state.now_s + wait_s
 
@@ -49,12 +49,12 @@
     A promise to another leader is waited out, the last leader's to itself
     is not: the lease that it stood for was its own.
     """
-    if _comes_back_first(state):
+    if _is_restarted_leader(state):
         return state.election_deadline_s
     return max(state.election_deadline_s, state.promise_until_s)
 
 
-def _comes_back_first(state: RaftState) -> bool:
+def _is_restarted_leader(state: RaftState) -> bool:
     """Tell whether this is the last leader, just started again.
 
     Once ``election_max_s`` has passed the others have promises no more,
@@ -74,7 +74,7 @@
         set_election_deadline(state)
     state.role = Role.FOLLOWER
     state.leader_id = leader_id
-    state.ballots.clear()
+    state.votes.clear()
     state.progress.clear()
     state.barriers.clear()
     state.transfer = None
@@ -92,8 +92,8 @@
     set_election_deadline(state)
     state.role = Role.PRE_CANDIDATE
     state.leader_id = ""
-    state.ballots = {state.member_id: True}
-    _ask_for_votes(state, pre=True)
+    state.votes = {state.member_id: True}
+    _request_votes(state, pre=True)
     _count_votes(state)
 
 
@@ -106,23 +106,23 @@
     set_election_deadline(state)
     state.role = Role.CANDIDATE
     state.leader_id = ""
-    state.ballots = {}
+    state.votes = {}
     state.transfer_campaign = transfer
     cluster = state.hard.cluster
     set_hard_state(state, HardState(state.term + 1, state.member_id, cluster))
     own_vote = VoteReply(state.term, pre=False, granted=True)
     send_after_sync(state, state.member_id, own_vote)
-    _ask_for_votes(state, pre=False)
+    _request_votes(state, pre=False)
 
 
 def on_vote_request(
-    state: RaftState, message: Message, request: VoteRequest, bound: bool
+    state: RaftState, message: Message, request: VoteRequest, promised: bool
 ) -> None:
     """Give or refuse a vote; the term was taken over before.
 
     ``bound`` says that a promise to a leader forbids it.
     """
-    granted = not bound and _may_vote(state, message.sender, request)
+    granted = not promised and _can_grant_vote(state, message.sender, request)
     reply = VoteReply(request.campaign_term, request.pre, granted)
     if granted and not request.pre:
         cluster = state.hard.cluster
@@ -139,11 +139,13 @@
     campaign_term = state.term + 1 if reply.pre else state.term
     if state.role != expected or reply.campaign_term != campaign_term:
         return
-    state.ballots[message.sender] = reply.granted
+    state.votes[message.sender] = reply.granted
     _count_votes(state)
 
 
-def _may_vote(state: RaftState, candidate: str, request: VoteRequest) -> bool:
+def _can_grant_vote(
+    state: RaftState, candidate: str, request: VoteRequest
+) -> bool:
     if state.blocked:
         return False
     # A member that its own log does not know has either lost its disk or
@@ -170,7 +172,7 @@
     return theirs >= (state.log.last_term, state.log.last_index)
 
 
-def _ask_for_votes(state: RaftState, *, pre: bool) -> None:
+def _request_votes(state: RaftState, *, pre: bool) -> None:
     request = VoteRequest(
         campaign_term=state.term + 1 if pre else state.term,
         last_index=state.log.last_index,
@@ -187,7 +189,7 @@
 
 def _count_votes(state: RaftState) -> None:
     ids = voters(state.membership)
-    granted = sum(state.ballots.get(member_id, False) for member_id in ids)
+    granted = sum(state.votes.get(member_id, False) for member_id in ids)
     if granted <= len(ids) // 2:
         return
     if state.role == Role.PRE_CANDIDATE:
@@ -199,13 +201,13 @@
 def _become_leader(state: RaftState) -> None:
     state.role = Role.LEADER
     state.leader_id = state.member_id
-    state.ballots.clear()
+    state.votes.clear()
     state.lease_from_s = lease_start_s(state)
     state.transfer_campaign = False
     state.round += 1
     state.uncommitted_bytes = 0
     state.progress.clear()
-    sync_progress(state)
+    refresh_progress(state)
     # Entries of earlier terms are committed through an entry of the own
     # term only; without this one they would wait for the next proposal.
     index = state.log.last_index + 1
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
@@ -24,7 +24,7 @@
         # Nothing more is queued while the disk is full: memory would fill
         # as well. The next heartbeat's answer tells the leader the gap.
         return
-    append = _after_snapshot(state, append)
+    append = _skip_snapshot_entries(state, append)
     if state.log.term_at(append.prev_index) != append.prev_term:
         _reply_mismatch(state, message.sender, append)
         return
@@ -46,10 +46,10 @@
     if state.blocked and chunk.data:
         return
     if chunk.last_index <= state.commit_index:
-        state.incoming = None
+        state.incoming_snapshot = None
         _reply_match(state, message.sender, chunk.last_index, chunk.stamp)
         return
-    collected = _collect(state, chunk)
+    collected = _collect_chunk(state, chunk)
     if len(collected) < chunk.total_bytes or state.blocked:
         reply = SnapshotReply(chunk.last_index, len(collected), chunk.stamp)
         send_after_sync(state, message.sender, reply)
@@ -57,7 +57,7 @@
     snapshot = Snapshot(
         chunk.last_index, chunk.last_term, chunk.membership, bytes(collected)
     )
-    state.incoming = None
+    state.incoming_snapshot = None
     install_snapshot(state, snapshot)
     _reply_match(state, message.sender, chunk.last_index, chunk.stamp)
 
@@ -69,7 +69,7 @@
     send_after_sync(state, message.sender, reply)
 
 
-def _after_snapshot(state: RaftState, append: Append) -> Append:
+def _skip_snapshot_entries(state: RaftState, append: Append) -> Append:
     start = state.log.start_index
     if append.prev_index >= start:
         return append
@@ -82,10 +82,10 @@
 
 def _append_new_entries(state: RaftState, entries: tuple[Entry, ...]) -> None:
     for position, entry in enumerate(entries):
-        found = state.log.term_at(entry.log_index)
-        if found == entry.term:
+        own_term = state.log.term_at(entry.log_index)
+        if own_term == entry.term:
             continue
-        if found is not None:
+        if own_term is not None:
             truncate_from(state, entry.log_index)
         append_entries(state, entries[position:])
         return
@@ -112,10 +112,10 @@
     last = state.log.last_index
     hint_index = last + 1
     hint_term = 0
-    found = state.log.term_at(append.prev_index)
-    if found is not None:
+    own_term = state.log.term_at(append.prev_index)
+    if own_term is not None:
         hint_index = state.log.first_index_of_term_at(append.prev_index)
-        hint_term = found
+        hint_term = own_term
     reply = AppendReply(
         success=False,
         match_index=0,
@@ -127,12 +127,15 @@
     send_after_sync(state, to, reply)
 
 
-def _collect(state: RaftState, chunk: SnapshotChunk) -> bytearray:
-    incoming = state.incoming
-    if incoming is None or incoming[:2] != (chunk.last_index, chunk.last_term):
-        incoming = (chunk.last_index, chunk.last_term, bytearray())
-        state.incoming = incoming
-    collected = incoming[2]
+def _collect_chunk(state: RaftState, chunk: SnapshotChunk) -> bytearray:
+    incoming_snapshot = state.incoming_snapshot
+    if incoming_snapshot is None or incoming_snapshot[:2] != (
+        chunk.last_index,
+        chunk.last_term,
+    ):
+        incoming_snapshot = (chunk.last_index, chunk.last_term, bytearray())
+        state.incoming_snapshot = incoming_snapshot
+    collected = incoming_snapshot[2]
     if chunk.offset_bytes == len(collected):
         collected.extend(chunk.data)
     return collected
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
@@ -50,7 +50,7 @@
     return identity
 
 
-def note_group(folder: Path, group: int) -> None:
+def record_group(folder: Path, group: int) -> None:
     """Remember that a group has its files, so that their loss is seen."""
     identity = open_identity(folder)
     if group in identity.groups:
@@ -63,15 +63,15 @@
 
 def _read_identity(path: Path) -> Identity:
     try:
-        found = msgspec.json.decode(path.read_bytes(), type=_IdentityFile)
+        stored = msgspec.json.decode(path.read_bytes(), type=_IdentityFile)
     except msgspec.MsgspecError as error:
         raise LogCorrupted(path, 0, f"identity unreadable: {error}") from error
-    if found.format_version != FORMAT_VERSION:
-        reason = f"format version {found.format_version} is not known"
+    if stored.format_version != FORMAT_VERSION:
+        reason = f"format version {stored.format_version} is not known"
         raise LogCorrupted(path, 0, reason)
-    if found.checksum != _checksum(found.identity):
+    if stored.checksum != _checksum(stored.identity):
         raise LogCorrupted(path, 0, "checksum of the identity failed")
-    return found.identity
+    return stored.identity
 
 
 def _write_identity(path: Path, identity: Identity) -> None:
@@ -83,4 +83,4 @@
     return zlib.crc32(msgspec.json.encode(identity))
 
 
-__all__ = ["Identity", "note_group", "open_identity"]
+__all__ = ["Identity", "record_group", "open_identity"]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
@@ -33,20 +33,20 @@
 
 def handle_message(state: RaftState, message: Message) -> None:
     """Take in one message."""
-    if message.to != state.member_id or not _is_of_group(state, message):
+    if message.to != state.member_id or not _is_from_own_group(state, message):
         return
     body = message.body
     if isinstance(body, Append | SnapshotChunk):
-        _from_leader(state, message, body)
+        _handle_leader_message(state, message, body)
     elif isinstance(body, VoteRequest):
-        _from_candidate(state, message, body)
+        _handle_vote_request(state, message, body)
     elif isinstance(body, TimeoutNow):
-        _order_to_campaign(state, message)
+        _handle_timeout_now(state, message)
     else:
-        _answer(state, message, body)
+        _handle_reply(state, message, body)
 
 
-def _is_of_group(state: RaftState, message: Message) -> bool:
+def _is_from_own_group(state: RaftState, message: Message) -> bool:
     if message.cluster == "":
         return False
     if state.hard.cluster != "":
@@ -54,7 +54,7 @@
     return isinstance(message.body, Append | SnapshotChunk)
 
 
-def _from_leader(
+def _handle_leader_message(
     state: RaftState, message: Message, body: Append | SnapshotChunk
 ) -> None:
     if message.term < state.term:
@@ -73,38 +73,38 @@
         on_snapshot_chunk(state, message, body)
 
 
-def _from_candidate(
+def _handle_vote_request(
     state: RaftState, message: Message, request: VoteRequest
 ) -> None:
-    passes = request.transfer or ends_promise(state, request)
-    bound = has_active_promise(state) and not passes
+    bypasses_promise = request.transfer or ends_promise(state, request)
+    promised = has_active_promise(state) and not bypasses_promise
     if request.pre:
-        on_vote_request(state, message, request, bound)
+        on_vote_request(state, message, request, promised)
         return
-    if bound:
+    if promised:
         # Not even the term is taken over: a leader whose majority is
         # intact would otherwise be deposed by its own followers.
         return
     if message.term > state.term:
         become_follower(state, message.term, "")
     if message.term == state.term:
-        on_vote_request(state, message, request, bound)
+        on_vote_request(state, message, request, promised)
 
 
-def _order_to_campaign(state: RaftState, message: Message) -> None:
+def _handle_timeout_now(state: RaftState, message: Message) -> None:
     if message.term != state.term or state.leader_id != message.sender:
         return
     if state.role == Role.FOLLOWER and can_campaign(state):
         start_campaign(state, transfer=True)
 
 
-def _answer(
+def _handle_reply(
     state: RaftState,
     message: Message,
     body: VoteReply | AppendReply | SnapshotReply,
 ) -> None:
-    known = find_member(state.membership, message.sender)
-    if known is None:
+    member = find_member(state.membership, message.sender)
+    if member is None:
         # A member that was removed, or whose disk was replaced, is not
         # counted and cannot depose a leader with a term of its own.
         return
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
@@ -45,8 +45,8 @@
     """Tell whether a vote now could break a leader's lease."""
     until_s = state.promise_until_s
     if state.role == Role.LEADER:
-        fresh_s = quorum_sent_s(state) + state.settings.election_min_s
-        until_s = max(until_s, fresh_s)
+        quorum_until_s = quorum_sent_s(state) + state.settings.election_min_s
+        until_s = max(until_s, quorum_until_s)
     return state.now_s < until_s
 
 
@@ -67,13 +67,13 @@
     by then another member may lead.
     """
     campaign_term = state.term + 1 if pre else state.term
-    follows = campaign_term == state.led_before_start + 1
-    return state.led_before_start if follows else 0
+    follows = campaign_term == state.term_led_before_start + 1
+    return state.term_led_before_start if follows else 0
 
 
 def is_last_leader(state: RaftState) -> bool:
     """Tell whether this member led its term until it restarted."""
-    return 0 < state.led_before_start == state.term
+    return 0 < state.term_led_before_start == state.term
 
 
 def ends_promise(state: RaftState, request: VoteRequest) -> bool:
@@ -137,8 +137,8 @@
     """
     if not state.transfer_campaign:
         return state.now_s
-    spread = (1 + CLOCK_RATE_MARGIN) / (1 - CLOCK_RATE_MARGIN)
-    return state.now_s + state.settings.lease_s * spread
+    clock_ratio = (1 + CLOCK_RATE_MARGIN) / (1 - CLOCK_RATE_MARGIN)
+    return state.now_s + state.settings.lease_s * clock_ratio
 
 
 __all__ = [
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
@@ -55,11 +55,11 @@
     def last_index_of_term(self, term: int, below: int) -> int | None:
         """Return the last index under ``below`` that has this term."""
         index = min(below - 1, self.last_index)
-        found = self.term_at(index)
-        while found is not None and found > term:
+        index_term = self.term_at(index)
+        while index_term is not None and index_term > term:
             index -= 1
-            found = self.term_at(index)
-        return index if found == term else None
+            index_term = self.term_at(index)
+        return index if index_term == term else None
 
     def append(self, entries: Iterable[Entry]) -> None:
         """Add entries that follow the last one without a gap."""
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
@@ -42,7 +42,7 @@
     LEADER = "leader"
 
 
-class _Inflight(NamedTuple):
+class _InflightBatch(NamedTuple):
     sequence: int
     epoch: int
     last_index: int
@@ -56,7 +56,7 @@
         member_id: str,
         settings: ReplicaSettings,
         seed: int,
-        found: Recovered,
+        recovered: Recovered,
         now_s: float,
     ) -> None:
         """Start as a follower from what was found on disk."""
@@ -66,27 +66,29 @@
         self.now_s = now_s
         self.blocked = False
 
-        self.hard = found.hard
-        self.snapshot = found.snapshot
+        self.hard = recovered.hard
+        self.snapshot = recovered.snapshot
         self.log = MemoryLog(
-            found.snapshot.last_index, found.snapshot.last_term
+            recovered.snapshot.last_index, recovered.snapshot.last_term
         )
         self.memberships = [
-            (found.snapshot.last_index, found.snapshot.membership)
+            (recovered.snapshot.last_index, recovered.snapshot.membership)
         ]
-        self.commit_index = found.snapshot.last_index
-        self.emitted_index = found.snapshot.last_index
+        self.commit_index = recovered.snapshot.last_index
+        self.emitted_index = recovered.snapshot.last_index
         self.install: Snapshot | None = None
 
         self.role = Role.FOLLOWER
         self.leader_id = ""
         self.started_s = now_s
-        self.led_before_start = found.hard.term if found.hard.led else 0
+        self.term_led_before_start = (
+            recovered.hard.term if recovered.hard.led else 0
+        )
         self.promise_until_s = now_s
         self.election_deadline_s = now_s
-        self.ballots: dict[str, bool] = {}
+        self.votes: dict[str, bool] = {}
         self.transfer_campaign = False
-        self.incoming: tuple[int, int, bytearray] | None = None
+        self.incoming_snapshot: tuple[int, int, bytearray] | None = None
 
         self.progress: dict[str, Progress] = {}
         self.heartbeat_due_s = now_s
@@ -100,16 +102,16 @@
 
         self.epoch = 0
         self.open_sequence = 1
-        self.stored_sequence = 0
-        self.hard_sequence = 0
+        self.synced_sequence = 0
+        self.hard_state_sequence = 0
         self.records: list[Record] = []
-        self.in_writing: deque[_Inflight] = deque()
-        self.held: deque[tuple[int, Message]] = deque()
+        self.inflight_batches: deque[_InflightBatch] = deque()
+        self.held_messages: deque[tuple[int, Message]] = deque()
         self.outgoing: list[Message] = []
         self.loopback: deque[Message] = deque()
 
-        self.log.append(found.entries)
-        _note_memberships(self, found.entries)
+        self.log.append(recovered.entries)
+        _record_memberships(self, recovered.entries)
         self.stable_index = self.log.last_index
 
     @property
@@ -126,13 +128,13 @@
 def is_synced(state: RaftState) -> bool:
     """Tell whether everything that was recorded so far is on disk."""
     return not state.records and (
-        state.stored_sequence == state.open_sequence - 1
+        state.synced_sequence == state.open_sequence - 1
     )
 
 
 def send_now(state: RaftState, to: str, body: Body) -> None:
     """Send a message that promises nothing about the disk."""
-    _put(state, _addressed(state, to, body))
+    _enqueue_message(state, _make_message(state, to, body))
 
 
 def send_after_sync(state: RaftState, to: str, body: Body) -> None:
@@ -142,17 +144,17 @@
     crash: the member would vote twice in one term, or the leader would
     count an entry that a majority no longer holds.
     """
-    message = _addressed(state, to, body)
+    message = _make_message(state, to, body)
     if is_synced(state):
-        _put(state, message)
+        _enqueue_message(state, message)
         return
     last = state.open_sequence - (0 if state.records else 1)
-    state.held.append((last, message))
+    state.held_messages.append((last, message))
 
 
 def send_after_term_sync(state: RaftState, to: str, body: Body) -> None:
     """Send a message that depends on term and vote, not on entries."""
-    if state.stored_sequence >= state.hard_sequence:
+    if state.synced_sequence >= state.hard_state_sequence:
         send_now(state, to, body)
     else:
         send_after_sync(state, to, body)
@@ -163,7 +165,7 @@
     if hard == state.hard:
         return
     state.hard = hard
-    state.hard_sequence = state.open_sequence
+    state.hard_state_sequence = state.open_sequence
     state.records.append(hard)
 
 
@@ -171,7 +173,7 @@
     """Add entries to the log and record them."""
     state.log.append(entries)
     state.records.append(LogAppend(entries))
-    _note_memberships(state, entries)
+    _record_memberships(state, entries)
 
 
 def truncate_from(state: RaftState, index: int) -> None:
@@ -196,7 +198,7 @@
     state.records.append(SaveSnapshot(snapshot, keep_log=True))
     kept = snapshot.last_index - state.settings.trailing_entries
     state.log.compact_to(max(kept, state.log.start_index))
-    _forget_memberships(state)
+    _prune_memberships(state)
 
 
 def install_snapshot(state: RaftState, snapshot: Snapshot) -> None:
@@ -204,7 +206,7 @@
     keep_log = state.log.term_at(snapshot.last_index) == snapshot.last_term
     if keep_log:
         state.log.compact_to(snapshot.last_index)
-        _forget_memberships(state)
+        _prune_memberships(state)
     else:
         state.log.reset(snapshot.last_index, snapshot.last_term)
         state.memberships = [(snapshot.last_index, snapshot.membership)]
@@ -226,58 +228,61 @@
     return found
 
 
-def take_batch(state: RaftState) -> Batch | None:
+def close_batch(state: RaftState) -> Batch | None:
     """Close the open batch and return it for writing."""
     if not state.records:
         return None
     batch = Batch(state.open_sequence, tuple(state.records))
     state.records.clear()
-    written = _Inflight(batch.sequence, state.epoch, state.log.last_index)
-    state.in_writing.append(written)
+    written = _InflightBatch(batch.sequence, state.epoch, state.log.last_index)
+    state.inflight_batches.append(written)
     state.open_sequence += 1
     return batch
 
 
-def note_stored(state: RaftState, sequence: int) -> None:
+def mark_batches_synced(state: RaftState, sequence: int) -> None:
     """Take in that batches up to ``sequence`` are synced."""
-    while state.in_writing and state.in_writing[0].sequence <= sequence:
-        written = state.in_writing.popleft()
+    while (
+        state.inflight_batches
+        and state.inflight_batches[0].sequence <= sequence
+    ):
+        written = state.inflight_batches.popleft()
         if _is_current(state, written):
             state.stable_index = written.last_index
-    state.stored_sequence = max(state.stored_sequence, sequence)
-    while state.held and state.held[0][0] <= sequence:
-        _, message = state.held.popleft()
+    state.synced_sequence = max(state.synced_sequence, sequence)
+    while state.held_messages and state.held_messages[0][0] <= sequence:
+        _, message = state.held_messages.popleft()
         if message.term == state.term:
-            _put(state, message)
+            _enqueue_message(state, message)
 
 
-def _is_current(state: RaftState, written: _Inflight) -> bool:
+def _is_current(state: RaftState, written: _InflightBatch) -> bool:
     return written.epoch == state.epoch
 
 
-def _addressed(state: RaftState, to: str, body: Body) -> Message:
+def _make_message(state: RaftState, to: str, body: Body) -> Message:
     hard = state.hard
     return Message(state.member_id, to, hard.cluster, hard.term, body)
 
 
-def _put(state: RaftState, message: Message) -> None:
+def _enqueue_message(state: RaftState, message: Message) -> None:
     if message.to == state.member_id:
         state.loopback.append(message)
     else:
         state.outgoing.append(message)
 
 
-def _note_memberships(state: RaftState, entries: tuple[Entry, ...]) -> None:
+def _record_memberships(state: RaftState, entries: tuple[Entry, ...]) -> None:
     for entry in entries:
         if entry.kind == EntryKind.MEMBERSHIP:
             membership = decode_membership(entry.data)
             state.memberships.append((entry.log_index, membership))
 
 
-def _forget_memberships(state: RaftState) -> None:
-    found = state.memberships
-    while len(found) > 1 and found[1][0] <= state.log.start_index:
-        found.pop(0)
+def _prune_memberships(state: RaftState) -> None:
+    history = state.memberships
+    while len(history) > 1 and history[1][0] <= state.log.start_index:
+        history.pop(0)
 
 
 __all__ = [
@@ -287,12 +292,12 @@
     "install_snapshot",
     "is_synced",
     "membership_at",
-    "note_stored",
+    "mark_batches_synced",
     "save_snapshot",
     "send_after_sync",
     "send_after_term_sync",
     "send_now",
     "set_hard_state",
-    "take_batch",
+    "close_batch",
     "truncate_from",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
@@ -29,8 +29,8 @@
 from sycamorestand_consensus.core import Core
 from sycamorestand_consensus.errors import NotLeader
 from sycamorestand_consensus.errors import TransferFailed
-from sycamorestand_consensus.identity import note_group
 from sycamorestand_consensus.identity import open_identity
+from sycamorestand_consensus.identity import record_group
 from sycamorestand_consensus.raft_state import is_synced
 from sycamorestand_consensus.raft_state import Role
 from sycamorestand_consensus.replica_status import running_status
@@ -42,8 +42,8 @@
 from sycamorestand_consensus.settings import check_settings
 from sycamorestand_consensus.settings import ReplicaSettings
 from sycamorestand_consensus.storage import Storage
-from sycamorestand_consensus.waiters import Proposals
-from sycamorestand_consensus.waiters import Reads
+from sycamorestand_consensus.waiters import PendingProposals
+from sycamorestand_consensus.waiters import PendingReads
 from sycamorestand_consensus.wire import decode_message
 from sycamorestand_consensus.wire import encode_message
 from sycamorestand_consensus.wire import PayloadRefused
@@ -82,7 +82,7 @@
         check_settings(settings)
         identity = open_identity(folder)
         self._member_id = identity.member_id
-        self._known = group in identity.groups
+        self._had_log = group in identity.groups
         self._folder = folder
         self._group = group
         self._settings = settings
@@ -94,17 +94,17 @@
         self._writer = Writer(
             self._storage, now, self._wake, settings.disk_retry_s
         )
-        self._proposals = Proposals()
-        self._reads = Reads()
+        self._proposals = PendingProposals()
+        self._reads = PendingReads()
         self._applier = Applier(machine, self._proposals)
         self._core: Core | None = None
         self._inbox: list[tuple[str, bytes]] = []
-        self._refused = 0
+        self._refused_payloads = 0
         self._led_term = 0
-        self._last_barrier = 0
-        self._reported: tuple[str, str] = ("", "")
-        self._work = anyio.Event()
-        self._changed = anyio.Event()
+        self._last_barrier_id = 0
+        self._logged_state: tuple[str, str] = ("", "")
+        self._wake_event = anyio.Event()
+        self._output_processed = anyio.Event()
         self._opened = anyio.Event()
 
     @property
@@ -122,13 +122,13 @@
             core = await self._open()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._writer.run, core)
-                tasks.start_soon(self._work_on, core)
+                tasks.start_soon(self._run_core, core)
         except ExceptionGroup as group:
             raise group.exceptions[0] from group
         finally:
             self._core = None
-            self._proposals.drop_after(0, but_term=0)
-            self._reads.drop_all()
+            self._proposals.fail_after(0, except_term=0)
+            self._reads.fail_all()
             self._storage.close()
 
     def receive(self, sender: str, payload: bytes) -> None:
@@ -150,10 +150,10 @@
         returns once the membership is synced.
         """
         await self._opened.wait()
-        core = self._running()
+        core = self._require_core()
         core.bootstrap(members, self._now())
         self._wake()
-        await self._until(lambda: is_synced(core.state))
+        await self._wait_until(lambda: is_synced(core.state))
 
     async def propose(self, command: bytes) -> object:
         """Commit a command; return what ``apply`` returned here.
@@ -161,9 +161,9 @@
         Raises ``NotLeader`` or ``ProposalRefused`` where nothing was
         appended and ``ProposalLost`` where the outcome is unknown.
         """
-        core = self._running()
+        core = self._require_core()
         entry = core.propose(command, self._now())
-        return await self._applied(entry.log_index, entry.term)
+        return await self._wait_applied(entry.log_index, entry.term)
 
     async def read_barrier(self) -> None:
         """Return once the state machine holds all that was committed.
@@ -171,10 +171,10 @@
         Confirms with a majority that this member still leads, so a read
         after it is linearizable. Raises ``NotLeader``.
         """
-        core = self._running()
-        self._last_barrier += 1
-        core.read_barrier(self._last_barrier, self._now())
-        waiter = self._reads.add(self._last_barrier)
+        core = self._require_core()
+        self._last_barrier_id += 1
+        core.read_barrier(self._last_barrier_id, self._now())
+        waiter = self._reads.add(self._last_barrier_id)
         self._wake()
         await waiter.wait()
 
@@ -190,7 +190,7 @@
         if self._core is None:
             return starting_status(self._member_id)
         return running_status(
-            self._core, self._applier.applied_index, self._refused
+            self._core, self._applier.applied_index, self._refused_payloads
         )
 
     async def add_learner(self, member_id: str, address: str) -> None:
@@ -198,24 +198,24 @@
 
         Also changes the address of a member that is already there.
         """
-        core = self._running()
+        core = self._require_core()
         index = core.add_learner(member_id, address, self._now())
-        await self._applied(index, core.state.term)
+        await self._wait_applied(index, core.state.term)
 
     async def promote(self, member_id: str) -> None:
         """Make a learner that has caught up and synced a voter.
 
         Raises ``MembershipRefused`` while it has not: ask again.
         """
-        core = self._running()
+        core = self._require_core()
         index = core.promote(member_id, self._now())
-        await self._applied(index, core.state.term)
+        await self._wait_applied(index, core.state.term)
 
     async def remove(self, member_id: str) -> None:
         """Remove a member; the leader itself must hand over first."""
-        core = self._running()
+        core = self._require_core()
         index = core.remove(member_id, self._now())
-        await self._applied(index, core.state.term)
+        await self._wait_applied(index, core.state.term)
 
     async def transfer_leadership(self, target: str | None) -> None:
         """Hand leadership to ``target``, or to the most caught-up voter.
@@ -223,117 +223,122 @@
         Returns once this member no longer leads; raises ``NotLeader`` or
         ``TransferFailed``.
         """
-        core = self._running()
+        core = self._require_core()
         core.transfer(target, self._now())
         state = core.state
         self._wake()
-        await self._until(
+        await self._wait_until(
             lambda: state.role != Role.LEADER or state.transfer is None
         )
         if state.role == Role.LEADER:
             raise TransferFailed("the other voter did not catch up in time")
 
     async def _open(self) -> Core:
-        found = await to_thread.run_sync(
-            lambda: self._storage.open(had_log=self._known)
+        recovered = await to_thread.run_sync(
+            lambda: self._storage.open(had_log=self._had_log)
         )
-        note_group(self._folder, self._group)
-        self._applier.begin(found.snapshot)
+        record_group(self._folder, self._group)
+        self._applier.restore_initial(recovered.snapshot)
         seed = secrets.randbits(SEED_BITS)
-        core = Core(self._member_id, self._settings, seed, found, self._now())
+        core = Core(
+            self._member_id, self._settings, seed, recovered, self._now()
+        )
         self._core = core
         self._opened.set()
         return core
 
-    async def _work_on(self, core: Core) -> None:
+    async def _run_core(self, core: Core) -> None:
         while True:
-            self._take_inbox(core)
+            self._process_inbox(core)
             core.tick(self._now())
-            self._drain(core)
+            self._process_output(core)
             wait_s = max(0.0, core.next_wake_s() - self._now())
-            if self._applier.has_more:
+            if self._applier.has_pending:
                 await lowlevel.checkpoint()
             else:
                 with anyio.move_on_after(wait_s):
-                    await self._work.wait()
-            self._work = anyio.Event()
+                    await self._wake_event.wait()
+            self._wake_event = anyio.Event()
 
-    def _take_inbox(self, core: Core) -> None:
+    def _process_inbox(self, core: Core) -> None:
         payloads = self._inbox
         self._inbox = []
         for sender, payload in payloads:
             try:
                 message = decode_message(payload)
             except PayloadRefused:
-                self._refused += 1
+                self._refused_payloads += 1
                 continue
             if message.sender != sender:
-                self._refused += 1
+                self._refused_payloads += 1
                 continue
             core.receive(message, self._now())
 
-    def _drain(self, core: Core) -> None:
+    def _process_output(self, core: Core) -> None:
         output = core.drain(self._now())
         for message in output.messages:
             self._send(message.to, encode_message(message))
         if output.batch is not None:
-            self._writer.put(output.batch)
-        self._applier.take(output.install, output.committed)
-        self._applier.apply_some()
+            self._writer.enqueue(output.batch)
+        self._applier.accept_output(output.install, output.committed)
+        self._applier.apply_pending()
         for barrier in output.confirmed:
             self._reads.confirm(barrier.barrier_id, barrier.read_index)
-        self._reads.applied(self._applier.applied_index)
-        self._drop_lost(core)
+        self._reads.complete_through(self._applier.applied_index)
+        self._fail_lost_waiters(core)
         self._compact(core)
-        self._report(core)
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._log_role_change(core)
+        self._output_processed.set()
+        self._output_processed = anyio.Event()
 
-    def _drop_lost(self, core: Core) -> None:
+    def _fail_lost_waiters(self, core: Core) -> None:
         state = core.state
         led_term = state.term if state.role == Role.LEADER else 0
         if led_term and led_term == self._led_term:
             return
         self._led_term = led_term
-        self._proposals.drop_after(state.commit_index, but_term=led_term)
-        self._reads.drop_unconfirmed(state.leader_id)
+        self._proposals.fail_after(state.commit_index, except_term=led_term)
+        self._reads.fail_unconfirmed(state.leader_id)
 
     def _compact(self, core: Core) -> None:
         applied = self._applier.applied_index
-        since = applied - core.state.snapshot.last_index
-        if core.state.blocked or since < self._settings.snapshot_every_entries:
+        entries_since = applied - core.state.snapshot.last_index
+        if (
+            core.state.blocked
+            or entries_since < self._settings.snapshot_every_entries
+        ):
             return
         data = self._applier.snapshot()
         core.compact(applied, data, self._now())
         self._wake()
 
-    def _report(self, core: Core) -> None:
-        seen = (core.state.role.value, state_name(core))
-        if seen == self._reported:
+    def _log_role_change(self, core: Core) -> None:
+        current = (core.state.role.value, state_name(core))
+        if current == self._logged_state:
             return
-        self._reported = seen
+        self._logged_state = current
         LOG.info(
             "group %d, member %s: %s in term %d, disk and group %s",
             self._group,
             self._member_id,
-            seen[0],
+            current[0],
             core.state.term,
-            seen[1],
+            current[1],
         )
 
     def _wake(self) -> None:
-        self._work.set()
+        self._wake_event.set()
 
-    async def _applied(self, index: int, term: int) -> object:
+    async def _wait_applied(self, index: int, term: int) -> object:
         waiter = self._proposals.add(index, term)
         self._wake()
         return await waiter.wait()
 
-    async def _until(self, done: Callable[[], bool]) -> None:
-        while not done():
-            await self._changed.wait()
+    async def _wait_until(self, is_done: Callable[[], bool]) -> None:
+        while not is_done():
+            await self._output_processed.wait()
 
-    def _running(self) -> Core:
+    def _require_core(self) -> Core:
         if self._core is None:
             raise NotLeader("")
         return self._core
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
@@ -38,16 +38,16 @@
             _send_append(state, member_id, progress, with_entries=False)
 
 
-def sync_progress(state: RaftState) -> None:
+def refresh_progress(state: RaftState) -> None:
     """Follow a change of membership."""
-    wanted = {m.member_id for m in state.membership}
-    wanted.discard(state.member_id)
+    other_ids = {m.member_id for m in state.membership}
+    other_ids.discard(state.member_id)
     # Sorted, as the order of a set differs from process to process and a
     # run that found a fault could not be played again.
-    for member_id in sorted(wanted - state.progress.keys()):
+    for member_id in sorted(other_ids - state.progress.keys()):
         next_index = state.log.last_index + 1
         state.progress[member_id] = Progress(next_index, state.now_s)
-    for member_id in state.progress.keys() - wanted:
+    for member_id in state.progress.keys() - other_ids:
         del state.progress[member_id]
 
 
@@ -58,7 +58,7 @@
     progress = state.progress.get(message.sender)
     if progress is None:
         return
-    _note_answer(progress, reply.stamp)
+    _record_ack(progress, reply.stamp)
     if reply.success:
         _on_success(state, progress, reply)
     else:
@@ -72,7 +72,7 @@
     progress = state.progress.get(message.sender)
     if progress is None:
         return
-    _note_answer(progress, reply.stamp)
+    _record_ack(progress, reply.stamp)
     snapshot = progress.snapshot
     if progress.mode != SendMode.SNAPSHOT or snapshot is None:
         return
@@ -87,7 +87,7 @@
     _send_chunk(state, message.sender, progress, with_data=True)
 
 
-def _note_answer(progress: Progress, stamp: Stamp) -> None:
+def _record_ack(progress: Progress, stamp: Stamp) -> None:
     progress.acked_round = max(progress.acked_round, stamp.round)
     progress.acked_sent_s = max(progress.acked_sent_s, stamp.sent_s)
 
@@ -103,11 +103,11 @@
         progress.mode = SendMode.PIPELINE
         progress.next_index = progress.match_index + 1
     elif progress.mode == SendMode.SNAPSHOT:
-        _leave_snapshot(progress)
+        _finish_snapshot(progress)
     advance_commit(state)
 
 
-def _leave_snapshot(progress: Progress) -> None:
+def _finish_snapshot(progress: Progress) -> None:
     snapshot = progress.snapshot
     if snapshot is None or progress.match_index < snapshot.last_index:
         return
@@ -128,8 +128,8 @@
     ):
         return
     hint = _next_from_hint(state, reply)
-    below = min(hint, reply.rejected_index)
-    progress.next_index = max(progress.match_index + 1, below)
+    retry_index = min(hint, reply.rejected_index)
+    progress.next_index = max(progress.match_index + 1, retry_index)
     progress.mode = SendMode.PROBE
     progress.probe_sent = False
     progress.inflight.clear()
@@ -173,21 +173,21 @@
     *,
     with_entries: bool,
 ) -> int:
-    previous = progress.next_index - 1
-    previous_term = state.log.term_at(previous)
-    if previous_term is None:
+    prev_index = progress.next_index - 1
+    prev_term = state.log.term_at(prev_index)
+    if prev_term is None:
         # The entry was compacted away since; the next pass begins the
         # snapshot, and its first chunk is a sign of life as well.
-        return previous
+        return prev_index
     entries: tuple[Entry, ...] = ()
     if with_entries:
         limit = state.settings.max_append_bytes
         entries = state.log.batch_from(progress.next_index, limit)
     body = Append(
-        previous, previous_term, entries, state.commit_index, _stamp(state)
+        prev_index, prev_term, entries, state.commit_index, _stamp(state)
     )
     send_now(state, member_id, body)
-    return previous + len(entries)
+    return prev_index + len(entries)
 
 
 def _begin_snapshot(
@@ -235,5 +235,5 @@
     "on_snapshot_reply",
     "replicate",
     "send_heartbeats",
-    "sync_progress",
+    "refresh_progress",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/segment_format.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/segment_format.py
@@ -60,7 +60,9 @@
     return Frame(payload, start + length)
 
 
-def read_frames(path: Path, content: bytes, *, last: bool) -> Iterator[Frame]:
+def read_frames(
+    path: Path, content: bytes, *, is_last: bool
+) -> Iterator[Frame]:
     """Yield the whole frames of a file.
 
     Stops before a torn frame at the end of the ``last`` file; raises
@@ -72,17 +74,17 @@
     while offset < len(content):
         frame = read_frame(content, offset)
         if frame is None:
-            torn = last and offset > len(MAGIC)
-            _check_torn(path, content, offset, torn=torn)
+            may_be_torn = is_last and offset > len(MAGIC)
+            _check_torn_frame(path, content, offset, may_be_torn=may_be_torn)
             return
         yield frame
         offset = frame.end_bytes
 
 
-def _check_torn(
-    path: Path, content: bytes, offset: int, *, torn: bool
+def _check_torn_frame(
+    path: Path, content: bytes, offset: int, *, may_be_torn: bool
 ) -> None:
-    if not torn:
+    if not may_be_torn:
         # Files appear under their name with the first frame synced, and a
         # file is left for the next one only after its last sync.
         raise LogCorrupted(path, offset, "checksum failed in a synced part")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
@@ -61,7 +61,7 @@
         self._hard = HardState()
         self._snapshot = EMPTY_SNAPSHOT
         self._closed: list[_Segment] = []
-        self._number = 0
+        self._segment_number = 0
         self._last_index = 0
         self._descriptor = -1
         self._size_bytes = 0
@@ -75,19 +75,19 @@
         ``known`` says that the group had its files at an earlier start.
         """
         with storage_errors(self._folder):
-            self._make_folder(had_log)
+            self._prepare_folder(had_log)
             self._snapshot = _newest_snapshot(self._folder)
             image = DiskImage(self._snapshot)
             self._read_segments(image)
-            found = self._recovered(image)
-            self._hard = found.hard
+            recovered = self._recover(image)
+            self._hard = recovered.hard
             self._open_tail()
-            if image.entries and not found.entries:
+            if image.entries and not recovered.entries:
                 # The next entry follows the snapshot; without this record
                 # it would seem to follow the entries dropped just now.
-                self._write_frame([LogReset(found.snapshot.last_index)])
+                self._write_frame([LogReset(recovered.snapshot.last_index)])
             self._delete_covered()
-        return found
+        return recovered
 
     def write(self, records: list[Record]) -> None:
         """Make records durable, all of them or none.
@@ -112,8 +112,8 @@
             os.close(self._descriptor)
             self._descriptor = -1
 
-    def _make_folder(self, known: bool) -> None:
-        if known and not any(self._folder.glob("log-*.seg")):
+    def _prepare_folder(self, had_log: bool) -> None:
+        if had_log and not any(self._folder.glob("log-*.seg")):
             # The identity outlived the log: with an empty log the member
             # would vote again in terms in which it has voted.
             raise StorageError(
@@ -123,7 +123,7 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         sync_folder(self._folder.parent)
 
-    def _recovered(self, image: DiskImage) -> Recovered:
+    def _recover(self, image: DiskImage) -> Recovered:
         try:
             return image.recovered()
         except SafetyViolated as error:
@@ -140,11 +140,11 @@
     def _read_segments(self, image: DiskImage) -> None:
         paths = sorted(self._folder.glob("log-*.seg"))
         for path in paths:
-            last = path == paths[-1]
+            is_last = path == paths[-1]
             content = path.read_bytes()
             end = 0
             last_index = 0
-            for frame in read_frames(path, content, last=last):
+            for frame in read_frames(path, content, is_last=is_last):
                 last_index = max(
                     last_index, _replay(path, end, image, frame.payload)
                 )
@@ -161,14 +161,14 @@
             self._roll()
             return
         segment = self._closed.pop()
-        self._number = segment.number
+        self._segment_number = segment.number
         self._last_index = segment.last_index
         self._descriptor = os.open(segment.path, os.O_RDWR)
         os.ftruncate(self._descriptor, self._size_bytes)
         os.fsync(self._descriptor)
 
     def _write_frame(self, records: list[StoredRecord]) -> None:
-        self._clean_tail()
+        self._truncate_torn_frame()
         frame = make_frame(self._size_bytes, encode_records(records))
         self._tail_dirty = True
         write_all(self._descriptor, frame, self._size_bytes)
@@ -176,9 +176,9 @@
         self._tail_dirty = False
         self._size_bytes += len(frame)
         for record in records:
-            self._note(record)
+            self._update_state(record)
 
-    def _clean_tail(self) -> None:
+    def _truncate_torn_frame(self) -> None:
         # A write that failed halfway left a part of its frame. A shorter
         # frame over it would leave a rest that reads as damage.
         if not self._tail_dirty:
@@ -187,7 +187,7 @@
         os.fsync(self._descriptor)
         self._tail_dirty = False
 
-    def _note(self, record: StoredRecord) -> None:
+    def _update_state(self, record: StoredRecord) -> None:
         if isinstance(record, HardState):
             self._hard = record
         elif isinstance(record, LogAppend) and record.entries:
@@ -195,21 +195,23 @@
             self._last_index = max(self._last_index, last)
 
     def _roll(self) -> None:
-        number = self._number + 1
+        number = self._segment_number + 1
         path = self._folder / f"log-{number:010d}.seg"
-        first = make_frame(len(MAGIC), encode_records([self._hard]))
+        first_frame = make_frame(len(MAGIC), encode_records([self._hard]))
         # Written under another name first: a segment that lacks its first
         # frame after a crash would lack the vote, too.
-        replace_file(path, MAGIC + first)
+        replace_file(path, MAGIC + first_frame)
         if self._descriptor >= 0:
-            name = self._folder / f"log-{self._number:010d}.seg"
-            segment = _Segment(self._number, name, self._last_index)
+            old_path = self._folder / f"log-{self._segment_number:010d}.seg"
+            segment = _Segment(
+                self._segment_number, old_path, self._last_index
+            )
             self._closed.append(segment)
             os.close(self._descriptor)
-        self._number = number
+        self._segment_number = number
         self._last_index = 0
         self._descriptor = os.open(path, os.O_RDWR)
-        self._size_bytes = len(MAGIC) + len(first)
+        self._size_bytes = len(MAGIC) + len(first_frame)
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
         content = encode_snapshot(snapshot)
@@ -224,9 +226,9 @@
         # Only from the oldest on: a gap would look like lost entries.
         while self._closed and self._closed[0].last_index <= covered:
             self._closed.pop(0).path.unlink()
-        kept = _snapshot_path(self._folder, covered)
+        current = _snapshot_path(self._folder, covered)
         for path in self._folder.glob("snapshot-*.snp"):
-            if path != kept:
+            if path != current:
                 path.unlink()
         self._delete_due = False
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
@@ -43,7 +43,7 @@
     waiter: Waiter
 
 
-class Proposals:
+class PendingProposals:
     """Waiters by the index of the entry that they proposed."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         self._by_index[index] = _Proposal(term, waiter)
         return waiter
 
-    def applied(self, entry: Entry, result: object) -> None:
+    def resolve(self, entry: Entry, result: object) -> None:
         """Tell the caller, if the entry is still the one it proposed."""
         found = self._by_index.pop(entry.log_index, None)
         if found is None:
@@ -66,26 +66,26 @@
         else:
             found.waiter.fail(ProposalLost("another entry took the place"))
 
-    def drop_after(self, index: int, *, but_term: int) -> None:
+    def fail_after(self, index: int, *, except_term: int) -> None:
         """Give up those after ``index`` that are not of ``but_term``."""
         lost = [
             found
             for found, proposal in self._by_index.items()
-            if found > index and proposal.term != but_term
+            if found > index and proposal.term != except_term
         ]
-        for position in lost:
-            proposal = self._by_index.pop(position)
+        for lost_index in lost:
+            proposal = self._by_index.pop(lost_index)
             proposal.waiter.fail(ProposalLost("leadership was lost"))
 
-    def drop_through(self, index: int) -> None:
+    def fail_through(self, index: int) -> None:
         """Give up those that a snapshot has passed over."""
-        passed = [found for found in self._by_index if found <= index]
-        for position in passed:
-            proposal = self._by_index.pop(position)
+        covered = [found for found in self._by_index if found <= index]
+        for covered_index in covered:
+            proposal = self._by_index.pop(covered_index)
             proposal.waiter.fail(ProposalLost("a snapshot hides the outcome"))
 
 
-class Reads:
+class PendingReads:
     """Read barriers by number, then by the index that they wait for."""
 
     def __init__(self) -> None:
@@ -105,30 +105,30 @@
         if waiter is not None:
             self._confirmed.append((index, waiter))
 
-    def applied(self, index: int) -> None:
+    def complete_through(self, index: int) -> None:
         """Wake the callers whose index is applied."""
         if not self._confirmed:
             return
         waiting = []
-        for wanted, waiter in self._confirmed:
-            if wanted <= index:
+        for read_index, waiter in self._confirmed:
+            if read_index <= index:
                 waiter.succeed(None)
             else:
-                waiting.append((wanted, waiter))
+                waiting.append((read_index, waiter))
         self._confirmed = waiting
 
-    def drop_unconfirmed(self, leader_id: str) -> None:
+    def fail_unconfirmed(self, leader_id: str) -> None:
         """Tell the callers that this member no longer leads."""
         for waiter in self._unconfirmed.values():
             waiter.fail(NotLeader(leader_id))
         self._unconfirmed.clear()
 
-    def drop_all(self) -> None:
+    def fail_all(self) -> None:
         """Tell all callers that this member stops."""
-        self.drop_unconfirmed("")
+        self.fail_unconfirmed("")
         for _, waiter in self._confirmed:
             waiter.fail(NotLeader(""))
         self._confirmed.clear()
 
 
-__all__ = ["Proposals", "Reads", "Waiter"]
+__all__ = ["PendingProposals", "PendingReads", "Waiter"]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/wire.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/wire.py
@@ -95,15 +95,15 @@
 def decode_message(payload: bytes) -> Message:
     """Read a payload; raise ``PayloadRefused`` where it is none."""
     try:
-        found = _ENVELOPE.decode(payload)
-        body = _typed(_BODIES, found.kind).decode(found.body)
+        envelope = _ENVELOPE.decode(payload)
+        body = _decoder(_BODIES, envelope.kind).decode(envelope.body)
     except (msgspec.MsgspecError, IndexError) as error:
         raise PayloadRefused(f"payload refused: {error}") from error
     return Message(
-        found.sender,
-        found.to,
-        found.cluster,
-        found.term,
+        envelope.sender,
+        envelope.to,
+        envelope.cluster,
+        envelope.term,
         cast(Body, body),
     )
 
@@ -123,7 +123,7 @@
 def decode_records(data: bytes) -> list[StoredRecord]:
     """Read the records of one group commit; may raise MsgspecError."""
     return [
-        cast(StoredRecord, _typed(_RECORDS, frame.kind).decode(frame.body))
+        cast(StoredRecord, _decoder(_RECORDS, frame.kind).decode(frame.body))
         for frame in _FRAMES.decode(data)
     ]
 
@@ -138,7 +138,7 @@
     return _SNAPSHOT.decode(data)
 
 
-def _typed(
+def _decoder(
     decoders: Sequence[msgspec.msgpack.Decoder], kind: int
 ) -> msgspec.msgpack.Decoder:
     if kind < 0:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
@@ -30,18 +30,18 @@
         self._wake = wake
         self._retry_s = retry_s
         self._batches: list[Batch] = []
-        self._filled = anyio.Event()
+        self._batch_queued = anyio.Event()
 
-    def put(self, batch: Batch) -> None:
+    def enqueue(self, batch: Batch) -> None:
         """Queue a batch behind those that wait."""
         self._batches.append(batch)
-        self._filled.set()
+        self._batch_queued.set()
 
     async def run(self, core: Core) -> None:
         """Write what is put and tell the core, until cancelled."""
         while True:
-            await self._filled.wait()
-            self._filled = anyio.Event()
+            await self._batch_queued.wait()
+            self._batch_queued = anyio.Event()
             batches = self._batches
             self._batches = []
             records = [r for batch in batches for r in batch.records]
--- a/packages/sycamorestand-consensus/tests/test_storage.py
+++ b/packages/sycamorestand-consensus/tests/test_storage.py
@@ -16,8 +16,8 @@
 from sycamorestand_consensus.errors import DiskFull
 from sycamorestand_consensus.errors import LogCorrupted
 from sycamorestand_consensus.errors import StorageError
-from sycamorestand_consensus.identity import note_group
 from sycamorestand_consensus.identity import open_identity
+from sycamorestand_consensus.identity import record_group
 from sycamorestand_consensus.messages import Entry
 from sycamorestand_consensus.messages import EntryKind
 from sycamorestand_consensus.messages import HardState
@@ -391,9 +391,9 @@
         self, tmp_path: Path
     ) -> None:
         first = open_identity(tmp_path)
-        note_group(tmp_path, 0)
-        note_group(tmp_path, 1)
-        note_group(tmp_path, 1)
+        record_group(tmp_path, 0)
+        record_group(tmp_path, 1)
+        record_group(tmp_path, 1)
         found = open_identity(tmp_path)
         assert found.member_id == first.member_id
         assert found.groups == (0, 1)
