--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/__init__.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log: agreement core, segments and snapshots."""
+"""Replicated log: Raft core, log segments and snapshots."""
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/commit.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/commit.py
@@ -1,4 +1,4 @@
-"""When a leader may call an entry committed."""
+"""Rules by which a leader commits entries and confirms reads."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def advance_commit(state: RaftState) -> None:
-    """Commit what a majority of voters has synced."""
+    """Commit the entries that a majority of voters has synced."""
     if state.role != Role.LEADER or not voters(state.membership):
         return
     index = int(majority_value(state.membership, _synced_index(state)))
@@ -22,18 +22,18 @@
 
 
 def is_from_current_term(state: RaftState, index: int) -> bool:
-    """Tell whether this leader itself appended the entry.
+    """Return whether the entry is of the leader's current term.
 
-    An entry of an earlier term may sit on a majority and still be
-    overwritten by a leader that never saw it. An entry of the own term
-    cannot: whoever wins later needs a vote from that majority, and so has
-    the entry and everything before it.
+    A leader that never received an entry of an earlier term can overwrite
+    it even after a majority has synced it. For an entry of the current
+    term this is impossible: a later leader needs a vote from that
+    majority, so its log contains the entry and all entries before it.
     """
     return state.log.term_at(index) == state.term
 
 
 def confirm_barriers(state: RaftState) -> None:
-    """Move the read barriers whose round a majority has answered."""
+    """Confirm the read barriers whose round a majority has answered."""
     if not state.barriers:
         return
     reached = majority_value(state.membership, _answered_round(state))
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/errors.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated log, under one root."""
+"""Errors that the replicated log raises."""
 
 from __future__ import annotations
 
@@ -6,71 +6,76 @@
 
 
 class ConsensusError(Exception):
-    """Base of every error that the replicated log raises on purpose."""
+    """Base class of all errors that the replicated log raises."""
 
 
 class NotLeader(ConsensusError):
-    """This member does not lead; nothing was appended.
+    """This member is not the leader; nothing was appended.
 
-    ``leader_id`` is the member to ask instead, empty where none is known.
+    ``leader_id`` names the member to ask instead and is empty if no
+    leader is known.
     """
 
     def __init__(self, leader_id: str) -> None:
-        """Keep the hint beside the message."""
+        """Store the id of the leader that the caller should ask."""
         self.leader_id = leader_id
         hint = leader_id or "unknown"
         super().__init__(f"not the leader; the leader is {hint}")
 
 
 class ProposalLost(ConsensusError):
-    """Leadership was lost before the commit; the outcome is unknown."""
+    """The outcome of a proposal is unknown.
+
+    The member lost leadership before the commit, stopped, or installed a
+    snapshot that covers the entry.
+    """
 
 
 class ProposalRefused(ConsensusError):
-    """The leader did not append the command; the message says why."""
+    """The leader refused a command and did not append it."""
 
 
 class MembershipRefused(ConsensusError):
-    """The change of membership was not appended; the message says why."""
+    """The leader refused a membership change and did not append it."""
 
 
 class ChangeUnderWay(MembershipRefused):
-    """An earlier change is not committed yet; this one can be made then."""
+    """An earlier change is not committed yet; retry after its commit."""
 
 
 class TransferFailed(ConsensusError):
-    """Leadership could not be handed over; the message says why."""
+    """Leadership could not be transferred to another voter."""
 
 
 class BootstrapRefused(ConsensusError):
-    """The member already belongs to a group and cannot start another."""
+    """The member already belongs to a group, or its list is invalid."""
 
 
 class SettingsRefused(ConsensusError):
-    """Timings or sizes contradict each other; the message says which."""
+    """Timings or sizes contradict each other."""
 
 
 class SafetyViolated(ConsensusError):
-    """An input contradicts the protocol; the member must stop.
+    """An input violates the protocol; the member must stop.
 
-    Going on could overwrite a committed entry, so the error is meant to
-    end the process rather than to be handled.
+    The process must end instead of handling this error, since continuing
+    could overwrite a committed entry.
     """
 
 
 class StorageError(ConsensusError):
-    """Files of the group cannot be used."""
+    """The files of a group cannot be used."""
 
 
 class DiskFull(StorageError):
-    """A write found no space; nothing that was synced is lost."""
+    """A write failed for lack of space; synced data is intact."""
 
 
 class LogCorrupted(StorageError):
-    """A checksum failed where no torn write explains it."""
+    """A file is damaged in a way that no torn write explains."""
 
     def __init__(self, path: Path, offset_bytes: int, reason: str) -> None:
-        """Name the file and the place, so that an operator can look."""
+        """Store the file and offset so that an operator can inspect them."""
         self.path = path
         self.offset_bytes = offset_bytes
         super().__init__(f"{path} at byte {offset_bytes}: {reason}")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
@@ -1,4 +1,4 @@
-"""The part of the log that is held in memory."""
+"""In-memory part of the log."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from sycamorestand_consensus.errors import SafetyViolated
 from sycamorestand_consensus.messages import Entry
 
-# Index, term, kind and framing of an entry on the wire, rounded up.
+# Size of an entry's index, term, kind and framing on the wire, rounded up.
 ENTRY_OVERHEAD_BYTES: Final = 32
 
 
 class MemoryLog:
-    """Entries after ``start_index``, which a snapshot covers."""
+    """Entries after ``start_index``, the index that a snapshot covers."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         start_term: int,
         entries: Iterable[Entry] = (),
     ) -> None:
-        """Begin after a snapshot with the entries that follow it."""
+        """Start after a snapshot with the entries that follow it."""
         self.start_index = start_index
         self.start_term = start_term
         self._entries: list[Entry] = []
@@ -38,7 +38,7 @@
         return self._entries[-1].term if self._entries else self.start_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None where it is not held."""
+        """Return the term of an entry, or None if it is not in memory."""
         if index == self.start_index:
             return self.start_term
         if self.start_index < index <= self.last_index:
@@ -46,14 +46,14 @@
         return None
 
     def first_index_of_term_at(self, index: int) -> int:
-        """Return the first held index of the term that ``index`` has."""
+        """Return the first index in memory with the term of ``index``."""
         term = self.term_at(index)
         while self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def last_index_of_term(self, term: int, below: int) -> int | None:
-        """Return the last index under ``below`` that has this term."""
+        """Return the last index below ``below`` with this term, if any."""
         index = min(below - 1, self.last_index)
         index_term = self.term_at(index)
         while index_term is not None and index_term > term:
@@ -62,20 +62,22 @@
         return index if index_term == term else None
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Add entries that follow the last one without a gap."""
+        """Append entries; raise ``SafetyViolated`` if they leave a gap."""
         for entry in entries:
             if entry.log_index != self.last_index + 1:
-                reason = f"entry {entry.log_index} follows {self.last_index}"
+                reason = (
+                    f"entry {entry.log_index} comes after {self.last_index}"
+                )
                 raise SafetyViolated(reason)
             self._entries.append(entry)
 
     def between(self, first: int, last: int) -> tuple[Entry, ...]:
-        """Return the entries from ``first`` to ``last``, both included."""
+        """Return the entries from ``first`` to ``last`` inclusive."""
         offset = self.start_index + 1
         return tuple(self._entries[first - offset : last + 1 - offset])
 
     def batch_from(self, first: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return at least one entry, and more while they fit the size."""
+        """Return at least one entry, and more up to ``max_bytes``."""
         chosen: list[Entry] = []
         size_bytes = 0
         position = first - self.start_index - 1
@@ -89,22 +91,22 @@
         return tuple(chosen)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on."""
+        """Delete the entries from ``index`` on."""
         del self._entries[index - self.start_index - 1 :]
 
     def compact_to(self, index: int) -> None:
-        """Forget the entries up to ``index``, which a snapshot covers."""
+        """Delete the entries up to ``index``, which a snapshot covers."""
         if index <= self.start_index:
             return
         term = self.term_at(index)
         if term is None:
-            raise SafetyViolated(f"entry {index} to compact is not held")
+            raise SafetyViolated(f"entry {index} to compact is not in memory")
         del self._entries[: index - self.start_index]
         self.start_index = index
         self.start_term = term
 
     def reset(self, index: int, term: int) -> None:
-        """Drop everything and begin after a snapshot."""
+        """Delete all entries and start after a snapshot."""
         self._entries.clear()
         self.start_index = index
         self.start_term = term
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/messages.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/messages.py
@@ -1,4 +1,4 @@
-"""Entries, memberships and the messages that members exchange."""
+"""Log entries, memberships and the messages between members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EntryKind(IntEnum):
-    """What the data of an entry is."""
+    """Kind of a log entry, which determines how its data is read."""
 
     NO_OP = 0
     COMMAND = 1
@@ -16,7 +16,7 @@
 
 
 class Entry(NamedTuple):
-    """One place in the log."""
+    """One entry of the log."""
 
     log_index: int
     term: int
@@ -25,7 +25,7 @@
 
 
 class Member(NamedTuple):
-    """A member of the group; learners receive entries and do not vote."""
+    """A member of the group; a learner receives entries but has no vote."""
 
     member_id: str
     address: str
@@ -36,11 +36,11 @@
 
 
 class HardState(NamedTuple):
-    """What a member must remember before it answers.
+    """State that a member must sync before it answers a message.
 
-    ``cluster`` names the group that the member joined, so that two groups
-    which were bootstrapped by mistake never exchange entries. ``led`` says
-    that the member has led ``term``.
+    ``cluster`` identifies the group that the member joined, so that two
+    groups that were bootstrapped by mistake never exchange entries.
+    ``led`` is set once the member may claim a lease as leader of ``term``.
     """
 
     term: int = 0
@@ -50,7 +50,7 @@
 
 
 class Snapshot(NamedTuple):
-    """The state machine after ``last_index``, and the membership there."""
+    """State machine and membership after the entry ``last_index``."""
 
     last_index: int
     last_term: int
@@ -59,10 +59,11 @@
 
 
 class Stamp(NamedTuple):
-    """When a leader sent a message; followers send it back unread.
+    """Send time and round of a leader's message; replies return it unread.
 
-    ``sent_s`` is on the leader's own clock and dates its lease; ``round``
-    counts read barriers, as two events can share one clock reading.
+    ``sent_s`` is a reading of the leader's clock, from which its lease
+    counts. ``round`` counts read barriers, since two events can have the
+    same clock reading.
     """
 
     round: int
@@ -70,11 +71,11 @@
 
 
 class VoteRequest(NamedTuple):
-    """Ask for a vote, or with ``pre`` whether one would be given.
+    """Ask for a vote, or with ``pre`` for a pre-vote.
 
-    ``transfer`` says that the leader itself asked for this election. The
-    candidate led ``ended_term``, 0 for none, and has restarted since, so
-    that no lease of that term runs any more.
+    ``transfer`` marks an election that the leader ordered itself. The
+    candidate led ``ended_term`` (0 for none) and has restarted since, so
+    that no lease of that term is running.
     """
 
     campaign_term: int
@@ -86,7 +87,7 @@
 
 
 class VoteReply(NamedTuple):
-    """Answer a vote request of the same ``campaign_term``."""
+    """Answer the vote request with the same ``campaign_term``."""
 
     campaign_term: int
     pre: bool
@@ -94,7 +95,7 @@
 
 
 class Append(NamedTuple):
-    """Carry entries after ``prev_index``, or none as a heartbeat."""
+    """Send the entries after ``prev_index``, or none as a heartbeat."""
 
     prev_index: int
     prev_term: int
@@ -104,12 +105,15 @@
 
 
 class AppendReply(NamedTuple):
-    """Tell the leader what is synced, or where the logs part.
-
-    ``match_index`` is synced and equal to the leader's log where
-    ``success``. Otherwise ``rejected_index`` is the ``prev_index`` that
-    did not match and the hint names the first index of the term found
-    there, so that a whole term is skipped at once.
+    """Report how far the log is synced, or where it diverges.
+
+    On ``success`` the follower's log is synced and equal to the leader's
+    up to ``match_index``. Otherwise ``rejected_index`` is the
+    ``prev_index`` that did not match, ``hint_term`` the term of the
+    follower's entry there and ``hint_index`` the first index of that
+    term, so that the leader skips a whole term at once. Without an entry
+    there, ``hint_term`` is 0 and ``hint_index`` is one after the
+    follower's last entry.
     """
 
     success: bool
@@ -121,9 +125,9 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """A part of a snapshot for a member that is too far behind.
+    """Send a chunk of a snapshot to a member that lags too far behind.
 
-    Without data it is a heartbeat that asks where to go on.
+    A chunk without data is a heartbeat that asks for the next offset.
     """
 
     last_index: int
@@ -136,7 +140,7 @@
 
 
 class SnapshotReply(NamedTuple):
-    """Ask for the part of the snapshot from ``offset_bytes`` on."""
+    """Ask for the chunk of the snapshot that begins at ``offset_bytes``."""
 
     last_index: int
     offset_bytes: int
@@ -144,7 +148,7 @@
 
 
 class TimeoutNow(NamedTuple):
-    """Tell a caught-up voter to start an election at once."""
+    """Order a caught-up voter to start an election at once."""
 
 
 Body = (
@@ -159,7 +163,7 @@
 
 
 class Message(NamedTuple):
-    """A body with sender, receiver and the sender's term."""
+    """A message body with its sender, its receiver and the sender's term."""
 
     sender: str
     to: str
@@ -169,13 +173,13 @@
 
 
 class LogAppend(NamedTuple):
-    """Write entries after those that are on disk."""
+    """Write entries after the last entry on disk."""
 
     entries: tuple[Entry, ...]
 
 
 class LogTruncate(NamedTuple):
-    """Drop the entries from ``from_index`` on."""
+    """Delete the entries from ``from_index`` on."""
 
     from_index: int
 
@@ -183,8 +187,8 @@
 class SaveSnapshot(NamedTuple):
     """Make a snapshot durable.
 
-    Without ``keep_log`` every entry on disk is dropped as well: they part
-    from what the snapshot contains.
+    Unless ``keep_log`` is set, all entries on disk are deleted as well,
+    since they diverge from the snapshot's history.
     """
 
     snapshot: Snapshot
@@ -195,16 +199,16 @@
 
 
 class Batch(NamedTuple):
-    """Records to write and sync together, in the order of ``sequence``."""
+    """Records to write and sync together; ``sequence`` orders batches."""
 
     sequence: int
     records: tuple[Record, ...]
 
 
 class Recovered(NamedTuple):
-    """What a member found on its disk at the start.
+    """State that a member recovered from its disk when it started.
 
-    ``entries`` follow ``snapshot.last_index``.
+    ``entries`` begin after ``snapshot.last_index``.
     """
 
     hard: HardState
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
@@ -1,7 +1,8 @@
-"""What a member knows while it runs, and how it changes what it keeps.
+"""State of a running member and the changes that must be durable.
 
-Every durable change goes through the functions here: they put records
-into the open batch and hold back the messages that depend on its sync.
+Every durable change goes through the functions of this module. They add
+records to the open batch and hold back the messages that must not leave
+before that batch is synced.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class Role(StrEnum):
-    """What a member is doing in its term."""
+    """Raft role of a member in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -49,7 +50,7 @@
 
 
 class RaftState:
-    """The fields of one member; the modules around it hold the rules."""
+    """State of one member; the protocol's rules are in other modules."""
 
     def __init__(
         self,
@@ -59,7 +60,7 @@
         recovered: Recovered,
         now_s: float,
     ) -> None:
-        """Start as a follower from what was found on disk."""
+        """Start as a follower with the state recovered from disk."""
         self.member_id = member_id
         self.settings = settings
         self.random = random.Random(seed)
@@ -121,27 +122,27 @@
 
     @property
     def membership(self) -> Membership:
-        """Return the membership in effect: the last one in the log."""
+        """Return the membership in effect, which is the last in the log."""
         return self.memberships[-1][1]
 
 
 def is_synced(state: RaftState) -> bool:
-    """Tell whether everything that was recorded so far is on disk."""
+    """Return whether everything recorded so far is on disk."""
     return not state.records and (
         state.synced_sequence == state.open_sequence - 1
     )
 
 
 def send_now(state: RaftState, to: str, body: Body) -> None:
-    """Send a message that promises nothing about the disk."""
+    """Send a message that does not depend on unsynced records."""
     _enqueue_message(state, _make_message(state, to, body))
 
 
 def send_after_sync(state: RaftState, to: str, body: Body) -> None:
     """Send a message once everything recorded so far is synced.
 
-    A vote or acknowledgement that left earlier could be forgotten in a
-    crash: the member would vote twice in one term, or the leader would
+    A crash could erase a vote or an acknowledgement that was sent
+    earlier: the member would vote twice in one term, or the leader would
     count an entry that a majority no longer holds.
     """
     message = _make_message(state, to, body)
@@ -153,7 +154,10 @@
 
 
 def send_after_term_sync(state: RaftState, to: str, body: Body) -> None:
-    """Send a message that depends on term and vote, not on entries."""
+    """Send a message once the term and vote are synced.
+
+    Unlike ``send_after_sync``, it does not wait for entries.
+    """
     if state.synced_sequence >= state.hard_state_sequence:
         send_now(state, to, body)
     else:
@@ -161,7 +165,7 @@
 
 
 def set_hard_state(state: RaftState, hard: HardState) -> None:
-    """Change term, vote or cluster, and record it."""
+    """Change the term, vote or cluster and record the change."""
     if hard == state.hard:
         return
     state.hard = hard
@@ -170,30 +174,33 @@
 
 
 def append_entries(state: RaftState, entries: tuple[Entry, ...]) -> None:
-    """Add entries to the log and record them."""
+    """Append entries to the log and record them."""
     state.log.append(entries)
     state.records.append(LogAppend(entries))
     _record_memberships(state, entries)
 
 
 def truncate_from(state: RaftState, index: int) -> None:
-    """Drop entries that another leader has replaced."""
+    """Delete the entries from ``index`` on, which a new leader replaced.
+
+    Raises ``SafetyViolated`` if the entry ``index`` is committed.
+    """
     if index <= state.commit_index:
         raise SafetyViolated(
-            f"entry {index} is committed and was to be overwritten"
+            f"entry {index} is committed and must not be overwritten"
         )
     state.log.truncate_from(index)
     state.records.append(LogTruncate(index))
     state.stable_index = min(state.stable_index, index - 1)
-    # Writes that are still under way may sync entries which this
-    # truncation removes; the epoch keeps them from being counted.
+    # Writes in flight may still sync entries that this truncation
+    # removes. The new epoch keeps them from being counted as synced.
     state.epoch += 1
     while state.memberships[-1][0] >= index:
         state.memberships.pop()
 
 
 def save_snapshot(state: RaftState, snapshot: Snapshot) -> None:
-    """Record a snapshot of the own state machine and shorten the log."""
+    """Record a snapshot of this member's state and compact the log."""
     state.snapshot = snapshot
     state.records.append(SaveSnapshot(snapshot, keep_log=True))
     kept = snapshot.last_index - state.settings.trailing_entries
@@ -202,7 +209,7 @@
 
 
 def install_snapshot(state: RaftState, snapshot: Snapshot) -> None:
-    """Take the leader's snapshot in place of the own state."""
+    """Replace this member's state with the leader's snapshot."""
     keep_log = state.log.term_at(snapshot.last_index) == snapshot.last_term
     if keep_log:
         state.log.compact_to(snapshot.last_index)
@@ -229,7 +236,7 @@
 
 
 def close_batch(state: RaftState) -> Batch | None:
-    """Close the open batch and return it for writing."""
+    """Close the open batch and return it; None if it is empty."""
     if not state.records:
         return None
     batch = Batch(state.open_sequence, tuple(state.records))
@@ -241,7 +248,11 @@
 
 
 def mark_batches_synced(state: RaftState, sequence: int) -> None:
-    """Take in that batches up to ``sequence`` are synced."""
+    """Record that batches up to ``sequence`` are synced.
+
+    Sends the messages that waited for them and drops those of an
+    earlier term.
+    """
     while (
         state.inflight_batches
         and state.inflight_batches[0].sequence <= sequence
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/settings.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/settings.py
@@ -1,4 +1,4 @@
-"""Timings and sizes of a replica, with the reasons for the defaults."""
+"""Timings and sizes of a replica."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from sycamorestand_consensus.errors import SettingsRefused
 
-# Two clocks may differ in rate by this share each. Quartz stays within
-# 0.0002; the rest covers a clock that is being slewed or a paused guest.
+# Maximum relative error in the rate of one clock. A quartz clock stays
+# within 0.0002; the rest covers a clock that is slewed and a paused VM.
 CLOCK_RATE_MARGIN: Final = 0.05
 
 KIBIBYTE: Final = 1024
@@ -18,9 +18,9 @@
 class ReplicaSettings(NamedTuple):
     """Timings and sizes that all members of a group should share.
 
-    The lease must run out before any follower may vote again, also where
-    the leader's clock is slow and the follower's is fast. So ``lease_s``
-    is shorter than ``election_min_s`` by more than both rate margins.
+    A lease must expire before any follower may vote again, even if the
+    leader's clock is slow and the follower's is fast. So ``lease_s`` is
+    shorter than ``election_min_s`` by more than both rate margins.
     """
 
     heartbeat_s: float = 0.1
@@ -39,7 +39,7 @@
 
 
 def check_settings(settings: ReplicaSettings) -> None:
-    """Raise ``SettingsRefused`` with every contradiction found."""
+    """Raise ``SettingsRefused`` with a list of all contradictions."""
     findings = []
     slow_lease_s = settings.lease_s * (1 + CLOCK_RATE_MARGIN)
     if slow_lease_s >= settings.election_min_s * (1 - CLOCK_RATE_MARGIN):
