--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
@@ -1,9 +1,9 @@
-"""Changes of membership and hand-overs of leadership.
+"""Membership changes and leadership transfers.
 
-A change takes effect when it is appended, and only one may be under way.
-Two memberships that differ by one member have no two majorities without a
-common voter, so no second leader can be elected across one change; across
-two it could.
+A change takes effect when it is appended, and only one may be uncommitted
+at a time. If two memberships differ by one member, every majority of one
+shares a voter with every majority of the other, so two leaders cannot be
+elected across one change. Across two changes they could.
 """
 
 from __future__ import annotations
@@ -32,13 +32,16 @@
 from sycamorestand_consensus.raft_state import send_now
 from sycamorestand_consensus.replication import refresh_progress
 
-# A learner under load is always a few batches behind. Fewer entries than
-# this are sent in one message, so the new voter delays no commit.
+# Under load, a learner always lags by a few batches. Fewer entries than
+# this are sent in one message, so the new voter does not delay commits.
 PROMOTE_LAG_ENTRIES: Final = 64
 
 
 def add_learner(state: RaftState, member_id: str, address: str) -> int:
-    """Admit a learner, or change the address of a member."""
+    """Append a change that adds a learner; return its index.
+
+    Changes the address instead if the member exists.
+    """
     _check_change(state)
     existing = find_member(state.membership, member_id)
     voter = existing is not None and existing.voter
@@ -47,7 +50,10 @@
 
 
 def promote(state: RaftState, member_id: str) -> int:
-    """Make a learner a voter."""
+    """Append a change that makes a learner a voter; return its index.
+
+    Raises ``MembershipRefused`` until the learner has caught up.
+    """
     _check_change(state)
     existing = find_member(state.membership, member_id)
     if existing is None:
@@ -57,26 +63,26 @@
     progress = state.progress[member_id]
     silent_s = state.now_s - progress.acked_sent_s
     if silent_s > state.settings.election_min_s:
-        # Two voters need both: promoting a dead second one ends a group
-        # that worked.
+        # Two voters need each other for a majority. Promoting a second one
+        # that is down would stop a group that worked.
         raise MembershipRefused(f"{member_id} is silent for {silent_s:.1f} s")
     synced = progress.match_index
     lag_entries = state.commit_index - synced
     if lag_entries > PROMOTE_LAG_ENTRIES:
-        # A voter that has not synced the log counts towards majorities
-        # which then hold fewer copies than the number says.
+        # Before a voter has synced the log, the majorities that it is part
+        # of hold fewer copies of an entry than they have voters.
         raise MembershipRefused(f"{member_id} is {lag_entries} entries behind")
     if synced < state.memberships[-1][0]:
-        # A member votes only once its own log names it. Promoted earlier
-        # it would give no vote, and after the leader's restart the two
-        # would wait for each other for good.
+        # A member votes only once its own log contains its admission. If
+        # it was promoted earlier, it would refuse its vote, and after a
+        # restart of the leader both would wait for each other forever.
         raise MembershipRefused(f"{member_id} has not synced its admission")
     member = existing._replace(voter=True)
     return _append_change(state, with_member(state.membership, member))
 
 
 def remove(state: RaftState, member_id: str) -> int:
-    """Remove a member that is not the leader."""
+    """Append a change that removes another member; return its index."""
     _check_change(state)
     if member_id == state.member_id:
         raise MembershipRefused("the leader must hand over before it leaves")
@@ -86,7 +92,10 @@
 
 
 def start_transfer(state: RaftState, target: str | None) -> None:
-    """Stop proposals and hand over once the target has caught up."""
+    """Stop proposals and transfer leadership once the target caught up.
+
+    Without a target, the most caught-up voter becomes the target.
+    """
     _check_leader(state)
     if state.transfer is not None:
         raise TransferFailed("a hand-over is under way")
@@ -102,9 +111,10 @@
 def advance_transfer(state: RaftState) -> bool:
     """Order the target to campaign, or give up after the deadline.
 
-    Returns whether this leader must step down. Once the order is out it
-    may arrive late and pass over every promise, so the leader claims no
-    lease in this term again and steps down rather than lead on.
+    Returns whether this leader must step down. The order may arrive late,
+    and the election that it starts bypasses every promise. So once it is
+    sent, the leader claims no further lease in this term, and it steps
+    down at the deadline instead of leading on.
     """
     transfer = state.transfer
     if transfer is None:
@@ -131,8 +141,8 @@
     if state.transfer is not None:
         raise MembershipRefused("leadership is being handed over")
     if state.commit_index < state.term_start_index:
-        # A change of an earlier leader may be uncommitted without being
-        # known here; one more on top of it could split the voters.
+        # A change by an earlier leader may still be uncommitted, and this
+        # leader cannot tell. A second change could split the voters.
         raise ChangeUnderWay("no entry of this term is committed yet")
     if state.memberships[-1][0] > state.commit_index:
         raise ChangeUnderWay("another change is not committed yet")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
@@ -1,13 +1,13 @@
-"""The agreement core: Raft's rules without clock, network or disk.
+"""The Raft core: the protocol's rules without clock, network or disk.
 
-Inputs are messages, ticks, proposals and syncs that ended; every input
-carries the time. ``drain`` returns what the owner has to do since. The
-same inputs and seed give the same outputs, so a fault that an exploration
-finds can be played again.
+The inputs are messages, ticks, proposals and completed syncs; each carries
+the current time. ``drain`` returns the work for the owner since its last
+call. The same inputs and seed produce the same outputs, so a fault that an
+exploration finds can be replayed.
 
-Example: a lone member elects itself once its first batch is synced::
+Example: a single member elects itself once its first batch is synced::
 
-    core = Core("a", settings, seed=1, found=found, now_s=0.0)
+    core = Core("a", settings, 1, recovered, now_s=0.0)
     core.bootstrap((("a", "10.0.0.1:7000"),), 0.0)
     batch = core.drain(0.0).batch
     core.stored(batch.sequence, 0.1)
@@ -58,12 +58,12 @@
 
 
 class Output(NamedTuple):
-    """What the owner does after some inputs, in the order of the fields.
+    """Work for the owner, to be done in the order of the fields.
 
-    Messages may leave at once. ``batch`` is to be written and synced, then
-    reported with ``mark_synced``. ``install`` replaces the state machine
-    before ``committed`` is applied to it. A barrier in ``confirmed`` is
-    passed once its index is applied.
+    Messages may be sent at once. ``batch`` is to be written and synced,
+    then reported with ``mark_synced``. ``install`` replaces the state of
+    the state machine before ``committed`` is applied to it. A read whose
+    barrier is in ``confirmed`` may proceed once its index is applied.
     """
 
     messages: tuple[Message, ...]
@@ -74,7 +74,7 @@
 
 
 class Core:
-    """One member's agreement core."""
+    """Raft core of one member."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         recovered: Recovered,
         now_s: float,
     ) -> None:
-        """Start from what was found on disk."""
+        """Start with the state recovered from disk."""
         self.state = RaftState(member_id, settings, seed, recovered, now_s)
         set_election_deadline(self.state)
         if not self.is_blank:
@@ -92,7 +92,7 @@
 
     @property
     def is_blank(self) -> bool:
-        """Tell whether this member belongs to no group yet."""
+        """Return whether this member belongs to no group yet."""
         return self.state.hard.cluster == ""
 
     def bootstrap(
@@ -116,13 +116,13 @@
         self.tick(now_s)
 
     def receive(self, message: Message, now_s: float) -> None:
-        """Take in a message from another member."""
+        """Process a message from another member."""
         self.state.now_s = now_s
         handle_message(self.state, message)
         self._process_loopback()
 
     def mark_synced(self, sequence: int, now_s: float) -> None:
-        """Take in that all batches up to ``sequence`` are synced."""
+        """Record that all batches up to ``sequence`` are synced."""
         state = self.state
         state.now_s = now_s
         mark_batches_synced(state, sequence)
@@ -130,7 +130,7 @@
         self._process_loopback()
 
     def tick(self, now_s: float) -> None:
-        """Take in that time has passed."""
+        """Process the timeouts that are due at ``now_s``."""
         state = self.state
         state.now_s = now_s
         if state.role == Role.LEADER:
@@ -140,14 +140,17 @@
         self._process_loopback()
 
     def next_wake_s(self) -> float:
-        """Return when the next tick is due."""
+        """Return the time at which the next tick is due."""
         state = self.state
         if state.role == Role.LEADER:
             return state.heartbeat_due_s
         return campaign_due_s(state)
 
     def propose(self, command: bytes, now_s: float) -> Entry:
-        """Append a command; it is committed later or lost."""
+        """Append a command and return its entry, which may yet be lost.
+
+        Raises ``NotLeader`` or ``ProposalRefused``.
+        """
         state = self.state
         state.now_s = now_s
         if state.role != Role.LEADER:
@@ -166,7 +169,11 @@
         return entry
 
     def read_barrier(self, barrier_id: int, now_s: float) -> None:
-        """Ask a majority to confirm that this member leads."""
+        """Start to confirm with a majority that this member leads.
+
+        ``drain`` returns the barrier once it is confirmed. Raises
+        ``NotLeader``.
+        """
         state = self.state
         state.now_s = now_s
         if state.role != Role.LEADER:
@@ -177,27 +184,31 @@
         state.heartbeat_due_s = now_s
 
     def add_learner(self, member_id: str, address: str, now_s: float) -> int:
-        """Append a change; return its index."""
+        """Append a change that adds a learner; return its index."""
         self.state.now_s = now_s
         return change.add_learner(self.state, member_id, address)
 
     def promote(self, member_id: str, now_s: float) -> int:
-        """Append a change; return its index."""
+        """Append a change that promotes a learner; return its index."""
         self.state.now_s = now_s
         return change.promote(self.state, member_id)
 
     def remove(self, member_id: str, now_s: float) -> int:
-        """Append a change; return its index."""
+        """Append a change that removes a member; return its index."""
         self.state.now_s = now_s
         return change.remove(self.state, member_id)
 
     def transfer(self, target: str | None, now_s: float) -> None:
-        """Start to hand leadership over."""
+        """Start to transfer leadership; see ``transfer_leadership``."""
         self.state.now_s = now_s
         change.start_transfer(self.state, target)
 
     def set_blocked(self, blocked: bool, now_s: float) -> None:
-        """Step aside while the disk takes no writes, or come back."""
+        """Block this member while its disk is full, or unblock it.
+
+        A blocked member steps down, neither votes nor campaigns and
+        accepts no entries.
+        """
         state = self.state
         state.now_s = now_s
         state.blocked = blocked
@@ -205,7 +216,7 @@
             become_follower(state, state.term, "")
 
     def compact(self, index: int, data: bytes, now_s: float) -> None:
-        """Take a snapshot of the state machine after ``index``."""
+        """Record ``data`` as the state machine's snapshot after ``index``."""
         state = self.state
         state.now_s = now_s
         term = state.log.term_at(index)
@@ -215,12 +226,12 @@
         save_snapshot(state, Snapshot(index, term, membership, data))
 
     def lease_until_s(self, now_s: float) -> float:
-        """Return when the leader's lease ends, 0 where there is none."""
+        """Claim the leader's lease; return its end, 0 if there is none."""
         self.state.now_s = now_s
         return claim_lease_s(self.state)
 
     def drain(self, now_s: float) -> Output:
-        """Return what is to be done since the last call."""
+        """Return the work that has accumulated since the last call."""
         state = self.state
         state.now_s = now_s
         self._process_loopback()
@@ -244,8 +255,8 @@
     def _tick_leader(self) -> None:
         state = self.state
         silent_s = state.now_s - quorum_sent_s(state)
-        # A leader that no majority answers cannot commit; stepping down
-        # lets its callers look for another one instead of waiting.
+        # A leader that no majority answers cannot commit. It steps down so
+        # that its callers look for another leader instead of waiting.
         if silent_s > state.settings.election_max_s:
             become_follower(state, state.term, "")
             return
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
@@ -1,8 +1,8 @@
-"""Elections: who may ask for votes, who gives one, who has won.
+"""Elections: candidacy, granting votes and counting them.
 
-A member first asks whether it could win (pre-vote) and raises its term
-only then. A member that was cut off for long thus comes back with the
-term that it left with and cannot depose a leader that works.
+A member first holds a pre-vote and raises its term only if it could win.
+So a member returns from a long partition with the term that it had before
+and cannot depose a working leader.
 """
 
 from __future__ import annotations
@@ -28,11 +28,12 @@
 
 
 def set_election_deadline(state: RaftState) -> None:
-    """Draw the next election timeout.
+    """Draw the next election timeout at random.
 
-    It is random, so that two candidates rarely split the votes twice. The
-    last leader is alone in having no promise to wait for. It tries at
-    each heartbeat after its start until the others are there to hear it.
+    Random timeouts make it rare that two candidates split the votes twice.
+    The last leader is the only member that has no promise to wait out
+    after a restart. It retries every ``heartbeat_s`` until enough of the
+    other members are up.
     """
     settings = state.settings
     wait_s = state.random.uniform(
@@ -44,10 +45,11 @@
 
 
 def campaign_due_s(state: RaftState) -> float:
-    """Return when this member asks for votes, if no leader is heard.
+    """Return when this member campaigns unless it hears from a leader.
 
-    A promise to another leader is waited out, the last leader's to itself
-    is not: the lease that it stood for was its own.
+    A member waits until its promise to another leader expires. The last
+    leader does not wait for its own promise after a restart, since that
+    promise protected its own lease.
     """
     if _is_restarted_leader(state):
         return state.election_deadline_s
@@ -55,10 +57,10 @@
 
 
 def _is_restarted_leader(state: RaftState) -> bool:
-    """Tell whether this is the last leader, just started again.
+    """Return whether this is the last leader, shortly after its restart.
 
-    Once ``election_max_s`` has passed the others have promises no more,
-    and whoever has the newest log may lead.
+    After ``election_max_s`` the promises of the other members have
+    expired, and any member with an up-to-date log may lead.
     """
     starting_s = state.now_s - state.started_s
     starting = starting_s < state.settings.election_max_s
@@ -66,7 +68,7 @@
 
 
 def become_follower(state: RaftState, term: int, leader_id: str) -> None:
-    """Follow ``leader_id``, or nobody yet, in ``term``."""
+    """Follow ``leader_id`` in ``term``; empty if no leader is known."""
     if term > state.term:
         cluster = state.hard.cluster
         set_hard_state(state, HardState(term, "", cluster))
@@ -82,13 +84,13 @@
 
 
 def can_campaign(state: RaftState) -> bool:
-    """Tell whether this member is a voter that can write."""
+    """Return whether this member is a voter whose disk is writable."""
     member = find_member(state.membership, state.member_id)
     return member is not None and member.voter and not state.blocked
 
 
 def start_pre_vote(state: RaftState) -> None:
-    """Ask whether an election could be won, without raising the term."""
+    """Ask for pre-votes, without raising the term."""
     set_election_deadline(state)
     state.role = Role.PRE_CANDIDATE
     state.leader_id = ""
@@ -98,10 +100,10 @@
 
 
 def start_campaign(state: RaftState, *, transfer: bool) -> None:
-    """Raise the term and ask for votes, the own one included.
+    """Raise the term, vote for itself and request the other votes.
 
-    The requests leave after the sync as well: a candidate that forgot its
-    own vote in a crash could give it to another one in the same term.
+    The requests also wait for the sync of that vote. A candidate that
+    lost it in a crash could vote for another one in the same term.
     """
     set_election_deadline(state)
     state.role = Role.CANDIDATE
@@ -118,9 +120,9 @@
 def on_vote_request(
     state: RaftState, message: Message, request: VoteRequest, promised: bool
 ) -> None:
-    """Give or refuse a vote; the term was taken over before.
+    """Grant or refuse a vote; the caller has adopted the term before.
 
-    ``bound`` says that a promise to a leader forbids it.
+    ``promised`` says that a promise to a leader forbids the vote.
     """
     granted = not promised and _can_grant_vote(state, message.sender, request)
     reply = VoteReply(request.campaign_term, request.pre, granted)
@@ -134,7 +136,7 @@
 def on_vote_reply(
     state: RaftState, message: Message, reply: VoteReply
 ) -> None:
-    """Count a vote for the election that is still going on."""
+    """Count a vote in the current election; ignore late replies."""
     expected = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
     campaign_term = state.term + 1 if reply.pre else state.term
     if state.role != expected or reply.campaign_term != campaign_term:
@@ -148,10 +150,11 @@
 ) -> bool:
     if state.blocked:
         return False
-    # A member that its own log does not know has either lost its disk or
-    # was never admitted. Its empty log would let any candidate win. A
-    # learner does vote when asked: it may have been promoted by an entry
-    # that it has not received, and without its vote nobody could win.
+    # A member that is not in the membership of its own log has lost its
+    # disk or was never admitted. Its empty log would let any candidate
+    # win. A learner does vote when asked: an entry that it has not
+    # received may have promoted it, and without its vote no candidate
+    # could win.
     if find_member(state.membership, state.member_id) is None:
         return False
     if not _is_up_to_date(state, request):
@@ -208,8 +211,8 @@
     state.uncommitted_bytes = 0
     state.progress.clear()
     refresh_progress(state)
-    # Entries of earlier terms are committed through an entry of the own
-    # term only; without this one they would wait for the next proposal.
+    # Entries of earlier terms are committed only through an entry of the
+    # current term. Without this no-op they would wait for a proposal.
     index = state.log.last_index + 1
     state.term_start_index = index
     no_op = Entry(index, state.term, EntryKind.NO_OP, b"")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/follower.py
@@ -1,4 +1,4 @@
-"""How a member takes entries and snapshots from its leader."""
+"""Handling of the leader's entries and snapshots by a follower."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 def on_append(state: RaftState, message: Message, append: Append) -> None:
-    """Take entries of the current leader; answer once they are synced."""
+    """Append entries from the leader and reply once they are synced."""
     if state.blocked and append.entries:
-        # Nothing more is queued while the disk is full: memory would fill
-        # as well. The next heartbeat's answer tells the leader the gap.
+        # Entries are dropped while the disk is full, since queueing them
+        # would fill the memory. The reply to the next heartbeat tells the
+        # leader which entries are missing.
         return
     append = _skip_snapshot_entries(state, append)
     if state.log.term_at(append.prev_index) != append.prev_term:
@@ -42,7 +43,7 @@
 def on_snapshot_chunk(
     state: RaftState, message: Message, chunk: SnapshotChunk
 ) -> None:
-    """Collect a snapshot and install it once it is whole."""
+    """Collect a snapshot's chunks and install it once complete."""
     if state.blocked and chunk.data:
         return
     if chunk.last_index <= state.commit_index:
@@ -63,7 +64,7 @@
 
 
 def reply_stale_leader(state: RaftState, message: Message) -> None:
-    """Tell a leader of an earlier term that its term is over."""
+    """Tell a leader of an earlier term that a newer term has begun."""
     stamp = Stamp(0, 0.0)
     reply = AppendReply(False, 0, 0, 0, 0, stamp)
     send_after_sync(state, message.sender, reply)
@@ -73,7 +74,8 @@
     start = state.log.start_index
     if append.prev_index >= start:
         return append
-    # What the snapshot covers is committed, so the leader has it too.
+    # The entries that the snapshot covers are committed, so the leader's
+    # log contains them too.
     kept = tuple(e for e in append.entries if e.log_index > start)
     return append._replace(
         prev_index=start, prev_term=state.log.start_term, entries=kept
@@ -101,8 +103,8 @@
 def _reply_heartbeat(
     state: RaftState, to: str, matched: int, stamp: Stamp
 ) -> None:
-    # The answer dates the leader's lease, so it does not wait for entries
-    # that are being written: it claims those that are synced already.
+    # The reply renews the leader's lease, so it does not wait for entries
+    # that are being written. It acknowledges only those already synced.
     synced = min(matched, state.stable_index)
     reply = AppendReply(True, synced, 0, 0, 0, stamp)
     send_after_term_sync(state, to, reply)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/inbox.py
@@ -1,4 +1,4 @@
-"""Which messages a member heeds, and what their terms make of it."""
+"""Dispatch of received messages by group, sender, term and type."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def handle_message(state: RaftState, message: Message) -> None:
-    """Take in one message."""
+    """Process one message; ignore those of other groups."""
     if message.to != state.member_id or not _is_from_own_group(state, message):
         return
     body = message.body
@@ -82,8 +82,8 @@
         on_vote_request(state, message, request, promised)
         return
     if promised:
-        # Not even the term is taken over: a leader whose majority is
-        # intact would otherwise be deposed by its own followers.
+        # The term is not adopted either. Otherwise followers would depose
+        # a leader that still has a majority.
         return
     if message.term > state.term:
         become_follower(state, message.term, "")
@@ -105,8 +105,8 @@
 ) -> None:
     member = find_member(state.membership, message.sender)
     if member is None:
-        # A member that was removed, or whose disk was replaced, is not
-        # counted and cannot depose a leader with a term of its own.
+        # Replies from a member that was removed, or whose disk was
+        # replaced, do not count, and their higher term deposes no leader.
         return
     if message.term > state.term:
         become_follower(state, message.term, "")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
@@ -1,18 +1,19 @@
-"""Promises that keep a second leader away while a lease runs.
-
-A follower that hears a leader promises not to vote for ``election_min_s``.
-A leader whose message was answered by a majority thus knows that nobody
-else can win an election until ``election_min_s`` after it *sent* that
-message, and claims the shorter ``lease_s`` of it. The difference covers
-clocks that run at different rates. Promises are not taken back: a leader
-that steps down keeps its own, and a member that restarts assumes that it
-made one just before it stopped. So whatever was granted under a lease
-ends before another leader holds one.
-
-One member can say sooner that a lease has ended: the leader that held it,
-once it has restarted. Its claims were in its memory and are gone with it.
-Without this a restart of all members costs ``election_min_s`` and more
-before the first of them may vote, in which nobody is served.
+"""Leader leases, which rest on the followers' promises not to vote.
+
+A follower that hears from a leader promises not to vote for
+``election_min_s``. Once a majority has answered a message, the leader
+knows that no other member can win an election until ``election_min_s``
+after it *sent* that message, and claims a lease for the shorter
+``lease_s``. The difference covers clocks that run at different rates.
+Promises are never withdrawn: a leader that steps down keeps its own
+promise, and a member that restarts assumes that it made one just before
+it stopped. So everything that was granted under a lease expires before
+another leader holds a lease.
+
+Only the leader that held a lease can declare that it ended sooner, and
+only after its own restart: its claims were in memory and are gone.
+Without this rule a restart of all members would interrupt the service for
+at least ``election_min_s``, before which no member may vote.
 """
 
 from __future__ import annotations
@@ -27,22 +28,22 @@
 
 
 def promise_to_leader(state: RaftState) -> None:
-    """Promise the leader that was just heard not to vote for a while."""
+    """Promise the current leader not to vote for ``election_min_s``."""
     until_s = state.now_s + state.settings.election_min_s
     state.promise_until_s = max(state.promise_until_s, until_s)
 
 
 def assume_promise(state: RaftState) -> None:
-    """Keep a promise that may have been forgotten in a restart.
+    """Renew a promise that a restart may have erased from memory.
 
     The member may have answered a leader just before it stopped, and the
-    leader's lease may rest on that answer.
+    leader's lease may depend on that reply.
     """
     promise_to_leader(state)
 
 
 def has_active_promise(state: RaftState) -> bool:
-    """Tell whether a vote now could break a leader's lease."""
+    """Return whether a vote now could violate a leader's lease."""
     until_s = state.promise_until_s
     if state.role == Role.LEADER:
         quorum_until_s = quorum_sent_s(state) + state.settings.election_min_s
@@ -53,8 +54,8 @@
 def record_leadership(state: RaftState) -> None:
     """Record that this member leads, once it may claim a lease.
 
-    Until then a lease of the leader before it may still run, of whose end
-    this member could say nothing after a restart.
+    Before that, a lease of the previous leader may still be running, and
+    after a restart this member could not tell whether it has ended.
     """
     if not state.hard.led and state.now_s >= state.lease_from_s:
         set_hard_state(state, state.hard._replace(led=True))
@@ -63,8 +64,8 @@
 def ended_term(state: RaftState, *, pre: bool) -> int:
     """Return the term whose lease ended with this member's restart.
 
-    It is told in the election that follows that term and in no later one:
-    by then another member may lead.
+    Only the election that directly follows that term announces it; later
+    ones return 0, since another member may have led in between.
     """
     campaign_term = state.term + 1 if pre else state.term
     follows = campaign_term == state.term_led_before_start + 1
@@ -72,23 +73,24 @@
 
 
 def is_last_leader(state: RaftState) -> bool:
-    """Tell whether this member led its term until it restarted."""
+    """Return whether this member led the current term until it restarted."""
     return 0 < state.term_led_before_start == state.term
 
 
 def ends_promise(state: RaftState, request: VoteRequest) -> bool:
-    """Tell whether a candidate says that the lease promised to is over.
+    """Return whether the candidate declares the promised lease ended.
 
-    What this member promised it promised to a leader of its own term or
-    of an earlier one. The lease of an earlier one had run out when
-    ``ended_term`` had its first; a leader of a later term is unknown to
-    the candidate, and keeps its promise.
+    This member made its promise to a leader of its own term or of an
+    earlier one. Leases of terms before ``ended_term`` had expired when
+    its leader claimed the first lease. If this member's term is later
+    than ``ended_term``, the candidate does not know about leases of that
+    term, so the promise stays.
     """
     return request.ended_term >= max(1, state.term)
 
 
 def quorum_sent_s(state: RaftState) -> float:
-    """Return the send time that a majority of voters has answered."""
+    """Return the latest send time that a majority has answered."""
     if not voters(state.membership):
         return state.lease_from_s
 
@@ -101,12 +103,15 @@
 
 
 def lease_until_s(state: RaftState) -> float:
-    """Return when the leader's lease ends; it may have ended already."""
+    """Return when the leader's lease ends, which may be in the past.
+
+    Returns 0 if this member can hold no lease.
+    """
     if state.role != Role.LEADER:
         return 0.0
     if state.commit_index < state.term_start_index:
-        # Until an entry of the own term is committed, the membership that
-        # the majority was counted in may itself be replaced.
+        # Until an entry of the current term is committed, the membership
+        # that defines the majority may itself be overwritten.
         return 0.0
     if state.transfer is not None and state.transfer.ordered:
         return 0.0
@@ -116,12 +121,13 @@
 
 
 def claim_lease_s(state: RaftState) -> float:
-    """Return when the leader's lease ends, and promise to honour it.
+    """Return when the leader's lease ends and promise not to vote before.
 
-    Without the promise a deposed leader could elect its successor at once
-    while leases that were granted under its own still run. The promise
-    keeps the longest claim: a majority of a larger membership may have
-    answered earlier messages only.
+    Without the promise a deposed leader could vote for a successor at
+    once, while leases that were granted under its own are still running.
+    The promise keeps the latest end that was claimed. A later result can
+    be earlier, since the majority of a larger membership may have
+    answered only earlier messages.
     """
     until_s = lease_until_s(state)
     state.promise_until_s = max(state.promise_until_s, until_s)
@@ -131,9 +137,9 @@
 def lease_start_s(state: RaftState) -> float:
     """Return when a new leader may claim its first lease.
 
-    An election that the old leader asked for passes over the promises, so
-    its winner waits until any lease of the old leader has run out, on the
-    slowest clock that the margin allows for.
+    A leadership transfer bypasses the promises, so its winner waits until
+    any lease of the old leader has expired, even on the slowest clock
+    within ``CLOCK_RATE_MARGIN``.
     """
     if not state.transfer_campaign:
         return state.now_s
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/log.py
@@ -65,9 +65,7 @@
         """Append entries; raise ``SafetyViolated`` if they leave a gap."""
         for entry in entries:
             if entry.log_index != self.last_index + 1:
-                reason = (
-                    f"entry {entry.log_index} comes after {self.last_index}"
-                )
+                reason = f"entry {entry.log_index} follows {self.last_index}"
                 raise SafetyViolated(reason)
             self._entries.append(entry)
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/membership.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/membership.py
@@ -1,4 +1,4 @@
-"""Memberships, the majorities that they ask for, and their encoding."""
+"""Memberships, their majorities and their encoding."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def voters(membership: Membership) -> tuple[str, ...]:
-    """Return the ids of the members that vote."""
+    """Return the ids of the voting members."""
     return tuple(m.member_id for m in membership if m.voter)
 
 
@@ -51,9 +51,10 @@
 
 
 def cluster_id(members: Sequence[tuple[str, str]]) -> str:
-    """Name a new group after the random ids that it starts with.
+    """Derive the id of a new group from the ids of its first members.
 
-    Members that are given the same list thus agree without a message.
+    So members that are bootstrapped with the same list agree on the id
+    without exchanging messages.
     """
     ids = "\n".join(sorted(member_id for member_id, _ in members))
     digest = hashlib.blake2b(ids.encode(), digest_size=CLUSTER_ID_BYTES)
@@ -61,12 +62,12 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """Return the data of a membership entry."""
+    """Encode a membership as the data of an entry."""
     return msgspec.msgpack.encode(membership)
 
 
 def decode_membership(data: bytes) -> Membership:
-    """Read the data of a membership entry."""
+    """Decode the data of a membership entry."""
     return _DECODER.decode(data)
 
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader remembers about its members and its own promises."""
+"""Replication progress, leadership transfers and read barriers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SendMode(StrEnum):
-    """How a leader sends entries to one member."""
+    """Mode in which the leader sends entries to one member."""
 
     PROBE = "probe"
     PIPELINE = "pipeline"
@@ -18,10 +18,10 @@
 
 
 class Progress:
-    """What a leader knows about one other member."""
+    """Replication progress of one other member, kept by the leader."""
 
     def __init__(self, next_index: int, now_s: float) -> None:
-        """Begin by probing whether the logs agree before ``next_index``."""
+        """Start by probing whether the logs match before ``next_index``."""
         self.mode = SendMode.PROBE
         self.match_index = 0
         self.next_index = next_index
@@ -34,7 +34,10 @@
 
 
 class Transfer(NamedTuple):
-    """A hand-over of leadership under way."""
+    """A leadership transfer in progress.
+
+    ``ordered`` is set once the target was sent ``TimeoutNow``.
+    """
 
     target: str
     deadline_s: float
@@ -42,7 +45,7 @@
 
 
 class Barrier(NamedTuple):
-    """A read barrier that waits for a majority to confirm its round."""
+    """A read barrier that waits for a majority to answer its round."""
 
     barrier_id: int
     round: int
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
@@ -1,9 +1,10 @@
-"""How a leader sends its log and learns what its members have synced.
+"""Log replication from the leader to the other members.
 
-A member is probed until the logs are known to agree, then entries are
-pipelined without waiting for answers, and a member whose next entry is
-compacted away gets the snapshot in chunks. Every message is stamped, so
-each answer also counts as a sign of life and dates the lease.
+The leader probes a member until their logs are known to match, then
+pipelines entries without waiting for replies. A member whose next entry
+was compacted away receives the snapshot in chunks. Every message carries
+a stamp, so each reply also shows that the member is alive and renews the
+lease.
 """
 
 from __future__ import annotations
@@ -23,13 +24,17 @@
 
 
 def replicate(state: RaftState) -> None:
-    """Send every member what it can take now."""
+    """Send each member the entries that its send mode allows now."""
     for member_id, progress in state.progress.items():
         _send_entries(state, member_id, progress)
 
 
 def send_heartbeats(state: RaftState) -> None:
-    """Send every member a sign of life that also finds lost messages."""
+    """Send a heartbeat to each member.
+
+    A member that lost earlier messages rejects the heartbeat, so that
+    the leader sends the entries again.
+    """
     state.heartbeat_due_s = state.now_s + state.settings.heartbeat_s
     for member_id, progress in state.progress.items():
         if progress.mode == SendMode.SNAPSHOT:
@@ -39,11 +44,11 @@
 
 
 def refresh_progress(state: RaftState) -> None:
-    """Follow a change of membership."""
+    """Add and remove progress records to match the membership."""
     other_ids = {m.member_id for m in state.membership}
     other_ids.discard(state.member_id)
-    # Sorted, as the order of a set differs from process to process and a
-    # run that found a fault could not be played again.
+    # Sorted, since the order of a set differs between processes and a run
+    # that found a fault could not be replayed.
     for member_id in sorted(other_ids - state.progress.keys()):
         next_index = state.log.last_index + 1
         state.progress[member_id] = Progress(next_index, state.now_s)
@@ -54,7 +59,7 @@
 def on_append_reply(
     state: RaftState, message: Message, reply: AppendReply
 ) -> None:
-    """Take in what a member has synced, or where the logs part."""
+    """Record how far a member has synced, or where its log diverges."""
     progress = state.progress.get(message.sender)
     if progress is None:
         return
@@ -68,7 +73,7 @@
 def on_snapshot_reply(
     state: RaftState, message: Message, reply: SnapshotReply
 ) -> None:
-    """Send the part of the snapshot that the member asks for."""
+    """Send the chunk of the snapshot that the member asks for."""
     progress = state.progress.get(message.sender)
     if progress is None:
         return
@@ -79,8 +84,8 @@
     if reply.last_index != snapshot.last_index:
         return
     if reply.offset_bytes == progress.offset_bytes and progress.probe_sent:
-        # The part may be under way still; sending it for every heartbeat
-        # that is answered meanwhile would multiply it.
+        # The chunk may still be in flight. Sending it again for each
+        # heartbeat that is answered meanwhile would duplicate it.
         progress.probe_sent = False
         return
     progress.offset_bytes = reply.offset_bytes
@@ -176,8 +181,9 @@
     prev_index = progress.next_index - 1
     prev_term = state.log.term_at(prev_index)
     if prev_term is None:
-        # The entry was compacted away since; the next pass begins the
-        # snapshot, and its first chunk is a sign of life as well.
+        # The entry was compacted away in the meantime. The next call of
+        # ``replicate`` starts the snapshot, whose first chunk serves as a
+        # heartbeat.
         return prev_index
     entries: tuple[Entry, ...] = ()
     if with_entries:
