--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/disk_image.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/disk_image.py
@@ -1,4 +1,4 @@
-"""What a disk holds after a sequence of records."""
+"""State of a disk after a sequence of records."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 class DiskImage:
     """Replays records in the order in which they were written.
 
-    Segments on a real disk may begin with entries that a snapshot already
-    covers, so ``recovered`` drops those at the end.
+    The segments on disk may begin with entries that a snapshot already
+    covers. ``recovered`` drops these entries.
     """
 
     def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT) -> None:
-        """Begin with the newest snapshot that is on disk."""
+        """Start with the newest snapshot on disk."""
         self.hard = HardState()
         self.snapshot = snapshot
         self.entries: list[Entry] = []
 
     def replay(self, record: Record) -> None:
-        """Take in one more record."""
+        """Apply one more record."""
         if isinstance(record, HardState):
             self.hard = record
         elif isinstance(record, LogAppend):
@@ -39,19 +39,23 @@
             self._apply_snapshot(record)
 
     def drop_entries(self) -> None:
-        """Drop all entries: a snapshot from the leader replaces them."""
+        """Delete all entries, which a snapshot from the leader replaces."""
         self.entries.clear()
 
     def recovered(self) -> Recovered:
-        """Return hard state, snapshot and the entries that follow it."""
+        """Return the hard state, the snapshot and the entries after it.
+
+        Raises ``SafetyViolated`` if entries are missing in between.
+        """
         snapshot = self.snapshot
         kept = [e for e in self.entries if e.log_index > snapshot.last_index]
         covered = [
             e for e in self.entries if e.log_index == snapshot.last_index
         ]
         if covered and covered[0].term != snapshot.last_term:
-            # The crash fell between the snapshot and the record that
-            # drops the log: these entries were never part of it.
+            # The crash came after the snapshot was written and before the
+            # record that drops the log. These entries are not part of the
+            # snapshot's history.
             kept = []
         if kept and kept[0].log_index != snapshot.last_index + 1:
             raise SafetyViolated(
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
@@ -1,4 +1,4 @@
-"""Single steps on files, each durable when it returns."""
+"""File operations for durable writes, and their errors."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 from sycamorestand_consensus.errors import DiskFull
 from sycamorestand_consensus.errors import StorageError
 
-# A limit on the size of files that was set too low passes like a full disk:
-# an operator raises it. Taken for a broken disk it ended every voter under it.
+# A file size limit that is too low (EFBIG) is temporary like a full disk, as
+# an operator can raise it. Treated as a broken disk, it ended every voter
+# under that limit.
 NO_SPACE: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
 
 
 @contextlib.contextmanager
 def storage_errors(path: Path) -> Iterator[None]:
-    """Tell a full disk, which passes, from a broken one, which does not.
+    """Raise ``DiskFull`` for lack of space, else ``StorageError``.
 
-    After a failed fsync the kernel may have dropped the written pages and
-    say yes the next time, so such an error must end the process.
+    Lack of space is temporary, a broken disk is not. After a failed fsync
+    the kernel may have dropped the written pages and report success on
+    the next call, so such an error must end the process.
     """
     try:
         yield
@@ -35,8 +37,8 @@
 def sync_folder(folder: Path) -> None:
     """Make names that were created or renamed in a folder durable.
 
-    Without it a file that was synced itself can be gone after a crash, as
-    its name was never written.
+    Without it a crash can lose a file whose content was synced, since its
+    name was never written.
     """
     descriptor = os.open(folder, os.O_RDONLY)
     try:
@@ -46,7 +48,7 @@
 
 
 def write_all(descriptor: int, data: bytes, offset_bytes: int) -> None:
-    """Write at a place, also where the system takes only a part."""
+    """Write all data at an offset, continuing after partial writes."""
     view = memoryview(data)
     while view:
         written = os.pwrite(descriptor, view, offset_bytes)
@@ -55,7 +57,7 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Give a file new content: after a crash it is the old or the new."""
+    """Replace a file's content; a crash leaves the old or the new one."""
     temporary = path.with_suffix(".new")
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     descriptor = os.open(temporary, flags, 0o600)
@@ -63,7 +65,7 @@
         write_all(descriptor, data, 0)
         os.fsync(descriptor)
     except OSError:
-        # On a full disk even a part of a file is in the way.
+        # On a full disk a partial file takes up space that is needed.
         temporary.unlink()
         raise
     finally:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
@@ -1,4 +1,4 @@
-"""The member's random id, which lives and dies with its data folder."""
+"""The member's random id, which is stored only in its data folder."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Identity(NamedTuple):
-    """Who this data folder is, and which groups have files in it."""
+    """Member id of a data folder, and the groups with files in it."""
 
     member_id: str
     groups: tuple[int, ...] = ()
@@ -33,12 +33,12 @@
 
 
 def open_identity(folder: Path) -> Identity:
-    """Read the folder's identity, or create it at the first start.
+    """Read the folder's identity, or create it on the first start.
 
-    The id is random and kept nowhere else. A disk that was wiped thus
-    comes back under another id, which no membership contains: without
-    that, it would vote again in a term in which it had voted already and
-    help to elect a leader that misses committed entries.
+    The id is random and stored nowhere else, so a member whose disk was
+    wiped returns under a new id that no membership contains. Under its
+    old id it would vote again in a term in which it has already voted,
+    and could help to elect a leader that lacks committed entries.
     """
     with storage_errors(folder):
         folder.mkdir(parents=True, exist_ok=True)
@@ -51,7 +51,7 @@
 
 
 def record_group(folder: Path, group: int) -> None:
-    """Remember that a group has its files, so that their loss is seen."""
+    """Record that a group has files, so that their loss is detected."""
     identity = open_identity(folder)
     if group in identity.groups:
         return
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/segment_format.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/segment_format.py
@@ -1,11 +1,11 @@
-"""Frames of a segment file, and where a damaged one may be cut.
-
-A file begins with a magic number that names the format version. Each
-group commit is one frame: offset of the frame, length and checksum of the
-payload, checksum of these three, payload. A frame is written and synced
-before the next one begins. So a frame that was torn by a crash is the
-last thing in the last file, and one with a whole frame behind it was
-damaged after its sync.
+"""Frame format of segment files, and detection of torn frames.
+
+A file begins with a magic number that identifies the format version. Each
+group commit is one frame: the frame's offset, the payload's length and
+checksum, a checksum of these three fields, and the payload. A frame is
+written and synced before the next one begins. So a frame torn by a crash
+is the last one in the last file, and a damaged frame that is followed by
+an intact one was damaged after its sync.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 MAGIC: Final = b"SYCLOG\x00\x01"
 SNAPSHOT_MAGIC: Final = b"SYCSNP\x00\x01"
 
-# The offset keeps a frame that some payload quotes, or that an earlier
-# use of the block left behind, from being taken for one of this place.
+# The offset keeps a frame from being accepted at the wrong place: a payload
+# may contain a frame, and a reused disk block may hold an old one.
 _FIELDS: Final = struct.Struct("<QII")
 _CHECKSUM: Final = struct.Struct("<I")
 HEADER_BYTES: Final = _FIELDS.size + _CHECKSUM.size
 
 
 class Frame(NamedTuple):
-    """One whole frame and where the next one begins."""
+    """Payload of a complete frame and the offset of the next frame."""
 
     payload: bytes
     end_bytes: int
 
 
 def make_frame(offset_bytes: int, payload: bytes) -> bytes:
-    """Return a frame for this place in a file."""
+    """Return a frame with this payload for this offset in a file."""
     fields = _FIELDS.pack(offset_bytes, len(payload), zlib.crc32(payload))
     return fields + _CHECKSUM.pack(zlib.crc32(fields)) + payload
 
 
 def read_frame(content: bytes, offset_bytes: int) -> Frame | None:
-    """Return the frame at a place, or None where there is no whole one."""
+    """Return the frame at an offset, or None if none is intact there."""
     start = offset_bytes + HEADER_BYTES
     if start > len(content):
         return None
@@ -63,10 +63,10 @@
 def read_frames(
     path: Path, content: bytes, *, is_last: bool
 ) -> Iterator[Frame]:
-    """Yield the whole frames of a file.
+    """Yield the intact frames of a file.
 
-    Stops before a torn frame at the end of the ``last`` file; raises
-    ``LogCorrupted`` for damage that no crash explains.
+    Stops before a torn frame at the end if ``is_last`` marks the newest
+    file; raises ``LogCorrupted`` for damage that no crash explains.
     """
     if content[: len(MAGIC)] != MAGIC:
         raise LogCorrupted(path, 0, "not a segment of a known format version")
@@ -85,8 +85,8 @@
     path: Path, content: bytes, offset: int, *, may_be_torn: bool
 ) -> None:
     if not may_be_torn:
-        # Files appear under their name with the first frame synced, and a
-        # file is left for the next one only after its last sync.
+        # A file gets its name only after its first frame is synced, and
+        # the next file is started only after the last sync of this one.
         raise LogCorrupted(path, offset, "checksum failed in a synced part")
     for later in range(offset + 1, len(content) - HEADER_BYTES + 1):
         if read_frame(content, later) is not None:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
@@ -1,9 +1,9 @@
-"""Segments and snapshots of one group, below one folder.
+"""Log segments and snapshots of one group in one folder.
 
-``log-NNNNNNNNNN.seg`` hold frames of records in the order of their
-numbers, ``snapshot-NNNNNNNNNN.snp`` the state after that index. A segment
-begins with the hard state, so those before it can be deleted once a
-snapshot covers their entries.
+The files ``log-NNNNNNNNNN.seg`` hold frames of records, in the order of
+their numbers. A file ``snapshot-NNNNNNNNNN.snp`` holds the state after
+that index. Each segment begins with the hard state, so the segments
+before it can be deleted once a snapshot covers their entries.
 """
 
 from __future__ import annotations
@@ -52,10 +52,10 @@
 
 
 class Storage:
-    """The files of one group; calls block and belong into a thread."""
+    """Files of one group; the methods block, so call them in a thread."""
 
     def __init__(self, folder: Path, segment_bytes: int) -> None:
-        """Name the folder; ``open`` touches it first."""
+        """Store the folder's path, which only ``open`` accesses."""
         self._folder = folder
         self._segment_bytes = segment_bytes
         self._hard = HardState()
@@ -65,14 +65,16 @@
         self._last_index = 0
         self._descriptor = -1
         self._size_bytes = 0
-        # Set while the tail may hold a frame that was not written whole.
+        # Set while the tail may hold an incomplete frame.
         self._tail_dirty = False
         self._delete_due = False
 
     def open(self, *, had_log: bool) -> Recovered:
-        """Read everything, cut a torn tail, and get ready to write.
+        """Read all files, cut off a torn frame and prepare for writing.
 
-        ``known`` says that the group had its files at an earlier start.
+        ``had_log`` says that the group had a log at an earlier start.
+        Raises ``StorageError`` if that log is gone and ``LogCorrupted``
+        for files that are damaged or missing in between.
         """
         with storage_errors(self._folder):
             self._prepare_folder(had_log)
@@ -83,8 +85,8 @@
             self._hard = recovered.hard
             self._open_tail()
             if image.entries and not recovered.entries:
-                # The next entry follows the snapshot; without this record
-                # it would seem to follow the entries dropped just now.
+                # The next entry follows the snapshot. Without this record
+                # it would appear to follow the entries just dropped.
                 self._write_frame([LogReset(recovered.snapshot.last_index)])
             self._delete_covered()
         return recovered
@@ -92,12 +94,12 @@
     def write(self, records: list[Record]) -> None:
         """Make records durable, all of them or none.
 
-        Raises ``DiskFull`` where there is no space; the same records can
-        be given again later.
+        Raises ``DiskFull`` if there is no space; the same records can then
+        be written again later.
         """
         with storage_errors(self._folder):
-            # Before anything else: once the records are on disk an error
-            # here would make the caller write them twice.
+            # This comes first: an error here after the records are on
+            # disk would make the caller write them twice.
             if self._delete_due:
                 self._delete_covered()
             if self._size_bytes >= self._segment_bytes:
@@ -114,8 +116,9 @@
 
     def _prepare_folder(self, had_log: bool) -> None:
         if had_log and not any(self._folder.glob("log-*.seg")):
-            # The identity outlived the log: with an empty log the member
-            # would vote again in terms in which it has voted.
+            # The identity file still exists but the log is gone. With an
+            # empty log the member would vote again in terms in which it
+            # has already voted.
             raise StorageError(
                 f"{self._folder} has lost its log; remove the whole data "
                 "folder to come back as a new member"
@@ -151,7 +154,7 @@
                 end = frame.end_bytes
             number = int(path.stem.removeprefix("log-"))
             if self._closed and number != self._closed[-1].number + 1:
-                raise LogCorrupted(path, 0, "the segment before is missing")
+                raise LogCorrupted(path, 0, "the preceding segment is missing")
             segment = _Segment(number, path, last_index)
             self._closed.append(segment)
             self._size_bytes = end
@@ -179,8 +182,8 @@
             self._update_state(record)
 
     def _truncate_torn_frame(self) -> None:
-        # A write that failed halfway left a part of its frame. A shorter
-        # frame over it would leave a rest that reads as damage.
+        # A failed write may have left a part of its frame. If a shorter
+        # frame replaced it, the remainder would look like damage.
         if not self._tail_dirty:
             return
         os.ftruncate(self._descriptor, self._size_bytes)
@@ -198,8 +201,8 @@
         number = self._segment_number + 1
         path = self._folder / f"log-{number:010d}.seg"
         first_frame = make_frame(len(MAGIC), encode_records([self._hard]))
-        # Written under another name first: a segment that lacks its first
-        # frame after a crash would lack the vote, too.
+        # The file is written under a temporary name first. A segment that
+        # lacks its first frame after a crash would also lack the vote.
         replace_file(path, MAGIC + first_frame)
         if self._descriptor >= 0:
             old_path = self._folder / f"log-{self._segment_number:010d}.seg"
@@ -223,7 +226,8 @@
 
     def _delete_covered(self) -> None:
         covered = self._snapshot.last_index
-        # Only from the oldest on: a gap would look like lost entries.
+        # Segments are deleted from the oldest on, since a gap between
+        # them would look like lost entries.
         while self._closed and self._closed[0].last_index <= covered:
             self._closed.pop(0).path.unlink()
         current = _snapshot_path(self._folder, covered)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/wire.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/wire.py
@@ -1,4 +1,4 @@
-"""Messages and records as bytes, in msgpack."""
+"""Encoding of messages and records as msgpack."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from sycamorestand_consensus.messages import VoteReply
 from sycamorestand_consensus.messages import VoteRequest
 
-# A position in these tuples is the type on the wire and on disk: new ones
-# are added at the end.
+# The position in BODY_TYPES and RECORD_TYPES identifies a type on the wire
+# and on disk, so new types are added at the end.
 BODY_TYPES: Final = (
     VoteRequest,
     VoteReply,
@@ -39,7 +39,7 @@
 
 
 class LogReset(NamedTuple):
-    """Drop every entry: the snapshot after ``last_index`` replaces them."""
+    """Delete all entries; the snapshot at ``last_index`` replaces them."""
 
     last_index: int
 
@@ -50,7 +50,7 @@
 
 
 class PayloadRefused(ConsensusError):
-    """Bytes are not a message of this protocol."""
+    """The payload is not a valid message of this protocol."""
 
 
 class _Envelope(NamedTuple):
@@ -76,7 +76,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the payload that another member's ``receive`` takes."""
+    """Encode a message as a payload for another member's ``receive``."""
     body = message.body
     kind = BODY_TYPES.index(type(body))
     raw = msgspec.Raw(_ENCODER.encode(body))
@@ -93,7 +93,7 @@
 
 
 def decode_message(payload: bytes) -> Message:
-    """Read a payload; raise ``PayloadRefused`` where it is none."""
+    """Decode a payload; raise ``PayloadRefused`` if it is invalid."""
     try:
         envelope = _ENVELOPE.decode(payload)
         body = _decoder(_BODIES, envelope.kind).decode(envelope.body)
@@ -109,7 +109,7 @@
 
 
 def encode_records(records: list[StoredRecord]) -> bytes:
-    """Return the records of one group commit."""
+    """Encode the records of one group commit."""
     frames = [
         _Frame(
             RECORD_TYPES.index(type(record)),
@@ -121,7 +121,10 @@
 
 
 def decode_records(data: bytes) -> list[StoredRecord]:
-    """Read the records of one group commit; may raise MsgspecError."""
+    """Decode the records of one group commit.
+
+    Raises ``MsgspecError`` or ``IndexError`` if they are invalid.
+    """
     return [
         cast(StoredRecord, _decoder(_RECORDS, frame.kind).decode(frame.body))
         for frame in _FRAMES.decode(data)
@@ -129,12 +132,12 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the content of a snapshot file."""
+    """Encode the content of a snapshot file."""
     return _ENCODER.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Read the content of a snapshot file; may raise MsgspecError."""
+    """Decode the content of a snapshot file; may raise ``MsgspecError``."""
     return _SNAPSHOT.decode(data)
 
 
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
@@ -1,4 +1,4 @@
-"""Writes batches in a thread, all that wait in one group commit."""
+"""Writes batches in a thread, all queued ones in one group commit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Writer:
-    """Batches on their way to the disk."""
+    """Queue of batches that are to be written to disk."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         wake: Callable[[], None],
         retry_s: float,
     ) -> None:
-        """Write to ``storage``; call ``wake`` when the core has news."""
+        """Write to ``storage``; call ``wake`` when the core has new output."""
         self._storage = storage
         self._now = now
         self._wake = wake
@@ -33,12 +33,16 @@
         self._batch_queued = anyio.Event()
 
     def enqueue(self, batch: Batch) -> None:
-        """Queue a batch behind those that wait."""
+        """Queue a batch after those already waiting."""
         self._batches.append(batch)
         self._batch_queued.set()
 
     async def run(self, core: Core) -> None:
-        """Write what is put and tell the core, until cancelled."""
+        """Write queued batches and report them to the core, until cancelled.
+
+        While the disk is full, the core is blocked and the write is retried
+        every ``retry_s``.
+        """
         while True:
             await self._batch_queued.wait()
             self._batch_queued = anyio.Event()
@@ -54,8 +58,9 @@
             try:
                 await to_thread.run_sync(self._storage.write, records)
             except DiskFull:
-                # The records stay here, and so do the answers that depend
-                # on them: nothing was promised that could be lost.
+                # The records stay here, and the core holds back the
+                # replies that depend on them, so nothing that was
+                # acknowledged can be lost.
                 core.set_blocked(True, self._now())
                 self._wake()
                 await anyio.sleep(self._retry_s)
