--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/applier.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/applier.py
@@ -1,4 +1,4 @@
-"""Applies committed entries to the state machine, some at a time."""
+"""Applies committed entries to the state machine in limited steps."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from sycamorestand_consensus.replica_types import StateMachine
 from sycamorestand_consensus.waiters import PendingProposals
 
-# After a restart thousands of entries commit at once. Applied in one go
-# they would hold up heartbeats; this many take a few milliseconds.
+# After a restart thousands of entries may be committed at once. Applying
+# them all in one step would delay heartbeats; this many entries take a few
+# milliseconds.
 MAX_APPLY_ENTRIES: Final = 256
 
 
 class Applier:
-    """The state machine and how far it has come."""
+    """State machine with the queue of entries to apply to it."""
 
     def __init__(
         self, machine: StateMachine, proposals: PendingProposals
     ) -> None:
-        """Begin before the first entry."""
+        """Start before the first entry."""
         self.applied_index = 0
         self._machine = machine
         self._proposals = proposals
@@ -30,18 +31,18 @@
 
     @property
     def has_pending(self) -> bool:
-        """Tell whether committed entries wait to be applied."""
+        """Return whether committed entries wait to be applied."""
         return bool(self._pending)
 
     def restore_initial(self, snapshot: Snapshot) -> None:
-        """Start from the snapshot that was found on disk."""
+        """Restore the snapshot recovered from disk, if there is one."""
         if snapshot.last_index > 0:
             self._restore(snapshot)
 
     def accept_output(
         self, install: Snapshot | None, committed: tuple[Entry, ...]
     ) -> None:
-        """Take in what the core returned."""
+        """Restore an installed snapshot and queue committed entries."""
         if install is not None:
             self._pending.clear()
             self._restore(install)
@@ -49,7 +50,7 @@
         self._pending.extend(committed)
 
     def apply_pending(self) -> None:
-        """Apply a bounded number of entries."""
+        """Apply at most ``MAX_APPLY_ENTRIES`` queued entries."""
         for _ in range(min(MAX_APPLY_ENTRIES, len(self._pending))):
             entry = self._pending.popleft()
             result = None
@@ -59,7 +60,7 @@
             self._proposals.resolve(entry, result)
 
     def snapshot(self) -> bytes:
-        """Return the state after ``applied_index``."""
+        """Return the state machine's snapshot after ``applied_index``."""
         return self._machine.snapshot()
 
     def _restore(self, snapshot: Snapshot) -> None:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
@@ -1,8 +1,9 @@
 """One member of one group, as the control process uses it.
 
-The replica carries out what the agreement core asks for: it sends, writes
-in a thread, applies. While one group commit is being synced the core goes
-on, and what it records meanwhile becomes the next group commit.
+The replica carries out the output of the Raft core: it sends messages,
+writes batches in a thread and applies entries. The core continues while a
+group commit is being synced, and the records that it adds meanwhile become
+the next group commit.
 
 Example: the first voter of a new group::
 
@@ -51,18 +52,19 @@
 
 LOG: Final = logging.getLogger(__name__)
 
-# Payloads beyond this many are dropped, as a network may: a member that
-# cannot keep up is served again by later messages.
+# Payloads beyond this many are dropped, as a network may do. A member that
+# cannot keep up catches up through later messages.
 INBOX_PAYLOADS: Final = 4096
 SEED_BITS: Final = 64
 
 
 class Replica:
-    """A member of a group: files, timers and the state machine.
+    """A member of a group with its files, timers and state machine.
 
-    The owner carries payloads: what ``send`` is given for a member id
-    must reach ``receive`` of that member, may be lost, doubled or late,
-    and is opaque. Addresses of members are in ``status().members``.
+    The owner transports opaque payloads: it passes each payload that
+    ``send`` gets for a member id to ``receive`` of that member. Payloads
+    may be lost, duplicated or delayed. The members' addresses are in
+    ``status().members``.
     """
 
     def __init__(
@@ -74,10 +76,11 @@
         send: Callable[[str, bytes], None],
         now: Callable[[], float],
     ) -> None:
-        """Read the identity; touch no other file before ``run``.
+        """Read the identity file; ``run`` opens the other files.
 
-        ``now`` must go on while the machine is suspended, as
-        ``CLOCK_BOOTTIME`` does: leases are measured with it.
+        ``now`` must advance while the machine is suspended, as
+        ``CLOCK_BOOTTIME`` does, since it measures leases. Raises
+        ``SettingsRefused`` for settings that contradict each other.
         """
         check_settings(settings)
         identity = open_identity(folder)
@@ -109,13 +112,13 @@
 
     @property
     def member_id(self) -> str:
-        """Return the id under which this data folder is a member."""
+        """Return the member id of this data folder."""
         return self._member_id
 
     async def run(self) -> None:
-        """Open the files and take part until cancelled.
+        """Open the files and take part in the group until cancelled.
 
-        Raises ``LogCorrupted`` or ``StorageError`` where files cannot be
+        Raises ``LogCorrupted`` or ``StorageError`` if the files cannot be
         trusted; the process should then stop.
         """
         try:
@@ -132,9 +135,10 @@
             self._storage.close()
 
     def receive(self, sender: str, payload: bytes) -> None:
-        """Take a payload that the member ``sender`` gave to its send.
+        """Queue a payload that the member ``sender`` passed to ``send``.
 
-        Payloads before ``run`` has opened the files are dropped.
+        Payloads that arrive before ``run`` has opened the files are
+        dropped.
         """
         if self._core is None or len(self._inbox) >= INBOX_PAYLOADS:
             return
@@ -142,12 +146,13 @@
         self._wake()
 
     async def bootstrap(self, members: Sequence[tuple[str, str]]) -> None:
-        """Start a new group of voters, as (member id, address) pairs.
+        """Start a new group of voters, given as (member id, address).
 
-        Only a blank member may; every listed voter must be given the same
-        list. Usual is one member alone, which then admits the others with
-        ``add_learner`` and ``promote``. Waits for ``run`` to begin and
-        returns once the membership is synced.
+        This member must be blank, and each listed voter must be given the
+        same list. Usually the list holds this member alone, which then
+        admits the others with ``add_learner`` and ``promote``. Waits for
+        ``run`` to open the files and returns once the membership is
+        synced. Raises ``BootstrapRefused``.
         """
         await self._opened.wait()
         core = self._require_core()
@@ -156,20 +161,20 @@
         await self._wait_until(lambda: is_synced(core.state))
 
     async def propose(self, command: bytes) -> object:
-        """Commit a command; return what ``apply`` returned here.
+        """Commit a command; return the result of ``apply`` on this member.
 
-        Raises ``NotLeader`` or ``ProposalRefused`` where nothing was
-        appended and ``ProposalLost`` where the outcome is unknown.
+        Raises ``NotLeader`` or ``ProposalRefused`` if nothing was appended
+        and ``ProposalLost`` if the outcome is unknown.
         """
         core = self._require_core()
         entry = core.propose(command, self._now())
         return await self._wait_applied(entry.log_index, entry.term)
 
     async def read_barrier(self) -> None:
-        """Return once the state machine holds all that was committed.
+        """Wait until all entries committed before the call are applied.
 
-        Confirms with a majority that this member still leads, so a read
-        after it is linearizable. Raises ``NotLeader``.
+        Confirms with a majority that this member still leads, so that a
+        read after it is linearizable. Raises ``NotLeader``.
         """
         core = self._require_core()
         self._last_barrier_id += 1
@@ -179,14 +184,14 @@
         await waiter.wait()
 
     def leader_lease_remaining_s(self) -> float:
-        """Return how long no other member can lead; 0 where unsure."""
+        """Return for how long no other member can lead; 0 if unknown."""
         if self._core is None:
             return 0.0
         now_s = self._now()
         return max(0.0, self._core.lease_until_s(now_s) - now_s)
 
     def status(self) -> ReplicaStatus:
-        """Return the member's view of the group."""
+        """Return this member's view of the group."""
         if self._core is None:
             return starting_status(self._member_id)
         return running_status(
@@ -194,33 +199,33 @@
         )
 
     async def add_learner(self, member_id: str, address: str) -> None:
-        """Admit a member that receives entries and does not vote.
+        """Add a member that receives entries and has no vote.
 
-        Also changes the address of a member that is already there.
+        Changes the address instead if the member exists.
         """
         core = self._require_core()
         index = core.add_learner(member_id, address, self._now())
         await self._wait_applied(index, core.state.term)
 
     async def promote(self, member_id: str) -> None:
-        """Make a learner that has caught up and synced a voter.
+        """Make a learner a voter after it has caught up and synced.
 
-        Raises ``MembershipRefused`` while it has not: ask again.
+        Raises ``MembershipRefused`` until then; the caller may retry.
         """
         core = self._require_core()
         index = core.promote(member_id, self._now())
         await self._wait_applied(index, core.state.term)
 
     async def remove(self, member_id: str) -> None:
-        """Remove a member; the leader itself must hand over first."""
+        """Remove a member; the leader must transfer leadership first."""
         core = self._require_core()
         index = core.remove(member_id, self._now())
         await self._wait_applied(index, core.state.term)
 
     async def transfer_leadership(self, target: str | None) -> None:
-        """Hand leadership to ``target``, or to the most caught-up voter.
+        """Transfer leadership to ``target`` or the most caught-up voter.
 
-        Returns once this member no longer leads; raises ``NotLeader`` or
+        Returns once this member no longer leads. Raises ``NotLeader`` or
         ``TransferFailed``.
         """
         core = self._require_core()
@@ -318,7 +323,7 @@
             return
         self._logged_state = current
         LOG.info(
-            "group %d, member %s: %s in term %d, disk and group %s",
+            "group %d, member %s: now %s in term %d, state %s",
             self._group,
             self._member_id,
             current[0],
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica_status.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica_status.py
@@ -1,4 +1,4 @@
-"""What a replica tells its owner about itself."""
+"""Status of a replica, as its owner sees it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def running_status(
     core: Core, applied_index: int, payloads_refused: int
 ) -> ReplicaStatus:
-    """Return the status of a member that takes part."""
+    """Return the status of a member whose files are open."""
     state = core.state
     return ReplicaStatus(
         member_id=state.member_id,
@@ -32,6 +32,7 @@
 
 
 def state_name(core: Core) -> str:
+    """Return the ``state`` of ``ReplicaStatus`` for an open replica."""
     if core.state.blocked:
         return "disk_full"
     return "blank" if core.is_blank else "ok"
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica_types.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica_types.py
@@ -1,4 +1,4 @@
-"""What an owner of a replica gives to it and sees of it."""
+"""State machine interface and status types for a replica's owner."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class StateMachine(Protocol):
-    """What the log drives; every member applies the same commands."""
+    """State machine to which every member applies the same commands."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command; must be deterministic, not raise."""
+        """Apply a committed command; must be deterministic and not raise."""
         ...
 
     def snapshot(self) -> bytes:
@@ -18,15 +18,15 @@
         ...
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an earlier ``snapshot``."""
+        """Replace the whole state with that of an earlier ``snapshot``."""
         ...
 
 
 class MemberStatus(NamedTuple):
     """One member as this replica knows it.
 
-    ``match_index`` is the last entry known to be synced there; it is
-    filled in at the leader only.
+    ``match_index`` is the last entry known to be synced on that member.
+    Only the leader knows it for the other members; elsewhere it is 0.
     """
 
     member_id: str
@@ -36,12 +36,12 @@
 
 
 class ReplicaStatus(NamedTuple):
-    """A replica at one moment.
+    """Status of a replica at one moment.
 
     ``role`` is ``follower``, ``pre_candidate``, ``candidate`` or
     ``leader``. ``state`` is ``starting`` (files are not open), ``blank``
     (belongs to no group yet), ``ok`` or ``disk_full``. ``leader_id`` is
-    empty where none is known.
+    empty if no leader is known.
     """
 
     member_id: str
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
@@ -1,4 +1,4 @@
-"""Callers that wait for an entry to be applied or a read to be confirmed."""
+"""Callers that wait for an applied entry or a confirmed read."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class Waiter:
-    """One caller, and what it will be told."""
+    """One caller that waits for a result or an error."""
 
     def __init__(self) -> None:
-        """Begin without an outcome."""
+        """Start without a result or error."""
         self._done = anyio.Event()
         self._result: object = None
         self._error: Exception | None = None
 
     def succeed(self, result: object) -> None:
-        """Wake the caller with a result."""
+        """Wake the caller and return it a result."""
         self._result = result
         self._done.set()
 
     def fail(self, error: Exception) -> None:
-        """Wake the caller with an error."""
+        """Wake the caller and raise an error in it."""
         self._error = error
         self._done.set()
 
@@ -44,10 +44,10 @@
 
 
 class PendingProposals:
-    """Waiters by the index of the entry that they proposed."""
+    """Waiters by the log index of the entry that they proposed."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Start without waiters."""
         self._by_index: dict[int, _Proposal] = {}
 
     def add(self, index: int, term: int) -> Waiter:
@@ -57,7 +57,11 @@
         return waiter
 
     def resolve(self, entry: Entry, result: object) -> None:
-        """Tell the caller, if the entry is still the one it proposed."""
+        """Pass the result to the caller that proposed the entry.
+
+        The caller gets ``ProposalLost`` if its own entry was overwritten
+        by one of another term.
+        """
         found = self._by_index.pop(entry.log_index, None)
         if found is None:
             return
@@ -67,7 +71,7 @@
             found.waiter.fail(ProposalLost("another entry took the place"))
 
     def fail_after(self, index: int, *, except_term: int) -> None:
-        """Give up those after ``index`` that are not of ``but_term``."""
+        """Fail the waiters after ``index``, except those of a term."""
         lost = [
             found
             for found, proposal in self._by_index.items()
@@ -78,7 +82,7 @@
             proposal.waiter.fail(ProposalLost("leadership was lost"))
 
     def fail_through(self, index: int) -> None:
-        """Give up those that a snapshot has passed over."""
+        """Fail the waiters up to ``index``, which a snapshot covers."""
         covered = [found for found in self._by_index if found <= index]
         for covered_index in covered:
             proposal = self._by_index.pop(covered_index)
@@ -86,10 +90,10 @@
 
 
 class PendingReads:
-    """Read barriers by number, then by the index that they wait for."""
+    """Waiters of read barriers, unconfirmed by id, then by read index."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Start without waiters."""
         self._unconfirmed: dict[int, Waiter] = {}
         self._confirmed: list[tuple[int, Waiter]] = []
 
@@ -100,13 +104,13 @@
         return waiter
 
     def confirm(self, barrier_id: int, index: int) -> None:
-        """Note that a read is safe once ``index`` is applied."""
+        """Let a read proceed once ``index`` is applied."""
         waiter = self._unconfirmed.pop(barrier_id, None)
         if waiter is not None:
             self._confirmed.append((index, waiter))
 
     def complete_through(self, index: int) -> None:
-        """Wake the callers whose index is applied."""
+        """Wake the callers whose read index is at most ``index``."""
         if not self._confirmed:
             return
         waiting = []
@@ -118,13 +122,13 @@
         self._confirmed = waiting
 
     def fail_unconfirmed(self, leader_id: str) -> None:
-        """Tell the callers that this member no longer leads."""
+        """Fail the unconfirmed reads, as this member does not lead."""
         for waiter in self._unconfirmed.values():
             waiter.fail(NotLeader(leader_id))
         self._unconfirmed.clear()
 
     def fail_all(self) -> None:
-        """Tell all callers that this member stops."""
+        """Fail all reads, as this member stops."""
         self.fail_unconfirmed("")
         for _, waiter in self._confirmed:
             waiter.fail(NotLeader(""))
