--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
@@ -10,7 +10,7 @@
     core = Core("a", settings, 1, recovered, now_s=0.0)
     core.bootstrap((("a", "10.0.0.1:7000"),), 0.0)
     batch = core.drain(0.0).batch
-    core.stored(batch.sequence, 0.1)
+    core.mark_synced(batch.sequence, 0.1)
 """
 
 from __future__ import annotations
--- a/packages/sycamorestand-consensus/tests/test_core.py
+++ b/packages/sycamorestand-consensus/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Elections and commits of the core of a replica."""
+"""Tests of elections and commits in the Raft core."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class TestElection:
-    def test_a_member_back_from_a_long_partition_deposes_nobody(self) -> None:
-        # Callers of the leader see nothing. A follower is cut off for ten
-        # minutes and its timeout fires again and again, then it returns.
-        # Pre-vote kept its term, so the leader has no reason to step down.
+    def test_a_member_back_from_a_partition_deposes_no_leader(self) -> None:
+        # A follower is partitioned for ten minutes, while its election
+        # timeout fires again and again. Without pre-votes its term would
+        # rise, and its return would depose the leader.
         cluster = make_cluster()
         leader = leader_of(cluster)
         term = leader.core.state.term
@@ -47,10 +47,12 @@
         assert {n.core.state.term for n in cluster.nodes} == {term}
 
     @pytest.mark.parametrize("inward", [True, False])
-    def test_a_leader_cut_off_one_way_steps_down(self, inward: bool) -> None:
-        # Proposals at the old leader fail. It hears but is not heard, or
-        # is heard but does not hear; either way no majority answers it, so
-        # it steps down and another member leads.
+    def test_a_leader_partitioned_one_way_steps_down(
+        self, inward: bool
+    ) -> None:
+        # The leader either cannot send or cannot receive. In both cases no
+        # majority answers it and its proposals fail, so it must step down
+        # for another member to lead.
         cluster = make_cluster()
         old = leader_of(cluster)
         cluster.isolate(old, inward=inward, outward=not inward)
@@ -58,19 +60,20 @@
         assert old.core.state.role != Role.LEADER
         assert leader_of(cluster) is not old
 
-    def test_a_deaf_follower_disturbs_nobody(self) -> None:
-        # The follower hears nothing but is heard: it asks for pre-votes
-        # all the time. The others hear their leader and refuse.
+    def test_a_follower_that_cannot_receive_deposes_no_leader(self) -> None:
+        # The follower can send but not receive, so it asks for pre-votes
+        # all the time. The others hear from their leader and must refuse.
         cluster = make_cluster()
         leader = leader_of(cluster)
-        deaf = other_than(cluster, leader)
-        cluster.isolate(deaf, inward=True, outward=False)
+        unreachable = other_than(cluster, leader)
+        cluster.isolate(unreachable, inward=True, outward=False)
         run(cluster, 30.0)
         assert leader_of(cluster) is leader
 
-    def test_a_vote_leaves_after_its_sync(self) -> None:
-        # A crash between vote and sync would let the member vote again in
-        # the same term, and two leaders could be elected.
+    def test_a_vote_is_sent_only_after_its_sync(self) -> None:
+        # If a vote was sent before its sync, a crash in between would let
+        # the member vote again in the same term, and two leaders could be
+        # elected.
         core = make_core(term=1)
         request = VoteRequest(2, 5, 1, pre=False, transfer=False)
         say(core, "b", 2, request, now_s=5.0)
@@ -86,7 +89,7 @@
         ("last_index", "last_term", "granted"),
         [(3, 2, True), (4, 2, True), (1, 3, True), (2, 2, False)],
     )
-    def test_only_a_log_as_new_gets_the_vote(
+    def test_only_an_up_to_date_log_gets_a_vote(
         self, last_index: int, last_term: int, granted: bool
     ) -> None:
         core = make_core(3, (entry(1, 1), entry(2, 2), entry(3, 2)))
@@ -97,10 +100,10 @@
         (reply,) = sync(core, 5.0)
         assert reply.body == VoteReply(4, pre=False, granted=granted)
 
-    def test_no_vote_for_a_while_after_a_restart(self) -> None:
-        # The member answered a leader, crashed and came back at once. The
-        # leader's lease rests on that answer, so it must not vote before
-        # the promise that it forgot has run out.
+    def test_a_restarted_member_does_not_vote_too_early(self) -> None:
+        # The member answered a leader, crashed and restarted at once. The
+        # leader's lease depends on that answer, so the member must not
+        # vote before the promise, which it has forgotten, has expired.
         core = make_core(term=1)
         request = VoteRequest(2, 5, 1, pre=False, transfer=False)
         say(core, "b", 2, request, now_s=0.7)
@@ -109,10 +112,10 @@
         say(core, "b", 2, request, now_s=0.81)
         assert len(sync(core, 0.81)) == 1
 
-    def test_a_member_that_nobody_admitted_gives_no_vote(self) -> None:
-        # A disk was wiped; its machine came back with a new id and an
-        # empty log. Any candidate is as new as that, so its vote would
-        # help to elect a leader that misses committed entries.
+    def test_a_member_outside_the_membership_grants_no_vote(self) -> None:
+        # A member's disk was wiped and it returned with a new id and an
+        # empty log. Any candidate's log is at least as up to date as that,
+        # so its vote could elect a leader that lacks committed entries.
         fresh = Core(
             "a",
             SETTINGS,
@@ -125,22 +128,22 @@
         (reply,) = sync(fresh, 5.0)
         assert reply.body == VoteReply(2, pre=False, granted=False)
 
-    def test_votes_of_strangers_are_not_counted(self) -> None:
+    def test_votes_of_non_members_are_not_counted(self) -> None:
         core = make_core(term=1)
         core.tick(5.0)
-        yes = VoteReply(2, pre=True, granted=True)
-        say(core, "x", 1, yes, now_s=5.0)
-        say(core, "y", 1, yes, now_s=5.0)
+        vote = VoteReply(2, pre=True, granted=True)
+        say(core, "x", 1, vote, now_s=5.0)
+        say(core, "y", 1, vote, now_s=5.0)
         assert core.state.role == Role.PRE_CANDIDATE
 
 
 class TestCommit:
-    def test_an_entry_of_an_earlier_term_waits_for_one_of_the_own(
+    def test_an_entry_of_an_earlier_term_is_not_committed_alone(
         self,
     ) -> None:
         # An entry of term 2 reaches a majority only now, in term 4. A
-        # member with an entry of term 3 in its place could still win and
-        # overwrite it, so it must not be called committed by itself.
+        # member with an entry of term 3 at the same index could still win
+        # and overwrite it, so the majority alone must not commit it.
         core = make_core(3, (entry(1, 1), entry(2, 2)))
         lead(core, now_s=5.0)
         say(core, "b", 4, matched(2), now_s=5.0)
@@ -149,7 +152,7 @@
         indexes = [e.log_index for e in core.drain(5.0).committed]
         assert indexes == [1, 2, 3]
 
-    def test_own_entries_count_after_the_own_sync(self) -> None:
+    def test_a_leader_counts_its_entries_only_after_its_sync(self) -> None:
         core = make_core(term=1)
         lead(core, now_s=5.0)
         proposed = core.propose(b"x", 5.0)
@@ -162,7 +165,7 @@
         second = [e.log_index for e in core.drain(5.0).committed]
         assert second == [2]
 
-    def test_many_proposals_leave_in_one_message(self) -> None:
+    def test_many_proposals_are_sent_in_one_message(self) -> None:
         core = make_core(term=1)
         lead(core, now_s=5.0)
         say(core, "b", 2, matched(1), now_s=5.0)
@@ -177,12 +180,12 @@
         ]
         assert sizes == [100]
 
-    def test_a_write_that_was_truncated_under_way_does_not_count(
+    def test_a_truncated_write_in_flight_does_not_count_as_synced(
         self,
     ) -> None:
         # Entries 1 to 3 of term 1 are being written when a leader of term
-        # 2 replaces 2 and 3. The first write ends: the disk holds the old
-        # entries, so an answer that claims the new ones would be a lie.
+        # 2 replaces 2 and 3. When the first write ends, the disk holds the
+        # old entries, so the member must not acknowledge the new ones.
         core = make_core(term=1)
         old = Append(0, 0, tuple(entry(i, 1) for i in (1, 2, 3)), 0, STAMP)
         say(core, "b", 1, old, now_s=1.0)
@@ -199,17 +202,17 @@
         (reply,) = core.drain(1.0).messages
         assert reply.body == matched(3)
 
-    def test_a_late_append_does_not_cut_what_came_after_it(self) -> None:
+    def test_a_delayed_append_does_not_truncate_later_entries(self) -> None:
         core = make_core(term=1)
         whole = Append(0, 0, tuple(entry(i, 1) for i in (1, 2, 3)), 0, STAMP)
         say(core, "b", 1, whole, now_s=1.0)
-        late = Append(0, 0, (entry(1, 1),), 0, STAMP)
-        say(core, "b", 1, late, now_s=1.0)
+        delayed = Append(0, 0, (entry(1, 1),), 0, STAMP)
+        say(core, "b", 1, delayed, now_s=1.0)
         assert core.state.log.last_index == 3
 
     def test_a_committed_entry_is_never_overwritten(self) -> None:
-        # Only a broken peer asks for this; the member stops rather than
-        # change what it has applied.
+        # Only a faulty peer sends such an entry. The member must stop
+        # instead of changing entries that it has applied.
         core = make_core(term=1)
         first = Append(0, 0, (entry(1, 1),), 1, STAMP)
         say(core, "b", 1, first, now_s=1.0)
--- a/packages/sycamorestand-consensus/tests/test_core_lease.py
+++ b/packages/sycamorestand-consensus/tests/test_core_lease.py
@@ -1,4 +1,4 @@
-"""Leases and promises of the core of a replica."""
+"""Tests of leader leases and promises in the Raft core."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class TestLease:
-    def test_it_counts_from_the_send_time_that_a_majority_answered(
+    def test_a_lease_counts_from_the_send_time_a_majority_answered(
         self,
     ) -> None:
         core = make_core(term=1)
@@ -43,8 +43,9 @@
     def test_a_heartbeat_is_answered_while_entries_are_written(
         self,
     ) -> None:
-        # A follower's disk takes its time. If its answers waited for it,
-        # the leader would lose its lease and its office to a slow fsync.
+        # A follower's disk is slow. If its heartbeat replies waited for
+        # the sync, the leader would lose its lease and its leadership
+        # because of a slow fsync.
         core = make_core(term=1)
         sync(core, 0.0)
         entries = Append(0, 0, (entry(1, 1),), 0, Stamp(1, 1.0))
@@ -56,9 +57,9 @@
         assert reply.body == matched(0, Stamp(1, 1.1))
 
     def test_a_leader_that_steps_down_keeps_its_promise(self) -> None:
-        # The leader handed out leases under its own, then its disk fills
-        # and it follows. Voting for a successor now would put that one
-        # beside leases that still run.
+        # The leader granted leases under its own, then its disk fills up
+        # and it steps down. If it voted for a successor now, that one
+        # could lead while the granted leases are still running.
         core = make_core(term=1)
         lead(core, now_s=5.0)
         say(core, "b", 2, matched(1, Stamp(1, 5.0)), now_s=5.0)
@@ -71,11 +72,11 @@
         say(core, "c", 3, request, now_s=until_s + 0.01)
         assert core.state.term == 3
 
-    def test_a_leader_by_hand_over_waits_before_its_first_lease(
+    def test_a_leader_by_transfer_waits_before_its_first_lease(
         self,
     ) -> None:
-        # The hand-over passes over all promises, so that it takes
-        # milliseconds; leases of the old leader may still run.
+        # A transfer bypasses all promises so that it takes milliseconds.
+        # Leases of the old leader may still be running.
         cluster = make_cluster()
         old = leader_of(cluster)
         cluster.transfer(old, None)
@@ -87,9 +88,9 @@
         run(cluster, 1.0)
         assert new.core.lease_until_s(new.local_s) > new.local_s
 
-    def test_no_lease_after_the_order_to_take_over(self) -> None:
+    def test_a_leader_claims_no_lease_after_ordering_a_transfer(self) -> None:
         # The order may arrive late, so the leader can no longer know that
-        # it is alone; when nothing comes of it, it steps down.
+        # it is the only leader. If the transfer fails, it must step down.
         cluster = make_cluster()
         leader = leader_of(cluster)
         cluster.transfer(leader, None)
@@ -102,11 +103,11 @@
 
 
 class TestRestartedLeader:
-    def test_a_restart_of_all_members_needs_no_wait(self) -> None:
-        # All members are killed and come back within the second. Nobody
-        # is served until one leads. Each follower may have promised the
-        # leader not to vote, so they waited for 0.8 s and more; but the
-        # leader's lease was in its memory, and it is back to say so.
+    def test_a_restart_of_all_members_waits_for_no_promise(self) -> None:
+        # All members are killed and restart within a second. Each follower
+        # may have promised the leader not to vote, so without an
+        # announcement nobody would lead for at least 0.8 s. The old
+        # leader's lease was only in memory, so it can announce the end.
         cluster = make_cluster()
         old = leader_of(cluster)
         run(cluster, 1.0)
@@ -119,9 +120,10 @@
         assert new.name == old.name
         assert new.core.lease_until_s(new.local_s) > new.local_s
 
-    def test_a_follower_cannot_end_the_promise(self) -> None:
-        # The leader goes on while a follower restarts; with its vote and
-        # another's it would lead beside a lease that still runs.
+    def test_a_restarted_follower_cannot_end_a_promise(self) -> None:
+        # The leader keeps running while a follower restarts. With its own
+        # vote and another one, the follower would lead while the leader's
+        # lease is still running.
         core = make_core(term=3)
         request = VoteRequest(4, 9, 3, pre=False, transfer=False)
         say(core, "b", 4, request, now_s=0.1)
@@ -131,12 +133,12 @@
         ("term", "ended_term", "granted"),
         [(3, 3, True), (2, 3, True), (4, 3, False), (3, 0, False)],
     )
-    def test_only_promises_up_to_the_term_that_was_led_end(
+    def test_a_restarted_leader_ends_promises_up_to_its_term(
         self, term: int, ended_term: int, granted: bool
     ) -> None:
-        # A leader stops; another is elected after it, and the first one
-        # comes back. It knows nothing of its successor's lease, so a
-        # member that has the successor's term keeps its promise.
+        # A leader stops, another one is elected, and the first one
+        # restarts. It does not know of its successor's lease, so a member
+        # in the successor's term must keep its promise.
         core = make_core(term)
         request = VoteRequest(
             5, 9, 4, pre=True, transfer=False, ended_term=ended_term
@@ -145,26 +147,30 @@
         (reply,) = core.drain(0.1).messages
         assert reply.body == VoteReply(5, pre=True, granted=granted)
 
-    def test_what_it_led_is_told_in_the_next_election_only(self) -> None:
+    def test_the_ended_term_is_announced_in_one_election_only(self) -> None:
         # The first election after the restart fails. Another member may
-        # have won it, so the one after it waits as any other does.
+        # have won in the meantime, so in the next one the member must not
+        # declare any lease ended.
         snapshot = Snapshot(0, 0, MEMBERS, b"")
         hard = HardState(3, "a", CLUSTER, led=True)
         core = Core("a", SETTINGS, 1, Recovered(hard, snapshot, ()), 0.0)
         core.tick(0.2)
         first = core.drain(0.2).messages
         assert {message.body.ended_term for message in first} == {3}
-        yes = VoteReply(4, pre=True, granted=True)
-        say(core, "b", 3, yes, now_s=0.2)
-        asked = sync(core, 0.2)
-        assert {message.body.ended_term for message in asked} == {3}
+        vote = VoteReply(4, pre=True, granted=True)
+        say(core, "b", 3, vote, now_s=0.2)
+        requests = sync(core, 0.2)
+        assert {message.body.ended_term for message in requests} == {3}
         core.tick(5.0)
         later = core.drain(5.0).messages
         assert {message.body.ended_term for message in later} == {0}
 
-    def test_a_leader_by_hand_over_says_so_only_with_a_lease(self) -> None:
-        # The leader hands over and the new one crashes at once. Leases of
-        # the first may still run, and the new one cannot speak for them.
+    def test_a_leader_by_transfer_records_leadership_with_a_lease(
+        self,
+    ) -> None:
+        # The leader transfers leadership and the new leader crashes at
+        # once. Leases of the old leader may still be running, and the new
+        # one cannot declare them ended.
         cluster = make_cluster()
         cluster.transfer(leader_of(cluster), None)
         for _ in range(10):
@@ -176,8 +182,8 @@
         assert new.core.state.hard.led
 
     def test_a_leader_that_only_stepped_down_ends_no_promise(self) -> None:
-        # Its disk was full for a moment: it follows, but what was granted
-        # under its lease is still held by others.
+        # The leader's disk was full for a moment, so it stepped down
+        # without a restart. Others still hold leases granted under its own.
         core = make_core(term=1)
         lead(core, now_s=5.0)
         core.tick(5.2)
@@ -186,5 +192,5 @@
         core.set_blocked(False, 5.3)
         sync(core, 5.3)
         core.tick(9.0)
-        asked = core.drain(9.0).messages
-        assert {message.body.ended_term for message in asked} == {0}
+        requests = core.drain(9.0).messages
+        assert {message.body.ended_term for message in requests} == {0}
--- a/packages/sycamorestand-consensus/tests/test_core_machine.py
+++ b/packages/sycamorestand-consensus/tests/test_core_machine.py
@@ -18,10 +18,11 @@
 
 
 class FaultyGroup(RuleBasedStateMachine):
-    """Members under faults; ``Checker`` raises at the first broken promise.
+    """A group under random faults; ``Checker`` raises on a violation.
 
-    After every step: one leader a term, no committed entry lost or moved,
-    equal states after equal indexes, never two nodes with a valid lease.
+    After each step, a term has at most one leader, no committed entry is
+    lost or moved, states at equal indexes are equal, and at most one node
+    holds a valid lease.
     """
 
     @initialize(
@@ -125,20 +126,20 @@
         lost = self._member(number)
         if len(self.cluster.nodes) >= 9 or not self.cluster.wipe(lost):
             return
-        fresh = self.cluster.add_node()
+        replacement = self.cluster.add_node()
         self.run_fairly(30)
         for step in (
             self.cluster.admit,
             self.cluster.promote,
         ):
             for leader in self.cluster.leaders():
-                step(leader, fresh.name)
+                step(leader, replacement.name)
             self.run_fairly(5)
         for leader in self.cluster.leaders():
             self.cluster.remove(leader, lost.name)
 
     @invariant()
-    def applied_states_are_of_one_history(self) -> None:
+    def applied_entries_are_committed(self) -> None:
         if not hasattr(self, "cluster"):
             return
         for node in self.cluster.running():
@@ -148,7 +149,9 @@
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
-            assert self.cluster.settle(), "stuck after all faults healed"
+            assert self.cluster.settle(), (
+                "no progress after all faults were healed"
+            )
 
     def _member(self, number: int) -> Node:
         return self.cluster.nodes[number % len(self.cluster.nodes)]
--- a/packages/sycamorestand-consensus/tests/test_core_membership.py
+++ b/packages/sycamorestand-consensus/tests/test_core_membership.py
@@ -1,4 +1,4 @@
-"""Changes of members, and the core's recovery."""
+"""Tests of membership changes and recovery of the Raft core."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TestMembership:
-    def test_one_change_at_a_time(self) -> None:
+    def test_a_second_uncommitted_change_is_refused(self) -> None:
         core = make_core(term=1)
         lead(core, now_s=5.0)
         with pytest.raises(MembershipRefused, match="this term"):
@@ -58,7 +58,7 @@
         assert found.voter
 
     @pytest.mark.parametrize("member_id", ["a", "x"])
-    def test_neither_the_leader_nor_a_stranger_is_removed(
+    def test_neither_the_leader_nor_a_non_member_is_removed(
         self, member_id: str
     ) -> None:
         core = make_core(term=1)
@@ -67,7 +67,7 @@
         with pytest.raises(MembershipRefused):
             core.remove(member_id, 5.0)
 
-    def test_a_change_that_is_overwritten_is_taken_back(self) -> None:
+    def test_an_overwritten_change_is_reverted(self) -> None:
         core = make_core(term=1)
         lead(core, now_s=5.0)
         say(core, "b", 2, matched(1), now_s=5.0)
@@ -76,9 +76,10 @@
         say(core, "c", 3, replaced, now_s=5.0)
         assert find_member(core.state.membership, "d") is None
 
-    def test_two_groups_never_exchange_entries(self) -> None:
-        # Somebody bootstraps a second group by mistake and points it at a
-        # member of the first. The names of the groups differ.
+    def test_messages_of_another_group_are_ignored(self) -> None:
+        # A second group is bootstrapped by mistake and sends messages to a
+        # member of the first. The cluster ids differ, so the member must
+        # ignore them.
         core = make_core(term=1)
         body = Append(0, 0, (entry(1, 9),), 1, STAMP)
         core.receive(Message("b", "a", "other", 9, body), 1.0)
@@ -88,7 +89,9 @@
             core.bootstrap((("a", "at-a"),), 1.0)
 
     @pytest.mark.parametrize("target", ["a", "x"])
-    def test_leadership_goes_to_another_voter_only(self, target: str) -> None:
+    def test_leadership_is_transferred_only_to_other_voters(
+        self, target: str
+    ) -> None:
         core = make_core(term=1)
         lead(core, now_s=5.0)
         with pytest.raises(TransferFailed):
@@ -96,11 +99,11 @@
 
 
 class TestRecovery:
-    def test_a_second_disk_is_lost_right_after_a_repair(self) -> None:
-        # Operators see two disks lost within seconds. The first voter is
-        # replaced as a new member, which is admitted, catches up from a
-        # snapshot and votes; then a second one is lost for good. All that
-        # was committed is still there and the group goes on.
+    def test_nothing_is_lost_with_a_second_disk_after_a_repair(self) -> None:
+        # Two voters lose their disks within seconds. The first is replaced
+        # by a new member, which is admitted, catches up from a snapshot
+        # and is promoted. Then the second is lost for good. All committed
+        # entries must remain and the group must continue.
         cluster = make_cluster(trailing_entries=0, snapshot_chunk_bytes=5)
         leader = leader_of(cluster)
         for _ in range(50):
@@ -110,10 +113,10 @@
             node.compact()
         lost = other_than(cluster, leader)
         assert cluster.wipe(lost)
-        fresh = cluster.add_node()
-        cluster.admit(leader, fresh.name)
+        replacement = cluster.add_node()
+        cluster.admit(leader, replacement.name)
         run(cluster, 1.0)
-        cluster.promote(leader, fresh.name)
+        cluster.promote(leader, replacement.name)
         run(cluster, 1.0)
         cluster.remove(leader, lost.name)
         run(cluster, 1.0)
@@ -124,9 +127,9 @@
         assert len(cluster.checker.committed) > before
         assert leader_of(cluster).applied_index > before
 
-    def test_a_restart_after_a_thousand_changes(self) -> None:
-        # All members restart at once. A snapshot bounds what is replayed,
-        # and every change is there afterwards.
+    def test_a_restart_keeps_a_thousand_changes(self) -> None:
+        # All members restart at once. The snapshot must bound the number
+        # of replayed entries, and every change must be kept.
         cluster = make_cluster(trailing_entries=10)
         leader = leader_of(cluster)
         for number in range(1000):
@@ -147,9 +150,10 @@
         assert cluster.settle()
         assert leader_of(cluster).applied_index > committed
 
-    def test_a_full_disk_steps_aside_and_comes_back(self) -> None:
-        # The leader's disk fills: it follows, another member leads, and
-        # once there is space the member catches up. Nothing is lost.
+    def test_a_leader_with_a_full_disk_steps_down_and_catches_up(self) -> None:
+        # The leader's disk fills up, so it must step down for another
+        # member to lead. Once there is space, it must catch up without
+        # loss.
         cluster = make_cluster()
         full = leader_of(cluster)
         full.set_disk_full(True)
--- a/packages/sycamorestand-consensus/tests/test_replica.py
+++ b/packages/sycamorestand-consensus/tests/test_replica.py
@@ -24,11 +24,11 @@
 
 SETTINGS = ReplicaSettings(snapshot_every_entries=100, trailing_entries=10)
 GROUP = 0
-GUARD_S = 60.0
+TIMEOUT_S = 60.0
 
 
-class Commands:
-    """A state machine that keeps every command."""
+class RecordingMachine:
+    """A state machine that records every command."""
 
     def __init__(self) -> None:
         self.applied: list[bytes] = []
@@ -45,17 +45,17 @@
 
 
 class Vm:
-    """A replica that can be stopped and started on its folder."""
+    """A replica that can be stopped and restarted on its folder."""
 
     def __init__(self, network: Network, folder: Path) -> None:
         self._network = network
         self._folder = folder
-        self.machine = Commands()
-        self.replica = self._make()
+        self.machine = RecordingMachine()
+        self.replica = self._make_replica()
         self._scope = anyio.CancelScope()
         self._stopped = anyio.Event()
 
-    def _make(self) -> Replica:
+    def _make_replica(self) -> Replica:
         return Replica(
             self._folder,
             GROUP,
@@ -72,8 +72,8 @@
 
     async def restart(self) -> None:
         await self.stop()
-        self.machine = Commands()
-        self.replica = self._make()
+        self.machine = RecordingMachine()
+        self.replica = self._make_replica()
         self._scope = anyio.CancelScope()
         self._stopped = anyio.Event()
         self._network.start(self)
@@ -83,17 +83,17 @@
         await self._stopped.wait()
 
     def _send(self, to: str, payload: bytes) -> None:
-        self._network.carry(self.replica.member_id, to, payload)
+        self._network.deliver(self.replica.member_id, to, payload)
 
 
 class Network:
-    """Replicas in this process and the payloads between them."""
+    """Replicas in this process and the transport between them."""
 
     def __init__(self, folder: Path, start: Callable[[Vm], None]) -> None:
         self._folder = folder
         self.start = start
         self.vms: list[Vm] = []
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
 
     def add(self) -> Vm:
         vm = Vm(self, self._folder / f"vm-{len(self.vms)}")
@@ -101,8 +101,8 @@
         self.start(vm)
         return vm
 
-    def carry(self, sender: str, to: str, payload: bytes) -> None:
-        if sender in self.cut or to in self.cut:
+    def deliver(self, sender: str, to: str, payload: bytes) -> None:
+        if sender in self.partitioned or to in self.partitioned:
             return
         for vm in self.vms:
             if vm.replica.member_id == to:
@@ -113,16 +113,16 @@
             vm
             for vm in self.vms
             if vm.replica.status().role == "leader"
-            and vm.replica.member_id not in self.cut
+            and vm.replica.member_id not in self.partitioned
         ]
 
     async def leader(self) -> Vm:
-        await until(lambda: len(self.leaders()) == 1)
+        await wait_until(lambda: len(self.leaders()) == 1)
         (leader,) = self.leaders()
         return leader
 
     async def join(self, vm: Vm) -> None:
-        """Admit a blank member and make it a voter."""
+        """Add a blank member as a learner and promote it to a voter."""
         leader = (await self.leader()).replica
         member_id = vm.replica.member_id
         await leader.add_learner(member_id, "at")
@@ -134,14 +134,14 @@
                 await anyio.sleep(0.01)
 
 
-async def until(done: Callable[[], bool]) -> None:
-    while not done():
+async def wait_until(is_done: Callable[[], bool]) -> None:
+    while not is_done():
         await anyio.sleep(0.005)
 
 
 @contextlib.asynccontextmanager
 async def group_of(folder: Path, count: int) -> AsyncIterator[Network]:
-    with anyio.fail_after(GUARD_S):
+    with anyio.fail_after(TIMEOUT_S):
         async with anyio.create_task_group() as tasks:
             network = Network(folder, lambda vm: tasks.start_soon(vm.run))
             vms = [network.add() for _ in range(count)]
@@ -154,7 +154,9 @@
 
 
 class TestReplica:
-    def test_three_start_from_one_and_commit(self, tmp_path: Path) -> None:
+    def test_a_group_grows_to_three_voters_and_commits(
+        self, tmp_path: Path
+    ) -> None:
         async def scenario() -> None:
             async with group_of(tmp_path, 3) as network:
                 leader = (await network.leader()).replica
@@ -162,7 +164,7 @@
                 assert await leader.propose(b"two") == 2
                 await leader.read_barrier()
                 assert leader.leader_lease_remaining_s() > 0.0
-                await until(
+                await wait_until(
                     lambda: all(
                         vm.machine.applied == [b"one", b"two"]
                         for vm in network.vms
@@ -174,7 +176,9 @@
 
         anyio.run(scenario)
 
-    def test_others_name_the_leader(self, tmp_path: Path) -> None:
+    def test_followers_refuse_and_name_the_leader(
+        self, tmp_path: Path
+    ) -> None:
         async def scenario() -> None:
             async with group_of(tmp_path, 3) as network:
                 leader = await network.leader()
@@ -188,7 +192,7 @@
 
         anyio.run(scenario)
 
-    def test_leadership_is_handed_over(self, tmp_path: Path) -> None:
+    def test_leadership_is_transferred(self, tmp_path: Path) -> None:
         async def scenario() -> None:
             async with group_of(tmp_path, 3) as network:
                 old = await network.leader()
@@ -199,28 +203,28 @@
 
         anyio.run(scenario)
 
-    def test_a_proposal_at_a_leader_cut_off_is_lost(
+    def test_a_proposal_at_a_partitioned_leader_is_lost(
         self, tmp_path: Path
     ) -> None:
-        # The caller sees "outcome unknown". The leader appended the entry
-        # and is cut off before a majority has it. It steps down, and only
-        # the next leader decides whether the entry stays.
+        # The leader appended the entry and is partitioned before a majority
+        # has it. It steps down, and only the next leader decides whether
+        # the entry stays, so the caller must get an unknown outcome.
         async def scenario() -> None:
             async with group_of(tmp_path, 3) as network:
                 old = await network.leader()
-                network.cut.add(old.replica.member_id)
+                network.partitioned.add(old.replica.member_id)
                 with pytest.raises(ProposalLost):
                     await old.replica.propose(b"lost")
                 new = await network.leader()
                 await new.replica.propose(b"kept")
-                network.cut.clear()
-                await until(lambda: old.machine.applied == [b"kept"])
+                network.partitioned.clear()
+                await wait_until(lambda: old.machine.applied == [b"kept"])
 
         anyio.run(scenario)
 
-    def test_a_restart_after_a_thousand_changes(self, tmp_path: Path) -> None:
-        # All processes stop and start on their folders. Snapshots bound
-        # what is read, and every change is there in its order.
+    def test_a_restart_keeps_a_thousand_changes(self, tmp_path: Path) -> None:
+        # All processes stop and restart on their folders. They must
+        # recover every change in order from snapshots and log.
         commands = [b"change %d" % number for number in range(1000)]
 
         async def scenario() -> None:
@@ -232,7 +236,7 @@
                     await vm.restart()
                 leader = (await network.leader()).replica
                 await leader.read_barrier()
-                await until(
+                await wait_until(
                     lambda: all(
                         vm.machine.applied == commands for vm in network.vms
                     )
@@ -244,9 +248,9 @@
     def test_a_wiped_voter_is_replaced_from_a_snapshot(
         self, tmp_path: Path
     ) -> None:
-        # A VM lost its disk and a fresh one takes its place under a new
-        # id. The log that it needs is compacted away, so it gets the
-        # snapshot, is promoted, and the lost member is removed.
+        # A VM lost its disk and a new one replaces it under a new id. The
+        # entries that it needs are compacted away, so it must receive the
+        # snapshot. It is promoted and the lost member is removed.
         async def scenario() -> None:
             async with group_of(tmp_path, 3) as network:
                 leader = await network.leader()
@@ -254,35 +258,40 @@
                 await lost.stop()
                 for number in range(250):
                     await leader.replica.propose(b"%d" % number)
-                fresh = network.add()
-                assert fresh.replica.member_id != lost.replica.member_id
-                await network.join(fresh)
+                replacement = network.add()
+                assert replacement.replica.member_id != lost.replica.member_id
+                await network.join(replacement)
                 await leader.replica.remove(lost.replica.member_id)
-                await until(lambda: len(fresh.machine.applied) == 250)
-                assert fresh.machine.applied == leader.machine.applied
-                ids = {m.member_id for m in fresh.replica.status().members}
+                await wait_until(
+                    lambda: len(replacement.machine.applied) == 250
+                )
+                assert replacement.machine.applied == leader.machine.applied
+                ids = {
+                    m.member_id for m in replacement.replica.status().members
+                }
                 assert lost.replica.member_id not in ids
 
         anyio.run(scenario)
 
-    def test_a_full_disk_steps_aside_and_comes_back(
+    def test_a_full_disk_delays_a_commit_and_loses_nothing(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The caller's change is neither lost nor confirmed early: while no
-        # write succeeds the state says so, and the commit follows once
-        # there is space. A lone voter has nobody to hand over to.
+        # A change on a full disk must be neither lost nor confirmed early.
+        # While writes fail, the status reports the full disk; the commit
+        # follows once there is space. A single voter has no other voter
+        # that could lead.
         async def scenario() -> None:
             async with group_of(tmp_path, 1) as network:
                 vm = await network.leader()
                 await vm.replica.propose(b"before")
-                monkeypatch.setattr(os, "pwrite", no_space)
+                monkeypatch.setattr(os, "pwrite", pwrite_without_space)
                 with pytest.raises(ProposalLost):
                     await vm.replica.propose(b"during")
                 assert vm.replica.status().state == "disk_full"
                 with pytest.raises(NotLeader):
                     await vm.replica.propose(b"refused")
                 monkeypatch.undo()
-                await until(lambda: vm.replica.status().state == "ok")
+                await wait_until(lambda: vm.replica.status().state == "ok")
                 await network.leader()
                 await vm.replica.propose(b"after")
                 expected = [b"before", b"during", b"after"]
@@ -316,7 +325,7 @@
                 tmp_path / "vm-0",
                 GROUP,
                 SETTINGS,
-                Commands(),
+                RecordingMachine(),
                 lambda to, payload: None,
                 time.monotonic,
             )
@@ -328,8 +337,8 @@
     def test_a_lost_log_under_the_same_id_ends_the_run(
         self, tmp_path: Path
     ) -> None:
-        # Somebody removed the group's folder and left the identity. The
-        # member must not come back with an empty log under its old id.
+        # The group's folder was removed but the identity file was kept.
+        # The member must not return with an empty log under its old id.
         async def scenario() -> None:
             async with group_of(tmp_path, 1) as network:
                 await network.vms[0].replica.propose(b"x")
@@ -338,7 +347,7 @@
                 tmp_path / "vm-0",
                 GROUP,
                 SETTINGS,
-                Commands(),
+                RecordingMachine(),
                 lambda to, payload: None,
                 time.monotonic,
             )
@@ -347,26 +356,28 @@
 
         anyio.run(scenario)
 
-    def test_foreign_payloads_are_counted_and_dropped(
+    def test_invalid_payloads_are_counted_and_dropped(
         self, tmp_path: Path
     ) -> None:
         async def scenario() -> None:
             async with group_of(tmp_path, 1) as network:
                 replica = network.vms[0].replica
                 replica.receive("x", b"\xc1 no message")
-                await until(lambda: replica.status().payloads_refused == 1)
+                await wait_until(
+                    lambda: replica.status().payloads_refused == 1
+                )
                 assert await replica.propose(b"x") == 1
 
         anyio.run(scenario)
 
-    def test_before_its_run_it_has_an_id_and_refuses(
+    def test_a_replica_before_its_run_refuses_proposals(
         self, tmp_path: Path
     ) -> None:
         replica = Replica(
             tmp_path,
             GROUP,
             SETTINGS,
-            Commands(),
+            RecordingMachine(),
             lambda to, payload: None,
             time.monotonic,
         )
@@ -386,7 +397,7 @@
             {"max_append_bytes": 0},
         ],
     )
-    def test_contradictions_are_refused(
+    def test_contradictory_settings_are_refused(
         self, tmp_path: Path, changed: dict[str, float]
     ) -> None:
         refused = SETTINGS._replace(**changed)  # type: ignore[arg-type]
@@ -395,11 +406,11 @@
                 tmp_path,
                 GROUP,
                 refused,
-                Commands(),
+                RecordingMachine(),
                 lambda to, payload: None,
                 time.monotonic,
             )
 
 
-def no_space(descriptor: int, data: bytes, offset: int) -> int:
+def pwrite_without_space(descriptor: int, data: bytes, offset: int) -> int:
     raise OSError(errno.ENOSPC, "no space left on device")
--- a/packages/sycamorestand-consensus/tests/test_storage.py
+++ b/packages/sycamorestand-consensus/tests/test_storage.py
@@ -70,20 +70,20 @@
     return sorted(folder.glob("log-*.seg"))
 
 
-def flip(path: Path, offset: int) -> None:
+def flip_bit(path: Path, offset: int) -> None:
     content = bytearray(path.read_bytes())
     content[offset] ^= 1
     path.write_bytes(content)
 
 
 class TestReopening:
-    def test_everything_that_was_synced_is_found(self, tmp_path: Path) -> None:
+    def test_all_synced_records_are_recovered(self, tmp_path: Path) -> None:
         write(tmp_path, [HARD], [append(1, 3)], [append(4, 4)])
         found = reopen(tmp_path)
         assert found.hard == HARD
         assert found.entries == tuple(entry(i) for i in range(1, 5))
 
-    def test_truncated_entries_stay_away(self, tmp_path: Path) -> None:
+    def test_truncated_entries_are_not_recovered(self, tmp_path: Path) -> None:
         write(tmp_path, [append(1, 5)], [LogTruncate(3), append(3, 3, 2)])
         found = reopen(tmp_path)
         assert found.entries == (entry(1), entry(2), entry(3, 2))
@@ -114,12 +114,12 @@
     @pytest.mark.parametrize(
         ("last", "kept"), [(3, []), (12, [])], ids=["shorter", "parted"]
     )
-    def test_a_crash_between_snapshot_and_log(
+    def test_a_crash_between_snapshot_and_log_reset(
         self, tmp_path: Path, last: int, kept: list[int]
     ) -> None:
-        # The snapshot of the leader is durable, the record that drops the
-        # old entries is not. After the restart the log begins behind the
-        # snapshot, also after one restart more.
+        # The leader's snapshot is durable, but the record that drops the
+        # old entries is not. After this restart and the next one, the log
+        # must begin after the snapshot.
         write(tmp_path, [append(1, last)])
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=True)
@@ -132,11 +132,12 @@
 
 class TestTornTail:
     @pytest.mark.parametrize("lost_bytes", [1, 5, 30, 40])
-    def test_a_torn_write_is_cut_and_written_over(
+    def test_a_torn_write_is_truncated_and_overwritten(
         self, tmp_path: Path, lost_bytes: int
     ) -> None:
-        # The machine lost power during the last group commit. Its answers
-        # never left, so cutting it loses nothing that was promised.
+        # The machine lost power during the last group commit. The replies
+        # that depend on it were never sent, so truncating it loses no
+        # acknowledged entry.
         write(tmp_path, [append(1, 2)], [append(3, 3)])
         path = segments(tmp_path)[-1]
         path.write_bytes(path.read_bytes()[:-lost_bytes])
@@ -144,19 +145,21 @@
         write(tmp_path, [append(3, 4)])
         assert indexes(reopen(tmp_path)) == [1, 2, 3, 4]
 
-    def test_blocks_of_zeros_at_the_end_are_cut(self, tmp_path: Path) -> None:
+    def test_blocks_of_zeros_at_the_end_are_truncated(
+        self, tmp_path: Path
+    ) -> None:
         write(tmp_path, [append(1, 2)])
         path = segments(tmp_path)[-1]
         path.write_bytes(path.read_bytes() + bytes(300))
         assert indexes(reopen(tmp_path)) == [1, 2]
 
-    def test_a_quoted_frame_does_not_look_like_damage(
+    def test_an_embedded_frame_does_not_look_like_damage(
         self, tmp_path: Path
     ) -> None:
-        # A caller's command holds the bytes of a frame. The torn write of
-        # it must still be cut: the quoted frame names another place.
-        quoted = make_frame(8, b"quoted")
-        data = Entry(2, 1, EntryKind.COMMAND, quoted + b"rest")
+        # A command contains the bytes of a frame. Its torn write must
+        # still be truncated, since the embedded frame has another offset.
+        embedded = make_frame(8, b"quoted")
+        data = Entry(2, 1, EntryKind.COMMAND, embedded + b"rest")
         write(tmp_path, [append(1, 1)], [LogAppend((data,))])
         path = segments(tmp_path)[-1]
         path.write_bytes(path.read_bytes()[:-1])
@@ -168,9 +171,9 @@
     def test_a_restart_finds_what_was_synced(
         self, tmp_path_factory: pytest.TempPathFactory, draw: DataObject
     ) -> None:
-        # Group commits of any shape, then a crash that leaves any part of
-        # the last one. What was synced before is there, and the last one
-        # is there as a whole or not at all.
+        # After random group commits, a crash leaves any part of the last
+        # one. The earlier ones must be recovered, and the last one as a
+        # whole or not at all.
         folder = tmp_path_factory.mktemp("any")
         opened = Storage(folder, SEGMENT_BYTES)
         opened.open(had_log=False)
@@ -198,47 +201,47 @@
 
 
 class TestDamage:
-    def test_a_flipped_byte_in_the_middle_stops_with_its_place(
+    def test_a_flipped_byte_in_the_middle_is_reported_with_offset(
         self, tmp_path: Path
     ) -> None:
-        # A block went bad after its sync. Going on without the records
-        # would forget entries that this member has acknowledged.
+        # A disk block was damaged after its sync. Continuing without its
+        # records would lose entries that this member has acknowledged.
         write(tmp_path, [append(1, 2)], [append(3, 3)], [append(4, 4)])
         path = segments(tmp_path)[-1]
-        flip(path, path.read_bytes().index(b"command 3"))
+        flip_bit(path, path.read_bytes().index(b"command 3"))
         with pytest.raises(LogCorrupted) as caught:
             reopen(tmp_path)
         assert caught.value.path == path
         assert 0 < caught.value.offset_bytes < path.stat().st_size
         assert str(path) in str(caught.value)
 
-    def test_damage_at_the_end_of_an_earlier_segment_stops(
+    def test_damage_at_the_end_of_an_earlier_segment_is_reported(
         self, tmp_path: Path
     ) -> None:
         batches: list[list[Record]] = [[append(i, i)] for i in range(1, 30)]
         write(tmp_path, *batches)
         first = segments(tmp_path)[0]
-        flip(first, first.stat().st_size - 1)
+        flip_bit(first, first.stat().st_size - 1)
         with pytest.raises(LogCorrupted):
             reopen(tmp_path)
 
     @pytest.mark.parametrize("offset", [0, 7, 20], ids=["magic", "v", "head"])
-    def test_a_damaged_beginning_stops(
+    def test_a_damaged_segment_start_is_reported(
         self, tmp_path: Path, offset: int
     ) -> None:
         write(tmp_path, [append(1, 2)])
-        flip(segments(tmp_path)[-1], offset)
+        flip_bit(segments(tmp_path)[-1], offset)
         with pytest.raises(LogCorrupted):
             reopen(tmp_path)
 
-    def test_a_missing_segment_stops(self, tmp_path: Path) -> None:
+    def test_a_missing_segment_is_reported(self, tmp_path: Path) -> None:
         batches: list[list[Record]] = [[append(i, i)] for i in range(1, 60)]
         write(tmp_path, *batches)
         segments(tmp_path)[1].unlink()
         with pytest.raises(LogCorrupted):
             reopen(tmp_path)
 
-    def test_a_missing_first_segment_stops(self, tmp_path: Path) -> None:
+    def test_a_missing_first_segment_is_reported(self, tmp_path: Path) -> None:
         batches: list[list[Record]] = [[append(i, i)] for i in range(1, 60)]
         write(tmp_path, *batches)
         segments(tmp_path)[0].unlink()
@@ -246,40 +249,41 @@
             reopen(tmp_path)
 
     @pytest.mark.parametrize("offset", [0, 9, 14])
-    def test_a_damaged_snapshot_stops(
+    def test_a_damaged_snapshot_is_reported(
         self, tmp_path: Path, offset: int
     ) -> None:
         saved = SaveSnapshot(snapshot(2), keep_log=True)
         write(tmp_path, [append(1, 2), saved])
         (path,) = tmp_path.glob("snapshot-*.snp")
-        flip(path, offset)
+        flip_bit(path, offset)
         with pytest.raises(LogCorrupted):
             reopen(tmp_path)
 
-    def test_a_lost_log_under_a_known_identity_stops(
+    def test_a_lost_log_under_a_known_identity_is_reported(
         self, tmp_path: Path
     ) -> None:
-        # Somebody removed the group's folder but kept the identity. With
-        # an empty log the member would vote a second time in old terms.
+        # The group's folder was removed but the identity file was kept.
+        # With an empty log the member would vote a second time in terms in
+        # which it has already voted.
         with pytest.raises(StorageError, match="new member"):
             reopen(tmp_path / "group-0")
 
 
 class TestFullDisk:
     @pytest.mark.parametrize("call", ["pwrite", "fdatasync"])
-    def test_the_records_are_written_later_and_once(
+    def test_records_are_written_once_after_space_is_freed(
         self,
         tmp_path: Path,
         monkeypatch: pytest.MonkeyPatch,
         call: str,
     ) -> None:
-        # The disk fills in the middle of a group commit and a part of the
-        # frame stays. Once there is space the same records are written in
-        # its place; a restart finds each of them once.
+        # The disk fills up in the middle of a group commit and a part of
+        # the frame remains. Once there is space, the same records replace
+        # it, and a restart must recover each of them once.
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=False)
         opened.write([append(1, 2)])
-        monkeypatch.setattr(os, call, fails_after_a_part(call))
+        monkeypatch.setattr(os, call, fail_after_partial_write(call))
         with pytest.raises(DiskFull):
             opened.write([append(3, 9)])
         with pytest.raises(DiskFull):
@@ -289,16 +293,16 @@
         opened.close()
         assert indexes(reopen(tmp_path)) == list(range(1, 10))
 
-    def test_a_limit_on_file_size_passes_too(
+    def test_a_file_size_limit_counts_as_a_full_disk(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # An operator's limit on the size of files is too low. The voter
-        # steps aside, as on a full disk, and goes on once it is raised; it
-        # does not end, which would take a majority away with one setting.
+        # An operator's file size limit is too low. The voter must step
+        # down as on a full disk and continue once the limit is raised. If
+        # voters ended instead, this setting could cost the majority.
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=False)
         opened.write([append(1, 2)])
-        monkeypatch.setattr(os, "pwrite", refuses_to_grow)
+        monkeypatch.setattr(os, "pwrite", pwrite_beyond_size_limit)
         with pytest.raises(DiskFull):
             opened.write([append(3, 9)])
         monkeypatch.undo()
@@ -306,13 +310,13 @@
         opened.close()
         assert indexes(reopen(tmp_path)) == list(range(1, 10))
 
-    def test_a_restart_on_the_full_disk_loses_nothing_synced(
+    def test_a_restart_on_a_full_disk_keeps_synced_records(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=False)
         opened.write([HARD, append(1, 2)])
-        monkeypatch.setattr(os, "pwrite", fails_after_a_part("pwrite"))
+        monkeypatch.setattr(os, "pwrite", fail_after_partial_write("pwrite"))
         with pytest.raises(DiskFull):
             opened.write([append(3, 9)])
         monkeypatch.undo()
@@ -321,13 +325,13 @@
         assert found.hard == HARD
         assert indexes(found) == [1, 2]
 
-    def test_no_space_for_a_new_segment(
+    def test_a_full_disk_leaves_no_partial_new_segment(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=False)
         opened.write([append(1, 60)])
-        monkeypatch.setattr(os, "pwrite", fails_after_a_part("pwrite"))
+        monkeypatch.setattr(os, "pwrite", fail_after_partial_write("pwrite"))
         with pytest.raises(DiskFull):
             opened.write([append(61, 61)])
         assert not list(tmp_path.glob("*.new"))
@@ -336,11 +340,11 @@
         opened.close()
         assert indexes(reopen(tmp_path)) == list(range(1, 62))
 
-    def test_a_broken_disk_is_no_full_disk(
+    def test_an_io_error_does_not_count_as_a_full_disk(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # After a failed fsync the kernel may drop the pages and report
-        # success next time, so the member must not simply try again.
+        # success on the next call, so the member must not simply retry.
         opened = Storage(tmp_path, SEGMENT_BYTES)
         opened.open(had_log=False)
 
@@ -355,16 +359,16 @@
 
 class TestFolderSync:
     @pytest.mark.parametrize("step", ["open", "roll", "snapshot"])
-    def test_each_new_name_is_synced_before_it_counts(
+    def test_each_new_file_name_is_synced(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
     ) -> None:
-        # A file whose name was never synced is gone after a power loss,
-        # with all that was synced into it. Names that appeared since the
-        # last sync of their folder are such files.
-        names = SyncedNames()
+        # A power loss removes a file whose name was never synced, together
+        # with its synced content. No name may have appeared since the last
+        # sync of its folder.
+        recorder = FolderSyncRecorder()
         for module in ("files", "storage"):
             target = f"sycamorestand_consensus.{module}.sync_folder"
-            monkeypatch.setattr(target, names.sync)
+            monkeypatch.setattr(target, recorder.record_sync)
         folder = tmp_path / "group-0"
         opened = Storage(folder, SEGMENT_BYTES)
         opened.open(had_log=False)
@@ -375,21 +379,19 @@
             opened.write([append(1, 2)])
             opened.write([SaveSnapshot(snapshot(2), keep_log=True)])
         opened.close()
-        assert names.unsynced(folder) == set()
-        assert names.unsynced(tmp_path) == set()
+        assert recorder.unsynced_names(folder) == set()
+        assert recorder.unsynced_names(tmp_path) == set()
 
 
 class TestIdentity:
-    def test_it_is_kept_and_a_wiped_folder_gets_another(
+    def test_a_folder_keeps_its_id_and_a_new_one_gets_another(
         self, tmp_path: Path
     ) -> None:
         first = open_identity(tmp_path / "one")
         assert open_identity(tmp_path / "one") == first
         assert open_identity(tmp_path / "two").member_id != first.member_id
 
-    def test_groups_are_remembered_under_the_same_id(
-        self, tmp_path: Path
-    ) -> None:
+    def test_recorded_groups_keep_the_member_id(self, tmp_path: Path) -> None:
         first = open_identity(tmp_path)
         record_group(tmp_path, 0)
         record_group(tmp_path, 1)
@@ -402,7 +404,7 @@
         ("old", "new"),
         [(b"[1,", b"[2,"), (b'"', b"x")],
     )
-    def test_a_damaged_identity_stops(
+    def test_a_damaged_identity_is_reported(
         self, tmp_path: Path, old: bytes, new: bytes
     ) -> None:
         open_identity(tmp_path)
@@ -445,29 +447,31 @@
     return batch, last, term
 
 
-class SyncedNames:
-    """Remembers which names each folder had at its last sync."""
+class FolderSyncRecorder:
+    """Records the names in each folder at its last sync."""
 
     def __init__(self) -> None:
         self._names: dict[Path, set[str]] = {}
 
-    def sync(self, folder: Path) -> None:
+    def record_sync(self, folder: Path) -> None:
         self._names[folder] = set(os.listdir(folder))
 
-    def unsynced(self, folder: Path) -> set[str]:
+    def unsynced_names(self, folder: Path) -> set[str]:
         return set(os.listdir(folder)) - self._names.get(folder, set())
 
 
-def refuses_to_grow(descriptor: int, data: memoryview, offset: int) -> int:
+def pwrite_beyond_size_limit(
+    descriptor: int, data: memoryview, offset: int
+) -> int:
     raise OSError(errno.EFBIG, "file too large")
 
 
-def fails_after_a_part(call: str) -> Callable[..., int]:
-    whole = os.pwrite
+def fail_after_partial_write(call: str) -> Callable[..., int]:
+    real_pwrite = os.pwrite
 
     def pwrite(descriptor: int, data: memoryview, offset: int) -> int:
         if len(data) > 20:
-            return whole(descriptor, data[:20], offset)
+            return real_pwrite(descriptor, data[:20], offset)
         raise OSError(errno.ENOSPC, "no space left on device")
 
     def fdatasync(descriptor: int) -> int:
--- a/packages/sycamorestand-consensus/tests/test_wire.py
+++ b/packages/sycamorestand-consensus/tests/test_wire.py
@@ -32,20 +32,22 @@
 )
 
 
-def payload_of(body: Body) -> bytes:
+def encode_body(body: Body) -> bytes:
     return encode_message(Message("a", "b", "c", 4, body))
 
 
 class TestWire:
     @pytest.mark.parametrize("body", BODIES, ids=lambda b: type(b).__name__)
-    def test_a_message_comes_back_as_it_was(self, body: Body) -> None:
-        found = decode_message(payload_of(body))
+    def test_a_decoded_message_equals_the_encoded_one(
+        self, body: Body
+    ) -> None:
+        found = decode_message(encode_body(body))
         assert found == Message("a", "b", "c", 4, body)
         assert type(found.body) is type(body)
 
     @pytest.mark.parametrize("body", BODIES, ids=lambda b: type(b).__name__)
     def test_a_shortened_payload_is_refused(self, body: Body) -> None:
-        payload = payload_of(body)
+        payload = encode_body(body)
         for length in range(len(payload)):
             with pytest.raises(PayloadRefused):
                 decode_message(payload[:length])
