--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/change.py
@@ -92,7 +92,7 @@
 
 
 def start_transfer(state: RaftState, target: str | None) -> None:
-    """Stop proposals and transfer leadership once the target caught up.
+    """Stop proposals; transfer leadership once the target has caught up.
 
     Without a target, the most caught-up voter becomes the target.
     """
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/election.py
@@ -68,7 +68,7 @@
 
 
 def become_follower(state: RaftState, term: int, leader_id: str) -> None:
-    """Follow ``leader_id`` in ``term``; empty if no leader is known."""
+    """Follow ``leader_id``, empty if it is unknown, in ``term``."""
     if term > state.term:
         cluster = state.hard.cluster
         set_hard_state(state, HardState(term, "", cluster))
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/identity.py
@@ -83,4 +83,4 @@
     return zlib.crc32(msgspec.json.encode(identity))
 
 
-__all__ = ["Identity", "record_group", "open_identity"]
+__all__ = ["Identity", "open_identity", "record_group"]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
@@ -152,11 +152,11 @@
     "claim_lease_s",
     "ended_term",
     "ends_promise",
-    "is_last_leader",
     "has_active_promise",
+    "is_last_leader",
     "lease_start_s",
     "lease_until_s",
-    "record_leadership",
     "promise_to_leader",
     "quorum_sent_s",
+    "record_leadership",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
@@ -239,7 +239,7 @@
 __all__ = [
     "on_append_reply",
     "on_snapshot_reply",
+    "refresh_progress",
     "replicate",
     "send_heartbeats",
-    "refresh_progress",
 ]
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
@@ -21,12 +21,12 @@
         self._error: Exception | None = None
 
     def succeed(self, result: object) -> None:
-        """Wake the caller and return it a result."""
+        """Wake the caller with a result."""
         self._result = result
         self._done.set()
 
     def fail(self, error: Exception) -> None:
-        """Wake the caller and raise an error in it."""
+        """Wake the caller with an error."""
         self._error = error
         self._done.set()
 
@@ -71,11 +71,11 @@
             found.waiter.fail(ProposalLost("another entry took the place"))
 
     def fail_after(self, index: int, *, except_term: int) -> None:
-        """Fail the waiters after ``index``, except those of a term."""
+        """Fail the waiters after ``index`` that are not of ``except_term``."""
         lost = [
-            found
-            for found, proposal in self._by_index.items()
-            if found > index and proposal.term != except_term
+            entry_index
+            for entry_index, proposal in self._by_index.items()
+            if entry_index > index and proposal.term != except_term
         ]
         for lost_index in lost:
             proposal = self._by_index.pop(lost_index)
@@ -83,7 +83,11 @@
 
     def fail_through(self, index: int) -> None:
         """Fail the waiters up to ``index``, which a snapshot covers."""
-        covered = [found for found in self._by_index if found <= index]
+        covered = [
+            entry_index
+            for entry_index in self._by_index
+            if entry_index <= index
+        ]
         for covered_index in covered:
             proposal = self._by_index.pop(covered_index)
             proposal.waiter.fail(ProposalLost("a snapshot hides the outcome"))
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/writer.py
@@ -15,7 +15,7 @@
 
 
 class Writer:
-    """Queue of batches that are to be written to disk."""
+    """Writes queued batches to disk."""
 
     def __init__(
         self,
