--- a/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/metrics.py
@@ -1,4 +1,4 @@
-"""What a control process shows to Prometheus, read when it is asked."""
+"""Prometheus metrics of a control process, read at each scrape."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ControlMetrics:
-    """The gauges of one control process in a registry of their own.
+    """Exports the state of a control process from its own registry.
 
-    The parts keep plain counters; copying them at each scrape costs the
-    event loop nothing in between.
+    The parts keep plain counters, which are copied to gauges at each
+    scrape. Between scrapes this costs the event loop nothing.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
         parts: Parts,
         writers: list[LedgerWriter],
         orders: Orders,
-        spread: LeaderBalancer,
+        balancer: LeaderBalancer,
         lender: ArrivalLender,
     ) -> None:
         self._parts = parts
         self._writers = writers
         self._orders = orders
-        self._spread = spread
+        self._balancer = balancer
         self._lender = lender
         self._registry = Registry()
         self.refusals = Counter(
@@ -50,7 +50,7 @@
         self._gauges: dict[str, Gauge] = {}
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         self._read_logs()
         self._read_leases()
         self._read_tables()
@@ -118,7 +118,7 @@
         self._set(
             "joiners_waiting",
             "Control processes that ask to replace a voter",
-            len(self._parts.admissions.waiting()),
+            len(self._parts.admissions.waiting_joiners()),
         )
 
     def _read_links(self) -> None:
@@ -168,7 +168,7 @@
         self._set(
             "shard_hand_overs_total",
             "Shards handed over to their preferred leader",
-            self._spread.hand_overs,
+            self._balancer.hand_overs,
         )
 
     def _read_loans(self) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -1,4 +1,4 @@
-"""An entry's view of its control process, kept over the network."""
+"""Link of an entry to its control process over the network."""
 
 from __future__ import annotations
 
@@ -44,35 +44,36 @@
     from collections.abc import Sequence
 
     from sycamorestand_model.backend_servers import Announcement
+    from sycamorestand_model.entry_reports import EntryAddress
+    from sycamorestand_model.entry_reports import VersionSample
     from sycamorestand_model.ledger import LedgerRecord
     from sycamorestand_model.ledger import LedgerResult
-    from sycamorestand_model.nodes import EntryAddress
-    from sycamorestand_model.nodes import VersionSample
     from sycamorestand_peer.key_file import KeySource
     from sycamorestand_peer.messages import Message
     from sycamorestand_peer.tls import TlsIdentity
 
 LOG: Final = logging.getLogger(__name__)
-# Without a lease every call is refused, so it is asked for more often; not
-# so often that all entries at once hold up the election that they wait for.
-ASK_INTERVAL_S: Final = 0.1
+# Interval of lease requests while the entry has no lease and refuses every
+# call. It is shorter than the renewal interval, but long enough that the
+# requests of all entries do not delay the election that they wait for.
+NO_LEASE_INTERVAL_S: Final = 0.1
 REPORT_INTERVAL_S: Final = 2.0
-# While a roll-out runs: what a bad version does between two reports is
-# exposure that nobody judges.
+# Interval while a roll-out runs. A bad version keeps its share of requests
+# until a report shows its failures.
 ROLLOUT_REPORT_INTERVAL_S: Final = 0.4
 EXPIRE_INTERVAL_S: Final = 0.2
-# Control processes that are replaced again and again must not add up.
-MAX_CONTROLS: Final = 32
-LOADS: Final = "loads"
+# Bounds the address lists kept for control processes that were replaced.
+MAX_ADDRESS_LISTS: Final = 32
+LOADS_TABLE: Final = "loads"
 M = TypeVar("M")
 
 
 class LinkSettings(NamedTuple):
-    """What an entry needs to find its control process.
+    """Settings of an entry's link to its control process.
 
-    ``control_addresses`` has the nearest first; the first one that
-    answers is kept. ``cluster_keys`` are fixed ones, or a source that
-    returns those that are valid now.
+    ``control_addresses`` lists the nearest first; the entry stays with the
+    first one that answers. ``cluster_keys`` are fixed keys, or a source that
+    returns the keys that are valid now.
     """
 
     vm: str
@@ -85,10 +86,10 @@
 
 
 class ControlLink:
-    """Holds the lease, the configuration, the directory and the addresses.
+    """Hold the lease, the configuration, the directory and the addresses.
 
-    It is the entry's `ControlPort`. ``address`` returns where callers
-    reach this entry, with its load.
+    The link is the entry's `ControlPort`. ``address`` returns the address
+    at which callers reach this entry, with its load.
     """
 
     def __init__(
@@ -100,12 +101,12 @@
         self._lease = HeldLease()
         self._in_force = InForce()
         self._addresses: tuple[EntryAddress, ...] = ()
-        self._told_addresses: dict[str, tuple[EntryAddress, ...]] = {}
+        self._addresses_by_control: dict[str, tuple[EntryAddress, ...]] = {}
         self._entries = 0
         self._stopping = False
         self._samples = SampleCounts()
-        self._kicked = anyio.Event()
-        self._ready = anyio.Event()
+        self._renew_now = anyio.Event()
+        self._first_grant = anyio.Event()
         self.mesh = PeerMesh(
             settings.peer_address,
             as_key_source(settings.cluster_keys),
@@ -122,7 +123,7 @@
             lambda: self._in_force.ledger_shards,
         )
         self._was_held: bool | None = None
-        self._requests = 0
+        self._request_count = 0
         self._listeners: dict[type, Callable[[Any], None]] = {}
         self.moves = 0
         self.resyncs = 0
@@ -133,7 +134,11 @@
         return self._in_force
 
     def lease_remaining_s(self) -> float:
-        """Return how long new work may be accepted; reads the clock."""
+        """Return the seconds for which the entry may accept new work.
+
+        The value is zero or less without a lease; it is computed from the
+        clock at each call.
+        """
         return self._lease.remaining_s(boottime_s())
 
     def backend_servers(self) -> Mapping[str, Announcement]:
@@ -141,22 +146,22 @@
         return self._servers.servers()
 
     def addresses(self) -> tuple[EntryAddress, ...]:
-        """Return what callers may use, ranked for this data centre.
+        """Return the entries for callers, ranked for this data centre.
 
-        After a move that is what the next control process told before it:
-        it tells a list again only once that has changed.
+        After a move to another control process, that is the list which this
+        process sent before the move: it sends a list only after a change.
         """
-        told = self._told_addresses.get(self.control_address())
-        if told is not None:
-            self._addresses = told
+        latest = self._addresses_by_control.get(self.control_address())
+        if latest is not None:
+            self._addresses = latest
         return self._addresses
 
     def entry_count(self) -> int:
-        """Return how many entries there are, 0 before the first lease."""
+        """Return the number of entries, 0 before the first lease."""
         return self._entries
 
     def report(self, sample: VersionSample) -> None:
-        """Count what an attempt on a version showed."""
+        """Count the result of an attempt at a version."""
         self._samples.add(sample, time.time())
 
     def send(self, message: Message) -> None:
@@ -166,24 +171,30 @@
     def add_listener(
         self, kind: type[M], listener: Callable[[M], None]
     ) -> None:
-        """Call ``listener`` with each message of a kind that comes."""
+        """Call ``listener`` with each received message of the type ``kind``.
+
+        Only one listener is kept for a type.
+        """
         self._listeners[kind] = listener
 
     def set_stopping(self) -> None:
-        """Leave the address answers, beginning with the next renewal."""
+        """Take this entry out of the addresses that callers get.
+
+        The next lease request, sent at once, reports that it is stopping.
+        """
         self._stopping = True
-        self._kicked.set()
+        self._renew_now.set()
 
     def control_address(self) -> str:
-        """Return the control process that this entry is attached to."""
+        """Return the address of the control process in use."""
         return self._attachment.address
 
     async def announce(self, announcement: Announcement) -> None:
-        """Pass a backend server's announcement on.
+        """Forward a backend server's announcement to the control process.
 
-        The entry's own directory takes it at once: a server that leaves
-        gets no more work from here, whatever the way through control
-        takes.
+        The entry applies it to its own directory at once, so that it sends
+        no more work to a leaving server, however long the update through
+        control takes.
         """
         self._servers.announce(announcement, boottime_s())
         message = AnnouncementRelay(announcement)
@@ -198,37 +209,40 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Keep the link until cancelled; started with the first lease."""
+        """Maintain the link until cancelled.
+
+        ``task_status`` reports the start after the first granted lease.
+        """
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.mesh.run)
             tasks.start_soon(self._renew)
             tasks.start_soon(self._ledger.run)
             tasks.start_soon(self._send_reports)
             tasks.start_soon(self._expire_servers)
-            await self._ready.wait()
+            await self._first_grant.wait()
             task_status.started()
 
     async def _renew(self) -> None:
         while True:
-            self._kicked = anyio.Event()
+            self._renew_now = anyio.Event()
             now_s = boottime_s()
-            if self._attachment.is_time_to_move(now_s):
-                self._move(now_s)
+            if self._attachment.should_move(now_s):
+                self._move_to_next(now_s)
             self._log_lease_change()
-            self._ask(now_s)
+            self._request_lease(now_s)
             held = self.lease_remaining_s() > 0
-            pause_s = RENEW_INTERVAL_S if held else ASK_INTERVAL_S
+            pause_s = RENEW_INTERVAL_S if held else NO_LEASE_INTERVAL_S
             with anyio.move_on_after(pause_s):
-                await self._kicked.wait()
+                await self._renew_now.wait()
 
-    def _ask(self, now_s: float) -> None:
-        """Ask for a lease; without answers, through another entry too.
+    def _request_lease(self, now_s: float) -> None:
+        """Request a lease; without answers, also through another entry.
 
-        The direct way is tried all the same, so that it is used again as
-        soon as it works.
+        The direct request is still sent, so that the direct connection is
+        used again as soon as it works.
         """
         control = self.control_address()
-        request = self._request(now_s)
+        request = self._make_lease_request(now_s)
         self.mesh.send_directly(control, request)
         if not self._attachment.is_silent(now_s):
             return
@@ -237,39 +251,40 @@
             self.mesh.send_through(relay, control, request)
 
     def _next_relay(self) -> str:
-        """Return an entry to ask through; another one each time."""
+        """Return the peer address of another entry, in turn, or ``""``."""
         own = self.mesh.address
         peers = [a.peer_address for a in self.addresses()]
         others = [peer for peer in peers if peer not in ("", own)]
         if not others:
             return ""
-        return others[self._requests % len(others)]
+        return others[self._request_count % len(others)]
 
     def _log_lease_change(self) -> None:
-        """Log when the lease is lost or held again, and from whom.
+        """Log when the lease is lost or held again, with the control process.
 
-        Without control at all the entry moves on each second. Those moves
-        are not logged, as they would fill the disk during an outage.
+        While no control process answers, the entry moves to the next one
+        each second. These moves are not logged, as they would fill the disk
+        during an outage.
         """
         held = self.lease_remaining_s() > 0
         if held == self._was_held:
             return
         self._was_held = held
-        text = "lease held" if held else "lease lost: refusing work"
-        LOG.info(text, extra={"control": self.control_address()})
+        message = "lease held" if held else "lease lost: refusing work"
+        LOG.info(message, extra={"control": self.control_address()})
 
-    def _request(self, now_s: float) -> LeaseRequest:
-        self._requests += 1
+    def _make_lease_request(self, now_s: float) -> LeaseRequest:
+        self._request_count += 1
         return LeaseRequest(
             self._address()._replace(stopping=self._stopping),
             self.mesh.incarnation,
-            self._requests,
+            self._request_count,
             now_s,
             self._in_force.revision,
         )
 
-    def _move(self, now_s: float) -> None:
-        """Attach to the next control process; this one grants nothing."""
+    def _move_to_next(self, now_s: float) -> None:
+        """Attach to the next control process, as this one grants no lease."""
         self._attachment.move(now_s)
         self.moves += 1
         if self.lease_remaining_s() > 0:
@@ -280,70 +295,72 @@
     def _handle_message(self, sender: str, message: Any) -> None:
         match message:
             case LeaseGrantMessage():
-                self._take_grant(message)
+                self._handle_grant(message)
             case LeaseDenied():
-                self._take_denial(sender, message)
+                self._handle_denial(sender, message)
             case ConfigurationPush():
-                self._take_configuration(message)
+                self._apply_configuration(message)
             case TableUpdate():
-                self._take_table(sender, message)
+                self._apply_table(sender, message)
             case ControlList():
-                self._take_controls(message)
+                self._handle_controls(message)
             case AddressList():
-                self._take_addresses(sender, message)
+                self._store_addresses(sender, message)
             case EntryCount():
                 self._entries = message.entries
             case _:
-                self._pass_on(message)
+                self._notify_listener(message)
 
-    def _pass_on(self, message: Any) -> None:
+    def _notify_listener(self, message: Any) -> None:
         listener = self._listeners.get(type(message))
         if listener is not None:
             listener(message)
 
-    def _take_grant(self, message: LeaseGrantMessage) -> None:
-        self._attachment.granted(boottime_s())
+    def _handle_grant(self, message: LeaseGrantMessage) -> None:
+        self._attachment.record_grant(boottime_s())
         grant = LeaseGrant(message.length_s, message.revision)
         self._lease.renew(message.sent_at_s, grant)
-        self._ready.set()
+        self._first_grant.set()
 
-    def _take_denial(self, sender: str, message: LeaseDenied) -> None:
+    def _handle_denial(self, sender: str, message: LeaseDenied) -> None:
         self.denials += 1
         now_s = boottime_s()
-        self._attachment.denied(sender, message, now_s)
-        if self._attachment.is_time_to_move(now_s):
-            self._kicked.set()
+        self._attachment.record_denial(sender, message, now_s)
+        if self._attachment.should_move(now_s):
+            self._renew_now.set()
 
-    def _take_controls(self, message: ControlList) -> None:
-        if self._attachment.learn(message.addresses, boottime_s()):
-            self._kicked.set()
+    def _handle_controls(self, message: ControlList) -> None:
+        if self._attachment.update_voters(message.addresses, boottime_s()):
+            self._renew_now.set()
 
-    def _take_configuration(self, push: ConfigurationPush) -> None:
+    def _apply_configuration(self, push: ConfigurationPush) -> None:
         if push.revision <= self._in_force.revision:
-            # A control process that lags, or a frame from before a move:
-            # a configuration never reverts.
+            # The control process lags, or the frame was sent before a move.
+            # The entry never goes back to an older configuration.
             return
         self._in_force = unpack_configuration(push)
-        self._kicked.set()
+        self._renew_now.set()
 
-    def _take_addresses(self, sender: str, message: AddressList) -> None:
-        """Keep each control process's list; that of the one in use counts.
+    def _store_addresses(self, sender: str, message: AddressList) -> None:
+        """Store the address list of each control process separately.
 
-        One that was left for its silence may be cut off: it forgets every
-        entry and tells an empty list for some seconds more, and callers who
-        ask here would be sent nowhere.
+        Only the list of the process in use is returned to callers. A control
+        process that the entry left may be cut off: it loses all entries and
+        still sends an empty list for some seconds.
         """
-        if len(self._told_addresses) >= MAX_CONTROLS:
-            self._told_addresses.clear()
-        self._told_addresses[sender] = message.addresses
+        if len(self._addresses_by_control) >= MAX_ADDRESS_LISTS:
+            self._addresses_by_control.clear()
+        self._addresses_by_control[sender] = message.addresses
 
-    def _take_table(self, sender: str, message: TableUpdate) -> None:
+    def _apply_table(self, sender: str, message: TableUpdate) -> None:
         now_s = boottime_s()
         if sender != self.control_address():
             return
-        if message.table == LOADS:
-            self._servers.take_loads(message.payload, now_s)
-        elif not self._servers.follow(sender, message.payload, now_s):
+        if message.table == LOADS_TABLE:
+            self._servers.apply_load_update(message.payload, now_s)
+        elif not self._servers.apply_directory_delta(
+            sender, message.payload, now_s
+        ):
             self.resyncs += 1
             self.mesh.send(sender, TableResync(message.table))
 
@@ -351,8 +368,8 @@
         sequence = 0
         while True:
             await anyio.sleep(self._report_interval_s())
-            rows = self._samples.take()
-            ratings = self._samples.take_ratings()
+            rows = self._samples.drain()
+            ratings = self._samples.drain_ratings()
             if not rows and not ratings:
                 continue
             sequence += 1
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/planning.py
@@ -1,4 +1,4 @@
-"""Which versions a chat request may run on, in their order."""
+"""Choice of the versions that a chat request may run on, in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sycamorestand_decisions.cascade import StepPrice
 from sycamorestand_decisions.versions import choose_version
 from sycamorestand_entry.billing import cost_micros
-from sycamorestand_entry.billing import now_s
+from sycamorestand_entry.billing import wall_now_s
 from sycamorestand_entry.billing import write_ledger
 from sycamorestand_entry.claims import FULL_RETRY_S
 from sycamorestand_entry.errors import NotAllowed
@@ -31,18 +31,19 @@
     from sycamorestand_model.declarations import Model
     from sycamorestand_model.in_force import InForce
 
-# A pin never changes, so it may be remembered; the bound keeps callers
-# that invent session names from filling the memory.
-MAX_REMEMBERED_PINS: Final = 10_000
+# A pin never changes, so each entry caches the pins it has read. The limit
+# keeps callers that invent session names from exhausting the memory.
+MAX_CACHED_PINS: Final = 10_000
 VERSION_RETRY_S: Final = 5.0
-UNIT: Final = 2.0**32
+HASH_RANGE: Final = 2.0**32
 
 
 class Plan(NamedTuple):
-    """The version of each step that may run, from cheap to strong.
+    """The versions of the usable steps, from the cheapest to the strongest.
 
-    A step that has no version now is left out; ``steps`` holds the
-    places in the profile. A session has one version and never cascades.
+    Steps without a usable version are left out; ``steps`` holds the index
+    of each remaining step in the profile. A session has one version and
+    never cascades.
     """
 
     versions: tuple[str, ...]
@@ -52,7 +53,10 @@
 
 
 async def plan_chat(context: EntryContext, chat: ChatRequest) -> Plan:
-    """Return the versions for the request, or refuse."""
+    """Return the versions for the request.
+
+    Raises a `RequestError` if the customer may use none of them now.
+    """
     options = chat.options
     if not options.session_token and not options.session_name:
         return _plan_steps(context, chat)
@@ -66,52 +70,53 @@
     else:
         name = options.session_name
         version = await _pinned_version(context, chat)
-    refusal = _refusal(context, chat, version, in_session=True)
+    refusal = _find_refusal(context, chat, version, in_session=True)
     if refusal is not None:
         raise refusal
     return Plan((version,), (len(chat.profile.steps) - 1,), name, True)
 
 
 def first_step(context: EntryContext, chat: ChatRequest, plan: Plan) -> int:
-    """Return the index into the plan at which the cascade begins."""
+    """Return the index into the plan of the first step to run."""
     last = len(plan.versions) - 1
-    # Without a rating service nothing could accept an earlier step.
+    # Only a rating can accept the answer of an earlier step.
     if plan.in_session or not last or not context.rating.configured:
         return last
-    begin = context.cascade.first_step(
+    begin_step = context.cascade.first_step(
         chat.profile,
         chat.request_class,
         _step_prices(context, chat, plan),
         0.0,
         context.random,
     )
-    later = [i for i, step in enumerate(plan.steps) if step >= begin]
-    return later[0] if later else last
+    remaining = [i for i, step in enumerate(plan.steps) if step >= begin_step]
+    return remaining[0] if remaining else last
 
 
 async def _pinned_version(context: EntryContext, chat: ChatRequest) -> str:
     key = (chat.customer.name, chat.options.session_name)
-    known = context.pins.get(key)
-    if known is not None:
-        return known
-    # Two entries may see the first request of a session at once. The
-    # ledger keeps one version and tells it to both.
+    cached = context.pins.get(key)
+    if cached is not None:
+        return cached
+    # Two entries may receive requests of a new session at the same time.
+    # The ledger stores the first pin and returns its version to both.
     plan = _plan_steps(context, chat)
     offered = plan.versions[_session_step(context, chat, plan)]
-    pin = Pin(*key, offered, now_s())
+    pin = Pin(*key, offered, wall_now_s())
     result = (await write_ledger(context, [pin], run="not_run"))[0]
     if not result.version:
         raise Overloaded("the ledger takes no new sessions now", FULL_RETRY_S)
-    if len(context.pins) >= MAX_REMEMBERED_PINS:
+    if len(context.pins) >= MAX_CACHED_PINS:
         context.pins.clear()
     context.pins[key] = result.version
     return result.version
 
 
 def _session_step(context: EntryContext, chat: ChatRequest, plan: Plan) -> int:
-    # A session can't escalate later, so its version must meet the
-    # quality target by itself: a call of exactly one step.
-    begin = context.cascade.first_step(
+    # A session never escalates, so its version must meet the quality
+    # target by itself. The learner treats that as a call that runs exactly
+    # one step (``idempotent=False``).
+    begin_step = context.cascade.first_step(
         chat.profile,
         chat.request_class,
         _step_prices(context, chat, plan),
@@ -119,20 +124,20 @@
         context.random,
         idempotent=False,
     )
-    later = [i for i, step in enumerate(plan.steps) if step >= begin]
-    return later[0] if later else len(plan.versions) - 1
+    remaining = [i for i, step in enumerate(plan.steps) if step >= begin_step]
+    return remaining[0] if remaining else len(plan.versions) - 1
 
 
 def _plan_steps(context: EntryContext, chat: ChatRequest) -> Plan:
-    found = [
+    step_versions = [
         (_step_version(context, chat, step), index)
         for index, step in enumerate(chat.profile.steps)
     ]
-    usable = [(version, index) for version, index in found if version]
+    usable = [(version, index) for version, index in step_versions if version]
     if usable:
         versions, steps = zip(*usable, strict=True)
         return Plan(versions, steps, "")
-    if not _any_allowed(chat):
+    if not _has_allowed_version(chat):
         raise NotAllowed("you may use no version of this profile")
     raise NoVersion(
         "every version that you may use is withdrawn", VERSION_RETRY_S
@@ -149,23 +154,29 @@
     allowed = [
         identity
         for identity in (version_id(model.name, n) for n in model.versions)
-        if _refusal(context, chat, identity, in_session=False) is None
+        if _find_refusal(context, chat, identity, in_session=False) is None
     ]
-    chosen = choose_version(model, in_force, _unit(chat, model), allowed)
+    chosen = choose_version(
+        model, in_force, _rollout_position(chat, model), allowed
+    )
     if chosen is not None:
         return chosen
-    # The stable version is withdrawn or not this customer's. Another one
-    # that the customer may use serves, but none that a roll-out holds.
-    held = _rolled_out(in_force, model)
-    others = [identity for identity in allowed if identity not in held]
-    return others[0] if others else ""
+    # The stable version is withdrawn or not allowed for this customer. Any
+    # other version that the customer may use serves the request, except
+    # those that get their work from a roll-out.
+    in_rollout = _rollout_versions(in_force, model)
+    alternatives = [
+        identity for identity in allowed if identity not in in_rollout
+    ]
+    return alternatives[0] if alternatives else ""
 
 
-def _rolled_out(in_force: InForce, model: Model) -> set[str]:
-    """Return the versions that only a roll-out may give work to.
+def _rollout_versions(in_force: InForce, model: Model) -> set[str]:
+    """Return the versions that receive work only through a roll-out.
 
-    Also the one whose roll-out is declared and has not begun: with the
-    stable version withdrawn it would get all the work at once, unseen.
+    This includes a version whose roll-out is declared but has not begun.
+    Otherwise it would receive all work at once, without any earlier step,
+    when the stable version is withdrawn.
     """
     names = []
     share = in_force.shares.get(model.name)
@@ -177,11 +188,12 @@
     return {version_id(model.name, name) for name in names}
 
 
-def _unit(chat: ChatRequest, model: Model) -> float:
-    # A request that is sent again with its key meets the same version.
+def _rollout_position(chat: ChatRequest, model: Model) -> float:
+    # The hash covers the request key, so a request that is sent again with
+    # its key gets the same version.
     name = chat.options.session_name or chat.request_key
     text = f"{chat.customer.name}/{name}/{model.name}"
-    return crc32(text.encode()) / UNIT
+    return crc32(text.encode()) / HASH_RANGE
 
 
 def _step_prices(
@@ -198,7 +210,7 @@
     return prices
 
 
-def _any_allowed(chat: ChatRequest) -> bool:
+def _has_allowed_version(chat: ChatRequest) -> bool:
     models = {step.model for step in chat.profile.steps}
     return any(
         identity.partition("@")[0] in models
@@ -206,7 +218,7 @@
     )
 
 
-def _refusal(
+def _find_refusal(
     context: EntryContext,
     chat: ChatRequest,
     identity: str,
