--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
@@ -13,7 +13,7 @@
 from sycamorestand_consensus.errors import StorageError
 
 # A file size limit that is too low (EFBIG) is temporary like a full disk, as
-# an operator can raise it. Treated as a broken disk, it ended every voter
+# an operator can raise it. Treated as a broken disk, it would end every voter
 # under that limit.
 NO_SPACE: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
 
