--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
@@ -1,9 +1,10 @@
-"""How a leader sends its log and learns what its members have synced.
+"""Log replication from the leader to the other members.
 
-A member is probed until the logs are known to agree, then entries are
-pipelined without waiting for answers, and a member whose next entry is
-compacted away gets the snapshot in chunks. Every message is stamped, so
-each answer also counts as a sign of life and dates the lease.
+The leader probes a member until their logs are known to match, then
+pipelines entries without waiting for replies. A member whose next entry
+was compacted away receives the snapshot in chunks. Every message carries
+a stamp, so each reply also shows that the member is alive and renews the
+lease.
 """
 
 from __future__ import annotations
@@ -23,13 +24,17 @@
 
 
 def replicate(state: RaftState) -> None:
-    """Send every member what it can take now."""
+    """Send each member the entries that its send mode allows now."""
     for member_id, progress in state.progress.items():
         _send_entries(state, member_id, progress)
 
 
 def send_heartbeats(state: RaftState) -> None:
-    """Send every member a sign of life that also finds lost messages."""
+    """Send a heartbeat to each member.
+
+    A member that lost earlier messages rejects the heartbeat, so that
+    the leader sends the entries again.
+    """
     state.heartbeat_due_s = state.now_s + state.settings.heartbeat_s
     for member_id, progress in state.progress.items():
         if progress.mode == SendMode.SNAPSHOT:
@@ -38,27 +43,27 @@
             _send_append(state, member_id, progress, with_entries=False)
 
 
-def sync_progress(state: RaftState) -> None:
-    """Follow a change of membership."""
-    wanted = {m.member_id for m in state.membership}
-    wanted.discard(state.member_id)
-    # Sorted, as the order of a set differs from process to process and a
-    # run that found a fault could not be played again.
-    for member_id in sorted(wanted - state.progress.keys()):
+def refresh_progress(state: RaftState) -> None:
+    """Add and remove progress records to match the membership."""
+    other_ids = {m.member_id for m in state.membership}
+    other_ids.discard(state.member_id)
+    # Sorted, since the order of a set differs between processes and a run
+    # that found a fault could not be replayed.
+    for member_id in sorted(other_ids - state.progress.keys()):
         next_index = state.log.last_index + 1
         state.progress[member_id] = Progress(next_index, state.now_s)
-    for member_id in state.progress.keys() - wanted:
+    for member_id in state.progress.keys() - other_ids:
         del state.progress[member_id]
 
 
 def on_append_reply(
     state: RaftState, message: Message, reply: AppendReply
 ) -> None:
-    """Take in what a member has synced, or where the logs part."""
+    """Record how far a member has synced, or where its log diverges."""
     progress = state.progress.get(message.sender)
     if progress is None:
         return
-    _note_answer(progress, reply.stamp)
+    _record_ack(progress, reply.stamp)
     if reply.success:
         _on_success(state, progress, reply)
     else:
@@ -68,26 +73,26 @@
 def on_snapshot_reply(
     state: RaftState, message: Message, reply: SnapshotReply
 ) -> None:
-    """Send the part of the snapshot that the member asks for."""
+    """Send the chunk of the snapshot that the member asks for."""
     progress = state.progress.get(message.sender)
     if progress is None:
         return
-    _note_answer(progress, reply.stamp)
+    _record_ack(progress, reply.stamp)
     snapshot = progress.snapshot
     if progress.mode != SendMode.SNAPSHOT or snapshot is None:
         return
     if reply.last_index != snapshot.last_index:
         return
     if reply.offset_bytes == progress.offset_bytes and progress.probe_sent:
-        # The part may be under way still; sending it for every heartbeat
-        # that is answered meanwhile would multiply it.
+        # The chunk may still be in flight. Sending it again for each
+        # heartbeat that is answered meanwhile would duplicate it.
         progress.probe_sent = False
         return
     progress.offset_bytes = reply.offset_bytes
     _send_chunk(state, message.sender, progress, with_data=True)
 
 
-def _note_answer(progress: Progress, stamp: Stamp) -> None:
+def _record_ack(progress: Progress, stamp: Stamp) -> None:
     progress.acked_round = max(progress.acked_round, stamp.round)
     progress.acked_sent_s = max(progress.acked_sent_s, stamp.sent_s)
 
@@ -103,11 +108,11 @@
         progress.mode = SendMode.PIPELINE
         progress.next_index = progress.match_index + 1
     elif progress.mode == SendMode.SNAPSHOT:
-        _leave_snapshot(progress)
+        _finish_snapshot(progress)
     advance_commit(state)
 
 
-def _leave_snapshot(progress: Progress) -> None:
+def _finish_snapshot(progress: Progress) -> None:
     snapshot = progress.snapshot
     if snapshot is None or progress.match_index < snapshot.last_index:
         return
@@ -128,8 +133,8 @@
     ):
         return
     hint = _next_from_hint(state, reply)
-    below = min(hint, reply.rejected_index)
-    progress.next_index = max(progress.match_index + 1, below)
+    retry_index = min(hint, reply.rejected_index)
+    progress.next_index = max(progress.match_index + 1, retry_index)
     progress.mode = SendMode.PROBE
     progress.probe_sent = False
     progress.inflight.clear()
@@ -173,21 +178,22 @@
     *,
     with_entries: bool,
 ) -> int:
-    previous = progress.next_index - 1
-    previous_term = state.log.term_at(previous)
-    if previous_term is None:
-        # The entry was compacted away since; the next pass begins the
-        # snapshot, and its first chunk is a sign of life as well.
-        return previous
+    prev_index = progress.next_index - 1
+    prev_term = state.log.term_at(prev_index)
+    if prev_term is None:
+        # The entry was compacted away in the meantime. The next call of
+        # ``replicate`` starts the snapshot, whose first chunk serves as a
+        # heartbeat.
+        return prev_index
     entries: tuple[Entry, ...] = ()
     if with_entries:
         limit = state.settings.max_append_bytes
         entries = state.log.batch_from(progress.next_index, limit)
     body = Append(
-        previous, previous_term, entries, state.commit_index, _stamp(state)
+        prev_index, prev_term, entries, state.commit_index, _stamp(state)
     )
     send_now(state, member_id, body)
-    return previous + len(entries)
+    return prev_index + len(entries)
 
 
 def _begin_snapshot(
@@ -233,7 +239,7 @@
 __all__ = [
     "on_append_reply",
     "on_snapshot_reply",
+    "refresh_progress",
     "replicate",
     "send_heartbeats",
-    "sync_progress",
 ]
