--- a/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a slow backend server is waited for."""
+"""Tests of how long an attempt waits for a slow backend server."""
 
 from __future__ import annotations
 
@@ -24,51 +24,52 @@
         assert limit_s <= left_s
         assert left_s < 0.8 or limit_s <= left_s / 2
 
-    def test_overtaken_is_given_up_first(self) -> None:
-        overtaken_s, whole_s = first_event_limits_s(4.0, 20.0)
-        assert overtaken_s < whole_s <= 4.0
+    def test_an_overtaken_request_is_abandoned_first(self) -> None:
+        overtaken_s, otherwise_s = first_event_limits_s(4.0, 20.0)
+        assert overtaken_s < otherwise_s <= 4.0
 
-    def test_aim_as_long_as_the_callers_time_is_no_bound(self) -> None:
-        """An answer is of use to the end of the caller's time.
+    def test_a_target_as_long_as_the_callers_time_is_no_limit(self) -> None:
+        """Guards against waiting for a hanging server until the deadline.
 
-        A server that hangs must be left while another can still answer,
-        or every request on it fails by its caller's time.
+        An answer is of use until the end of the caller's time. An attempt must
+        leave a server that hangs while another server can still answer, or
+        every request on it fails at its deadline.
         """
-        _, whole_s = first_event_limits_s(5.0, 5.0)
-        assert whole_s < 4.0
+        _, otherwise_s = first_event_limits_s(5.0, 5.0)
+        assert otherwise_s < 4.0
 
-    def test_pause_of_a_calm_server_is_no_reason(self) -> None:
+    def test_the_gap_limit_exceeds_gaps_of_a_calm_server(self) -> None:
         assert gap_limit_s(1.2) > 2 * 1.2
         assert gap_limit_s(0.1) >= 1.0
 
 
-class TestQuickLimit:
-    def test_a_cheap_reading_leaves_long_before_its_aim(self) -> None:
-        """A digest of 50,000 tokens is read at one server of five.
+class TestShortPrefillLimit:
+    def test_a_short_prefill_moves_long_before_its_target(self) -> None:
+        """One server of five prefills a digest of 50,000 tokens.
 
-        The question behind it would begin after two seconds there, and
-        after a tenth of one at any other server.
+        A question behind it would begin after two seconds there, and after a
+        tenth of a second at any other server.
         """
         limit_s = short_prefill_limit_s(2.0, 0.02, 0.05)
         assert limit_s is not None
         assert limit_s < 0.15 * 2.0
 
-    def test_a_long_reading_stays(self) -> None:
-        """Asked elsewhere, it would be read twice."""
+    def test_a_long_prefill_does_not_move(self) -> None:
+        """Another server would read the prompt a second time."""
         assert short_prefill_limit_s(2.0, 0.4, 0.0) is None
 
-    def test_under_a_burst_nobody_leaves(self) -> None:
-        """Requests wait for half a second at every server.
+    def test_no_request_moves_during_a_burst(self) -> None:
+        """Requests queue for half a second at every server.
 
-        Whoever left would go to the end of a queue as long, and each move
-        would draw on the budget that crashes need.
+        A request that moves would go to the end of a queue of the same length,
+        and each move would spend budget that is needed when servers crash.
         """
         assert short_prefill_limit_s(2.0, 0.02, 0.5) is None
 
 
-class TestProgress:
-    def test_queue_worked_off_in_turn_overtakes_nobody(self) -> None:
-        """A server answers in turn, slowly; the last one waits longest."""
+class TestServerProgress:
+    def test_a_queue_served_in_order_overtakes_no_request(self) -> None:
+        """A slow server answers in order; the last request waits longest."""
         progress = ServerProgress()
         for sent_s in (1.0, 2.0, 3.0):
             progress.record_first_event("s-1", sent_s, sent_s + 2.0)
@@ -80,38 +81,38 @@
         assert progress.has_overtaken("s-1", 1.0)
         assert not progress.has_overtaken("s-2", 1.0)
 
-    def test_requests_sent_together_come_in_any_order(self) -> None:
+    def test_requests_sent_together_may_be_answered_in_any_order(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 1.1, 1.5)
         assert not progress.has_overtaken("s-1", 1.0)
 
     def test_a_server_under_a_burst_is_not_at_fault(self) -> None:
-        """A burst: the server answers in turn, each later than the last.
+        """In a burst, the server answers in order, each request later.
 
-        Requests behind the burst are given up before their turn. Counted
-        as faults five of them took the server out, and its load went to
-        the others, which were next.
+        Requests at the end of the queue are abandoned before their turn. When
+        they counted as failures, five of them ejected the server, and its load
+        moved to the other servers, which were ejected next.
         """
         progress = ServerProgress()
-        given_up = 0
+        abandoned = 0
         for number in range(8, 40):
             sent_s = number * 0.1
-            given_up_s = sent_s + 2.4
-            in_turn = int(given_up_s / 0.4)
+            abandoned_s = sent_s + 2.4
+            in_turn = int(abandoned_s / 0.4)
             if in_turn >= number:
                 continue
-            progress.record_first_event("s-1", in_turn * 0.1, given_up_s)
-            given_up += 1
+            progress.record_first_event("s-1", in_turn * 0.1, abandoned_s)
+            abandoned += 1
             assert progress.is_serving_in_order("s-1", sent_s)
-        assert given_up > 5
+        assert abandoned > 5
 
-    def test_a_server_that_answers_nobody_is(self) -> None:
+    def test_a_server_that_answers_no_request_is_at_fault(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 1.0, 1.5)
         assert not progress.is_serving_in_order("s-1", 2.0)
         assert not progress.is_serving_in_order("s-2", 2.0)
 
-    def test_a_server_that_passes_one_over_is(self) -> None:
+    def test_a_server_that_skips_a_request_is_at_fault(self) -> None:
         progress = ServerProgress()
         progress.record_first_event("s-1", 3.0, 3.5)
         assert not progress.is_serving_in_order("s-1", 1.0)
@@ -120,24 +121,25 @@
 class TestFirstEvent:
     @pytest.mark.parametrize("aim_s", [0.5, 4.0])
     @pytest.mark.parametrize("left_s", [1.0, 20.0])
-    def test_whoever_is_overtaken_goes_first(
+    def test_the_timeout_when_overtaken_is_the_shorter_one(
         self, aim_s: float, left_s: float
     ) -> None:
-        overtaken_s, in_any_case_s = first_event_limits_s(aim_s, left_s)
-        assert 0 < overtaken_s <= in_any_case_s
+        overtaken_s, otherwise_s = first_event_limits_s(aim_s, left_s)
+        assert 0 < overtaken_s <= otherwise_s
 
-    def test_a_long_prompt_is_not_given_up_while_it_is_read(self) -> None:
-        """A prompt of 37,000 tokens takes 2.9 s to read on a large model.
+    def test_a_long_prompt_is_not_abandoned_during_its_prefill(self) -> None:
+        """Guards against abandoning a prompt that is being read.
 
-        It was given up after 2.4 s of an aim of 4 s and begun anew at the
-        next server, where it took another 2.9 s: the caller had its first
-        event after 6.1 s, and both servers' other callers had waited.
+        A prompt of 37,000 tokens takes 2.9 s to read on a large model. It was
+        abandoned after 2.4 s of a target of 4 s, and the next server started
+        over and took another 2.9 s. The caller got the first event after 6.1
+        s, and other requests waited at both servers.
         """
         limits_s = first_event_limits_s(4.0, 19.3, 37_000)
         assert min(limits_s) > 2.9
 
     def test_a_long_prompt_leaves_time_for_another_server(self) -> None:
-        """The server that should read it hangs instead."""
+        """The server that should read the prompt hangs instead."""
         tokens = 37_000
         _, limit_s = first_event_limits_s(4.0, 20.0, tokens)
         assert 20.0 - limit_s > 2 * tokens / PREFILL_TOKENS_PER_S
@@ -153,7 +155,7 @@
         assert times.max_total_s("review", 0.0, 5.0) == 2.5
         assert times.max_answer_s("quote") == 0.0
 
-    def test_few_answers_say_nothing_of_the_longest(self) -> None:
+    def test_few_answers_give_no_maximum(self) -> None:
         """Soon after a start only short answers have ended."""
         times = AnswerTimes()
         assert times.max_total_s("review", 0.0, 5.0) == math.inf
@@ -162,14 +164,14 @@
         assert times.max_total_s("review", 0.0, 5.0) == math.inf
 
     def test_servers_that_became_slow_make_answers_longer(self) -> None:
-        """The long answers of now have not ended yet."""
+        """The long answers of the slow servers have not ended yet."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
             times.record_answer("review", AnswerTime(0.5, 2.0, 50))
         assert times.max_total_s("review", 0.2, 5.0) == 10.5
 
-    def test_what_still_runs_counts(self) -> None:
-        """Answers that ended say little of those that take long."""
+    def test_running_requests_count(self) -> None:
+        """Answers that have ended say little about those that take long."""
         times = AnswerTimes()
         for _ in range(ANSWERS_KEPT):
             times.record_answer("review", AnswerTime(0.1, 0.4, 5))
