--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/__init__.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's orders to engines: what to load, when, and sending it."""
+"""Plan, send and record the leader's load and unload orders to engines."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
@@ -1,8 +1,9 @@
-"""The leader's way to engines: record, send, record the outcome.
+"""Send the leader's orders to engines and record them in the log.
 
-When an order may go is `OrderIssuer`'s word; this carries it out. At most
-one order a server is open, and at most so many loads run at once as the
-weight store serves.
+The channel records the intent, sends the order and records the outcome.
+`OrderIssuer` decides when an order may be sent. Each server has at most one
+open order, and the number of concurrent loads is limited to what the weight
+store serves.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
 LOG: Final = logging.getLogger(__name__)
 CHECK_INTERVAL_S: Final = 0.5
 LEADER_LEASE_S: Final = ReplicaSettings().lease_s * (1.0 + CLOCK_RATE_MARGIN)
-# An engine that never answers an order is left alone after so many sends,
-# each a record in the log; the planner may choose another server then.
+# Each send adds a record to the log. After this many sends without an answer
+# the order is abandoned, and the planner may choose another server.
 MAX_SENDS: Final = 3
 
 
@@ -52,10 +53,12 @@
 
 
 class OrderChannel:
-    """Gives orders while this process leads; counts them by phase.
+    """Sends orders while this process leads.
 
-    ``still_wanted`` is asked of a load that is to be sent again: its
-    version may have been withdrawn since.
+    ``still_wanted`` is called before a load is resent, as its version may
+    have been withdrawn in the meantime. ``phases`` counts committed records
+    by phase, and ``superseded`` counts the orders that an engine refused
+    because it had seen a higher fencing number.
     """
 
     def __init__(
@@ -74,47 +77,55 @@
         self._now_s = now_s
         self._wall_now_s = wall_now_s
         self._term: _Term | None = None
-        # Orders that a task of this process is at work on, by server.
-        self._working: dict[str, RecordOrder] = {}
-        self._sends: Counter[str] = Counter()
-        self._completed: frozenset[str] = frozenset()
+        # By server, the orders that a task of this process is handling.
+        self._in_progress: dict[str, RecordOrder] = {}
+        self._send_counts: Counter[str] = Counter()
+        self._announced_loads: frozenset[str] = frozenset()
         self.phases: Counter[str] = Counter()
         self.superseded = 0
 
     def leading_s(self) -> float:
-        """Return for how long this process may have led, 0 if it may not."""
-        term = self._leading()
+        """Return the seconds since the term's barrier began, or 0.
+
+        It is 0 while this process does not lead.
+        """
+        term = self._current_term()
         return self._now_s() - term.began_s if term is not None else 0.0
 
     async def run(self) -> None:
-        """Follow terms and unfinished orders until cancelled."""
+        """Call `step` every `CHECK_INTERVAL_S` until cancelled."""
         while True:
             await self.step()
             await anyio.sleep(CHECK_INTERVAL_S)
 
     async def step(self) -> None:
-        """Take up a new term, and what its predecessors left open."""
+        """Start a new term if needed, and resume unfinished orders."""
         await self._follow_term()
-        term = self._leading()
+        term = self._current_term()
         if term is None:
             return
         open_orders = term.issuer.unfinished(self._log.orders(), self._now_s())
         async with anyio.create_task_group() as tasks:
             for order in open_orders:
-                if order.backend_server not in self._working:
-                    tasks.start_soon(self._take_up, term, order)
+                if order.backend_server not in self._in_progress:
+                    tasks.start_soon(self._resume_or_abandon, term, order)
 
     async def give(self, action: str, server: str, target: str) -> str:
-        """Give one order; return its phase, empty where it was not given."""
-        term = self._leading()
-        if term is None or server in self._working:
+        """Record and send one order, and return the phase that it ends in.
+
+        Return an empty string if the order was not sent: this process does
+        not lead, the server takes no orders or has an open one, or the
+        limit of concurrent loads is reached.
+        """
+        term = self._current_term()
+        if term is None or server in self._in_progress:
             return ""
         announced = self._servers().get(server)
         if announced is None or announced.leaving:
             return ""
         if announced.max_versions < 1:
             return ""
-        if action == LOAD and self._loads() >= self._loads_at_once:
+        if action == LOAD and self._count_loads() >= self._loads_at_once:
             return ""
         record = term.issuer.next_order(
             self._now_s(),
@@ -131,93 +142,104 @@
     def loading(self) -> dict[str, tuple[str, ...]]:
         """Return, by server, the versions that are being loaded.
 
-        A load that was announced once is over: where the server has the
-        version no more, it was restarted, and may be asked again.
+        A load ends when the server announces its version. If the server
+        lacks the version later, the server was restarted and may get a new
+        load order.
         """
         orders, servers = self._log.orders(), self._servers()
-        kept = self._completed & {order.order_id for order in orders}
-        self._completed = kept | announced_loads(orders, servers)
+        still_recorded = self._announced_loads & {
+            order.order_id for order in orders
+        }
+        self._announced_loads = still_recorded | announced_loads(
+            orders, servers
+        )
         return loading_versions(
-            orders, servers, self._wall_now_s(), self._completed
+            orders, servers, self._wall_now_s(), self._announced_loads
         )
 
-    def _loads(self) -> int:
-        """Count loads under way, and those whose record is on its way."""
+    def _count_loads(self) -> int:
+        """Count loads under way and loads whose intent is being committed."""
         pairs = {(name, v) for name, vs in self.loading().items() for v in vs}
         pairs.update(
             (record.backend_server, record.target)
-            for record in self._working.values()
+            for record in self._in_progress.values()
             if record.action == LOAD
         )
         return len(pairs)
 
-    async def _take_up(self, term: _Term, order: OrderRecord) -> None:
-        """Send an unfinished order again, or give it up.
+    async def _resume_or_abandon(
+        self, term: _Term, order: OrderRecord
+    ) -> None:
+        """Resend an unfinished order, or record it as failed.
 
-        Nothing of it is on its way any more, else the issuer would not
-        have named it. So giving up is a true ``failed``.
+        The issuer lists an order as unfinished only once an earlier send
+        can no longer take effect, so the phase ``failed`` is correct.
         """
         announced = self._servers().get(order.backend_server)
-        reason = self._reason_to_give_up(order, announced)
+        reason = self._reason_to_abandon(order, announced)
         if reason or announced is None:
-            given_up = term.issuer.outcome(
+            failed_record = term.issuer.outcome(
                 RecordOrder(*order), "failed", reason, self._wall_now_s()
             )
-            await self._commit(given_up)
+            await self._commit(failed_record)
             return
         record = term.issuer.resume(self._now_s(), order, self._wall_now_s())
         if record is not None:
             await self._carry_out(term, record, announced.address)
 
-    def _reason_to_give_up(
+    def _reason_to_abandon(
         self, order: OrderRecord, announced: Announcement | None
     ) -> str:
         if announced is None or announced.leaving:
             return "given up: the server is gone"
         if order.action == LOAD and not self._still_wanted(order.target):
             return "given up: the version may have no new work"
-        if self._sends[order.order_id] >= MAX_SENDS:
+        if self._send_counts[order.order_id] >= MAX_SENDS:
             return f"given up: no answer to {MAX_SENDS} sends"
         return ""
 
     async def _carry_out(
         self, term: _Term, record: RecordOrder, address: str
     ) -> str:
-        self._working[record.backend_server] = record
+        self._in_progress[record.backend_server] = record
         try:
             if not await self._commit(record):
                 return ""
             outcome = await self._send(term, record, address)
-            ended = term.issuer.outcome(
+            outcome_record = term.issuer.outcome(
                 record, outcome.phase, outcome.detail, self._wall_now_s()
             )
-            if await self._commit(ended) and outcome.phase != "unknown":
-                self._sends.pop(record.order_id, None)
+            if (
+                await self._commit(outcome_record)
+                and outcome.phase != "unknown"
+            ):
+                self._send_counts.pop(record.order_id, None)
             return outcome.phase
         finally:
-            del self._working[record.backend_server]
+            del self._in_progress[record.backend_server]
 
     async def _send(
         self, term: _Term, record: RecordOrder, address: str
     ) -> EngineOutcome:
         def may_send() -> bool:
-            # A process that led, lost and leads again has another term,
-            # whose issuer does not know what this one sends.
-            return self._leading() is term and term.issuer.may_send(
+            # If this process lost the leadership and regained it, it is in
+            # a new term, whose issuer does not know of this order.
+            return self._current_term() is term and term.issuer.may_send(
                 self._now_s(), self._log.lease_remaining_s(), record
             )
 
-        self._sends[record.order_id] += 1
+        self._send_counts[record.order_id] += 1
         outcome = await send_order(address, record, may_send)
         self.superseded += outcome.superseded
         return outcome
 
     async def _commit(self, record: RecordOrder) -> bool:
-        """Commit a record; False where it may not be in the log.
+        """Commit a record; return False if it may be missing from the log.
 
-        An intent that may or may not be there is not sent; if it is, it
-        is found as an unfinished order. An outcome that is lost leaves an
-        order that is sent again, which does no harm.
+        An order is not sent if its intent may be missing; if the log does
+        hold the intent, it is found later as an unfinished order. An order
+        whose outcome is lost stays unfinished and is sent again, which does
+        no harm.
         """
         try:
             result = await self._log.commit(record)
@@ -244,17 +266,17 @@
         )
         return True
 
-    def _leading(self) -> _Term | None:
+    def _current_term(self) -> _Term | None:
         term = self._term
         if term is None or self._log.leading_term() != term.number:
             return None
         return term
 
     async def _follow_term(self) -> None:
-        """Make an issuer once this process has become the leader.
+        """Create an `OrderIssuer` when this process has become the leader.
 
-        Only after the barrier does it know every order that an earlier
-        leader recorded.
+        The issuer is created after the barrier, because only then has this
+        process applied every order that an earlier leader recorded.
         """
         number = self._log.leading_term()
         if number is None:
@@ -268,7 +290,7 @@
             await self._log.barrier()
         except ConsensusError:
             return
-        self._sends.clear()
+        self._send_counts.clear()
         issuer = OrderIssuer(number, began_s, LEADER_LEASE_S)
         self._term = _Term(number, began_s, issuer)
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/engine_call.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/engine_call.py
@@ -1,4 +1,4 @@
-"""``POST /orders``: one order on its way to one engine."""
+"""Send one order to one engine with ``POST /orders``."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
     from sycamorestand_state.commands import RecordOrder
 
-# Below `ORDER_TIMEOUT_S`, after which others count on nothing of the order
-# being on its way; the rest is for a loop that is late to cancel.
+# Below `ORDER_TIMEOUT_S`, after which other code assumes that the call has
+# ended. The difference allows for an event loop that cancels late.
 ENGINE_TIMEOUT_S: Final = 4.0
 DONE_STATUSES: Final = frozenset({200, 202})
 STALE_STATUS: Final = 409
@@ -28,10 +28,11 @@
 
 
 class EngineOutcome(NamedTuple):
-    """How an order ended, in the phases of the order book.
+    """The outcome of an order, as a phase of the order book.
 
-    The book has no phase for a stale number, see docs/design/orders.md:
-    it is a failure, and ``superseded`` tells it from the others.
+    The order book has no phase for a stale fencing number, see
+    docs/design/orders.md. Such an order has the phase ``failed``, and
+    ``superseded`` distinguishes it from other failures.
     """
 
     phase: Literal["done", "failed", "unknown"]
@@ -42,31 +43,35 @@
 async def send_order(
     address: str, record: RecordOrder, may_send: Callable[[], bool]
 ) -> EngineOutcome:
-    """Send an order once and tell what became of it."""
+    """Send an order once and return its outcome.
+
+    The outcome is ``failed`` only if the engine did not act on the
+    order, and ``unknown`` if it may have.
+    """
     url = f"http://{address}/orders"
     try:
         reply = await call_once(
-            "POST", url, _body(record), ENGINE_TIMEOUT_S, may_send
+            "POST", url, _encode_order(record), ENGINE_TIMEOUT_S, may_send
         )
     except NotSent as error:
         return EngineOutcome("failed", f"not sent: {error}")
     except NoAnswer as error:
         return EngineOutcome("unknown", f"no answer: {error}")
-    return _read_status(reply.status)
+    return _to_outcome(reply.status)
 
 
-def _read_status(status: int) -> EngineOutcome:
+def _to_outcome(status: int) -> EngineOutcome:
     if status in DONE_STATUSES:
         return EngineOutcome("done", f"status {status}")
     if status == STALE_STATUS:
         return EngineOutcome("failed", "superseded: stale number", True)
     if 400 <= status < 500 or status == UNAVAILABLE_STATUS:
         return EngineOutcome("failed", f"refused: status {status}")
-    # An engine that failed in the middle may have begun.
+    # An engine that failed during the order may have begun to act on it.
     return EngineOutcome("unknown", f"status {status}")
 
 
-def _body(record: RecordOrder) -> bytes:
+def _encode_order(record: RecordOrder) -> bytes:
     fence = FencingNumber(record.term, record.sequence)
     return msgspec.json.encode(
         {
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/http_call.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/http_call.py
@@ -1,4 +1,4 @@
-"""One bounded HTTP call on a connection of its own."""
+"""Make one HTTP call with a timeout and a size limit on a new connection."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
     from collections.abc import Callable
 
 MAX_REPLY_BYTES: Final = 4096
-_FIRST_BYTE: Final = "http11.send_request_headers.started"
-_FAULTS: Final = (
+_SEND_STARTED: Final = "http11.send_request_headers.started"
+_CALL_ERRORS: Final = (
     OSError,
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
-    # A URL of the settings that cannot be called: it must not end the
-    # process, whose other tasks have nothing to do with it.
+    # An unusable URL in the settings raises these. It must not end the
+    # process, as the other tasks don't need that URL.
     httpcore.UnsupportedProtocol,
     ValueError,
 )
 
 
 class NotSent(ControlError):
-    """Not one byte of the request was written."""
+    """Raised if no byte of the request was written."""
 
 
 class NoAnswer(ControlError):
-    """The request may have arrived; no sound answer came in time."""
+    """Raised if the request may have arrived, but no valid answer came."""
 
 
 class Reply(NamedTuple):
-    """An answer; header names are in lower case."""
+    """An HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -52,29 +52,32 @@
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> Reply:
-    """Call once, all within ``timeout_s``, and close the connection.
+    """Send one request, return the response and close the connection.
 
-    ``may_send`` is asked after the connection is made, right before the
-    first byte. Raises `NotSent` or `NoAnswer`.
+    ``timeout_s`` limits the whole call, including connecting. ``may_send``
+    is called after the connection is made, right before the first byte is
+    written. Raises `NotSent` or `NoAnswer`.
     """
-    began = False
+    may_have_arrived = False
 
     async def trace(event: str, _details: Any) -> None:
-        nonlocal began
-        if event == _FIRST_BYTE:
+        nonlocal may_have_arrived
+        if event == _SEND_STARTED:
             if not may_send():
                 raise NotSent("it was not allowed any more")
-            began = True
+            may_have_arrived = True
 
     try:
         with anyio.fail_after(timeout_s):
-            return await _call(method, url, body, trace)
-    except _FAULTS as error:
+            return await _send_request(method, url, body, trace)
+    except _CALL_ERRORS as error:
         reason = f"{type(error).__name__} {error}".strip()
-        raise (NoAnswer if began else NotSent)(reason) from error
+        raise (NoAnswer if may_have_arrived else NotSent)(reason) from error
 
 
-async def _call(method: str, url: str, body: bytes, trace: Any) -> Reply:
+async def _send_request(
+    method: str, url: str, body: bytes, trace: Any
+) -> Reply:
     headers: dict[bytes | str, bytes | str] = {
         "Content-Type": "application/json",
         "Connection": "close",
@@ -93,13 +96,13 @@
             name.decode("latin-1").lower(): value.decode("latin-1")
             for name, value in response.headers
         }
-        return Reply(response.status, received, await _read(response))
+        return Reply(response.status, received, await _read_body(response))
 
 
-async def _read(response: httpcore.Response) -> bytes:
+async def _read_body(response: httpcore.Response) -> bytes:
     data = b""
-    async for part in response.aiter_stream():
-        data += part
+    async for chunk in response.aiter_stream():
+        data += chunk
         if len(data) > MAX_REPLY_BYTES:
             raise httpcore.RemoteProtocolError("the answer is too long")
     return data
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/log.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/log.py
@@ -1,4 +1,4 @@
-"""What the orders need of the configuration log, as one narrow value."""
+"""The part of the configuration log that orders need."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
     from sycamorestand_control.groups import LogGroups
     from sycamorestand_state.configuration import ConfigurationMachine
 
-# Below `SEND_WITHIN_S`: an intent that took longer could not be sent.
+# Below `SEND_WITHIN_S`: if committing the intent took longer, the order could
+# no longer be sent.
 COMMIT_TIMEOUT_S: Final = 1.5
 
 
 class LeaderLog(NamedTuple):
-    """The log as the leader's orders see it.
+    """The functions of the configuration log that the leader's orders use.
 
-    ``leading_term`` is None while this process does not lead. ``barrier``
-    returns once all that was committed is applied here, and raises
-    ``ConsensusError``; ``commit`` raises ``ControlError``.
+    ``leading_term`` returns None while this process does not lead.
+    ``barrier`` returns once this process has applied all committed entries,
+    and raises ``ConsensusError``. ``commit`` raises ``ControlError``.
     """
 
     leading_term: Callable[[], int | None]
@@ -40,7 +41,7 @@
 def make_leader_log(
     groups: LogGroups, configuration: ConfigurationMachine
 ) -> LeaderLog:
-    """Return the log of a control process."""
+    """Return the `LeaderLog` of a control process."""
     replica = groups.replicas[CONFIGURATION_GROUP]
 
     def leading_term() -> int | None:
