--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/loading.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/loading.py
@@ -1,8 +1,8 @@
-"""What orders and announcements together tell of loads; pure.
+"""Work out which loads are under way from orders and announcements.
 
-An engine answers an order at once and loads for minutes, so a load that is
-``done`` in the order book is under way until the server announces the
-version.
+An engine answers a load order at once but loads for minutes. A load that is
+``done`` in the order book is therefore under way until the server announces
+the version. All functions are pure.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
     from sycamorestand_model.backend_servers import Announcement
     from sycamorestand_state.results import OrderRecord
 
-# A load that was not announced by then is taken to have failed; it would
-# hold one of the weight store's places for good.
+# A load that is not announced within this time counts as failed. Otherwise
+# it would occupy one of the weight store's concurrent loads for ever.
 LOAD_LIMIT_S: Final = 900.0
-# An unload that is still announced after this is asked for again.
+# An unload is ordered again if the server still announces the version after
+# this time.
 UNLOAD_LIMIT_S: Final = 30.0
 
 LOAD: Final = "load"
@@ -34,9 +35,9 @@
 def last_orders(
     orders: Iterable[OrderRecord],
 ) -> dict[tuple[str, str], OrderRecord]:
-    """Return the last order of each server and version that may count.
+    """Return the last load or unload order by server and version.
 
-    Failed ones changed nothing and hide none before them.
+    Failed orders are ignored, as they changed nothing.
     """
     return {
         (order.backend_server, order.target): order
@@ -51,9 +52,10 @@
     wall_now_s: float,
     completed: Collection[str] = (),
 ) -> dict[str, tuple[str, ...]]:
-    """Return, by server, the versions that it was asked to load.
+    """Return, by server, the versions that are being loaded.
 
-    ``completed`` holds the ids of loads that were announced since.
+    ``completed`` holds the ids of load orders whose version the server has
+    announced since.
     """
     loading: dict[str, tuple[str, ...]] = {}
     for (server, version), order in last_orders(orders).items():
@@ -62,7 +64,7 @@
             continue
         if order.order_id in completed:
             continue
-        if version not in announced.versions and _counts(
+        if version not in announced.versions and _is_under_way(
             order, LOAD_LIMIT_S, wall_now_s
         ):
             loading[server] = (*loading.get(server, ()), version)
@@ -72,7 +74,7 @@
 def announced_loads(
     orders: Iterable[OrderRecord], servers: Mapping[str, Announcement]
 ) -> frozenset[str]:
-    """Return the ids of loads whose version the server announces."""
+    """Return the ids of done loads whose version the server announces."""
     return frozenset(
         order.order_id
         for order in orders
@@ -86,16 +88,18 @@
 def unloading_versions(
     orders: Iterable[OrderRecord], wall_now_s: float
 ) -> frozenset[tuple[str, str]]:
-    """Return the servers and versions with an unload under way."""
+    """Return the (server, version) pairs with an unload under way."""
     return frozenset(
         pair
         for pair, order in last_orders(orders).items()
         if order.action == UNLOAD
-        and _counts(order, UNLOAD_LIMIT_S, wall_now_s)
+        and _is_under_way(order, UNLOAD_LIMIT_S, wall_now_s)
     )
 
 
-def _counts(order: OrderRecord, limit_s: float, wall_now_s: float) -> bool:
+def _is_under_way(
+    order: OrderRecord, limit_s: float, wall_now_s: float
+) -> bool:
     if order.phase in UNFINISHED_PHASES:
         return True
     return wall_now_s - order.now_s < limit_s
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
@@ -1,4 +1,4 @@
-"""Every few seconds at the leader: which orders to give now."""
+"""Plan load and unload orders at the leader every few seconds."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 import anyio
 
 from sycamorestand_control.orders.loading import LOAD
-from sycamorestand_control.orders.slots import barred_versions
-from sycamorestand_control.orders.slots import BookView
-from sycamorestand_control.orders.slots import change_times
-from sycamorestand_control.orders.slots import declared_only
+from sycamorestand_control.orders.slots import blocked_versions
+from sycamorestand_control.orders.slots import drop_undeclared
 from sycamorestand_control.orders.slots import make_report
 from sycamorestand_control.orders.slots import make_slots
+from sycamorestand_control.orders.slots import OrderBookView
+from sycamorestand_control.orders.slots import times_of_changes
 from sycamorestand_decisions.demand import AverageDemand
 from sycamorestand_decisions.demand import estimate_running
 from sycamorestand_decisions.demand import make_demand
@@ -39,13 +39,17 @@
 
 LOG: Final = logging.getLogger(__name__)
 PLAN_INTERVAL_S: Final = 3.0
-# A new leader has not heard of all servers and loads yet. What it does
-# not know of looks like a lack, and it would load elsewhere in its place.
+# A new leader has not received all announcements and loads yet. It would
+# take a replica that it does not know of for missing, and load the version
+# on another server.
 WARM_UP_S: Final = 15.0
 
 
 class Inputs(NamedTuple):
-    """Where the planner reads; ``shares`` are of recent requests."""
+    """The functions that the planner reads its inputs with.
+
+    ``shares`` returns each version's share of recent requests.
+    """
 
     in_force: Callable[[], InForce]
     orders: Callable[[], tuple[OrderRecord, ...]]
@@ -72,37 +76,41 @@
         self._limits = Limits(loads_at_once=loads_at_once)
         self._now_s = now_s
         self._wall_now_s = wall_now_s
-        self._average = AverageDemand()
+        self._average_demand = AverageDemand()
 
     def missing(self) -> tuple[str, ...]:
-        """Return the versions whose weights the store does not have."""
+        """Return the versions whose weights the store lacks."""
         return self._store.missing()
 
     async def run(self) -> None:
-        """Plan and give orders until cancelled."""
+        """Plan and send orders until cancelled."""
         while True:
             await anyio.sleep(PLAN_INTERVAL_S)
-            # All end before the next round: an order that is not in the
-            # book yet would be planned again, for another server.
+            # All orders end before the next round. An order that is not
+            # in the order book yet would be planned again, for another
+            # server.
             async with anyio.create_task_group() as tasks:
                 for order in self.plan():
                     tasks.start_soon(self.carry_out, order)
 
     def plan(self) -> list[Order]:
-        """Return the orders to give now, at most one a server."""
+        """Return the orders to send now, at most one for each server."""
         if self._channel.leading_s() < WARM_UP_S:
-            # What was averaged is of another time when it leads again.
-            self._average = AverageDemand()
+            # The average would be outdated when this process leads again.
+            self._average_demand = AverageDemand()
             return []
-        first: dict[str, Order] = {}
-        for order in self._plan():
-            # The load that an unload makes room for comes in a later
-            # round, when the room is there.
-            first.setdefault(order.server, order)
-        return list(first.values())
+        first_orders: dict[str, Order] = {}
+        for order in self._plan_all():
+            # A load that needs the slot of an unload comes in a later
+            # round, once the slot is free.
+            first_orders.setdefault(order.server, order)
+        return list(first_orders.values())
 
     async def carry_out(self, order: Order) -> str:
-        """Ask the weight store where need be, and give the order."""
+        """Send an order and return its phase, empty if it was not sent.
+
+        A load is sent only if the weight store is ready to serve it.
+        """
         if order.kind == LOAD:
             readiness = await self._store.readiness(order.version)
             if readiness != "ready":
@@ -112,7 +120,7 @@
             order.kind, order.server, order.version
         )
 
-    def _plan(self) -> list[Order]:
+    def _plan_all(self) -> list[Order]:
         inputs = self._inputs
         servers = {
             name: announced
@@ -125,21 +133,23 @@
         }
         shares = inputs.shares()
         in_force = inputs.in_force()
-        book = BookView(
+        book = OrderBookView(
             inputs.orders(), self._wall_now_s(), self._channel.loading()
         )
-        pins = versions_in_use(in_force)
-        known = list(reports.values())
-        self._average.add(estimate_running(known, shares), self._now_s())
-        means = declared_only(self._average.means(), in_force)
+        required_servers = versions_in_use(in_force)
+        server_reports = list(reports.values())
+        self._average_demand.add(
+            estimate_running(server_reports, shares), self._now_s()
+        )
+        means = drop_undeclared(self._average_demand.means(), in_force)
         return plan_orders(
             make_slots(servers, reports, shares, book),
-            make_demand(means, pins, known),
-            barred_versions(in_force),
-            change_times(book.orders),
+            make_demand(means, required_servers, server_reports),
+            blocked_versions(in_force),
+            times_of_changes(book.orders),
             book.wall_now_s,
             self._limits,
         )
 
 
-__all__ = ["Inputs", "WARM_UP_S", "LoadPlanner", "PLAN_INTERVAL_S"]
+__all__ = ["Inputs", "LoadPlanner", "PLAN_INTERVAL_S", "WARM_UP_S"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/service.py
@@ -1,4 +1,4 @@
-"""Joins the parts that give orders, for one control process."""
+"""Create and connect the objects that give orders in a control process."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class OrderSettings(NamedTuple):
-    """Where the weight store is and how many loads it serves at once."""
+    """The weight store's URL and the number of loads it serves at once."""
 
     weight_store_url: str
     weight_store_loads: int
 
 
 class Orders(NamedTuple):
-    """The parts, whose counters metrics read."""
+    """The objects that give orders; metrics read their counters."""
 
     channel: OrderChannel
     planner: LoadPlanner
@@ -38,10 +38,10 @@
     groups: LogGroups,
     configuration: ConfigurationMachine,
     tables: SharedTables,
-    keeper: VersionController,
+    version_controller: VersionController,
     settings: OrderSettings,
 ) -> Orders:
-    """Return the parts, of which channel and planner want to be run."""
+    """Return the objects; the caller runs ``channel`` and ``planner``."""
 
     def still_wanted(version: str) -> bool:
         return may_load(configuration.in_force(), version)
@@ -59,7 +59,7 @@
         configuration.orders,
         tables.servers,
         tables.load,
-        keeper.request_shares,
+        version_controller.request_shares,
     )
     planner = LoadPlanner(inputs, channel, store, loads_at_once)
     return Orders(channel, planner, store)
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/slots.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/slots.py
@@ -1,4 +1,4 @@
-"""What `plan_orders` takes, made from the directory and the order book."""
+"""Build the arguments of `plan_orders` from servers and the order book."""
 
 from __future__ import annotations
 
@@ -29,17 +29,18 @@
     from sycamorestand_model.in_force import InForce
     from sycamorestand_state.results import OrderRecord
 
-# A server that just refused an order refuses the next one too; asked at
-# the planner's pace it would fill the log.
-FAILED_PAUSE_S: Final = 60.0
-# Below this part of a request a version counts as not running there.
-LEAST_PART: Final = 0.01
+# A server that has just refused an order is likely to refuse the next one
+# too. An order in every round of the planner would fill the log.
+FAILURE_BACKOFF_S: Final = 60.0
+# A version counts as not running on a server if the estimate for it is below
+# this fraction of a request.
+MIN_REQUEST_SHARE: Final = 0.01
 
 
-class BookView(NamedTuple):
-    """The order book, and the wall clock to read its times with.
+class OrderBookView(NamedTuple):
+    """The order book, and the wall clock time to compare its times with.
 
-    ``loading`` holds, by server, what is being loaded.
+    ``loading`` holds, by server, the versions that are being loaded.
     """
 
     orders: Sequence[OrderRecord]
@@ -50,7 +51,7 @@
 def make_report(
     announced: Announcement, load: LoadReport | None
 ) -> ServerReport:
-    """Return a server's load as the estimate of demand takes it."""
+    """Return a server's load as an input of `estimate_running`."""
     if load is None:
         return ServerReport(
             announced.name, announced.versions, announced.capacity
@@ -68,17 +69,18 @@
     servers: Mapping[str, Announcement],
     reports: Mapping[str, ServerReport],
     shares: Mapping[str, float],
-    book: BookView,
+    book: OrderBookView,
 ) -> list[ServerSlots]:
-    """Return the servers as the planner sees them.
+    """Return the servers as `plan_orders` takes them.
 
-    One that takes no load orders, or failed one of late, is there with
-    what it holds, so that its replicas count, and offers no change. One
-    that is leaving is not: its replicas are about to go.
+    A server that takes no load orders or is blocked is listed with its
+    versions, so that its replicas count, but as full and busy, so that no
+    change is planned for it. A leaving server is left out, as its replicas
+    are about to go.
     """
     unloading = unloading_versions(book.orders, book.wall_now_s)
     last = last_orders(book.orders)
-    held_back = servers_held_back(book)
+    blocked = blocked_servers(book)
     slots: list[ServerSlots] = []
     for name, announced in sorted(servers.items()):
         if announced.leaving:
@@ -88,7 +90,7 @@
             if (name, version) in unloading:
                 in_flight[version] = 1
         room = announced.max_versions
-        if name in held_back or announced.max_versions < 1:
+        if name in blocked or announced.max_versions < 1:
             in_flight = dict.fromkeys(announced.versions, 1)
             room = 0
         slots.append(
@@ -103,10 +105,11 @@
     return slots
 
 
-def servers_held_back(book: BookView) -> frozenset[str]:
+def blocked_servers(book: OrderBookView) -> frozenset[str]:
     """Return the servers that get no new order now.
 
-    Their last one is open, or failed a short while ago.
+    A server is blocked while an order to it is unfinished, and for
+    `FAILURE_BACKOFF_S` after an order to it failed.
     """
     return frozenset(
         order.backend_server
@@ -114,46 +117,47 @@
         if order.phase in UNFINISHED_PHASES
         or (
             order.phase == "failed"
-            and book.wall_now_s - order.now_s < FAILED_PAUSE_S
+            and book.wall_now_s - order.now_s < FAILURE_BACKOFF_S
         )
     )
 
 
-def change_times(orders: Iterable[OrderRecord]) -> list[float]:
-    """Return the times of orders that changed, or may have, a server."""
+def times_of_changes(orders: Iterable[OrderRecord]) -> list[float]:
+    """Return the times of all orders that may have changed a server."""
     return [order.now_s for order in orders if order.phase != "failed"]
 
 
-def barred_versions(in_force: InForce) -> frozenset[str]:
+def blocked_versions(in_force: InForce) -> frozenset[str]:
     """Return the versions that may get no new work now.
 
-    A quarantine may be lifted and a withdrawal taken back, so they are
-    the last to be unloaded, and never loaded.
+    These versions are never loaded. They are the last to be unloaded, as a
+    quarantine may be lifted and a withdrawal taken back.
     """
-    barred = {*in_force.withdrawn, *in_force.quarantined}
+    blocked = {*in_force.withdrawn, *in_force.quarantined}
     for model in in_force.declarations.models.values():
-        barred.update(
+        blocked.update(
             version_id(model.name, version.name)
             for version in model.versions.values()
             if version.withdrawn
         )
-    return frozenset(barred)
+    return frozenset(blocked)
 
 
 def may_load(in_force: InForce, version: str) -> bool:
-    """Tell whether a version is declared and may get new work."""
+    """Return whether a version is declared and may get new work."""
     model_name = version.partition(VERSION_SEPARATOR)[0]
     model = in_force.declarations.models.get(model_name)
     return model is not None and may_run(version, model, in_force)
 
 
-def declared_only(
+def drop_undeclared(
     means: Mapping[str, float], in_force: InForce
 ) -> dict[str, float]:
-    """Return the demand without versions that are declared no more.
+    """Return the demand without versions that are no longer declared.
 
-    A server that still holds one has its requests split among all it
-    holds, and the version would be loaded elsewhere for them.
+    A server's requests are split among all versions that it holds. An
+    undeclared version would get a part of them, and be loaded on other
+    servers for that.
     """
     declared = in_force.declarations
     return {
@@ -166,7 +170,7 @@
 def _loaded_since(
     announced: Announcement, last: Mapping[tuple[str, str], OrderRecord]
 ) -> dict[str, float]:
-    """Return since when each version is loaded, 0 where nothing tells."""
+    """Return the time of each version's load order, or 0 without one."""
     since = dict.fromkeys(announced.versions, 0.0)
     for version in announced.versions:
         order = last.get((announced.name, version))
@@ -178,24 +182,27 @@
 def _in_flight(
     report: ServerReport, shares: Mapping[str, float]
 ) -> dict[str, int]:
-    """Return how many requests run on each version, at least estimated.
+    """Return the estimated number of requests that run on each version.
 
-    A server whose load is not known may run requests on every version.
+    If the server's load report is missing or old, every version counts as
+    having one request.
     """
     if not report.fresh:
         return dict.fromkeys(report.versions, 1)
     parts = split_busy(report, float(report.busy), shares)
-    return {v: ceil(part) for v, part in parts.items() if part > LEAST_PART}
+    return {
+        v: ceil(part) for v, part in parts.items() if part > MIN_REQUEST_SHARE
+    }
 
 
 __all__ = [
-    "barred_versions",
-    "BookView",
-    "change_times",
-    "declared_only",
-    "FAILED_PAUSE_S",
+    "blocked_servers",
+    "blocked_versions",
+    "drop_undeclared",
+    "FAILURE_BACKOFF_S",
     "make_report",
     "make_slots",
     "may_load",
-    "servers_held_back",
+    "OrderBookView",
+    "times_of_changes",
 ]
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/weight_store.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/weight_store.py
@@ -1,8 +1,9 @@
-"""Asks the weight store, before a load, whether it can be served now.
+"""Ask the weight store whether it can serve a load now.
 
-The store is rate-limited: a load that it turns away leaves an engine
-waiting, with a slot taken and the order counted as done. So it is asked
-first, and a load is put off where it says so or says nothing sound.
+The store is rate-limited. If it rejects a load, the engine waits with an
+occupied slot although the order counts as done. The store is therefore
+asked before each load, and the load is deferred if the store rejects it or
+gives no valid answer.
 """
 
 from __future__ import annotations
@@ -30,75 +31,76 @@
     from sycamorestand_control.orders.http_call import Reply
 
 LOG: Final = logging.getLogger(__name__)
-ASK_TIMEOUT_S: Final = 2.0
-# Weights that are not there come with an upload, which takes minutes.
+QUERY_TIMEOUT_S: Final = 2.0
+# Missing weights have to be uploaded first, which takes minutes.
 MISSING_PAUSE_S: Final = 60.0
-# A store that does not answer, or says "later" without a sound time, is
-# asked at this pace; a few seconds are little beside a load of minutes.
+# The pause after no answer, or after "later" without a valid time. A few
+# seconds are short compared to a load, which takes minutes.
 FAULT_PAUSE_S: Final = 5.0
-# A longer Retry-After is not believed: it would stop loads for hours on
-# one bad answer.
+# The upper limit of Retry-After. Without it, one wrong answer could stop
+# loads for hours.
 MAX_RETRY_AFTER_S: Final = 600.0
 
 Readiness = Literal["ready", "missing", "later", "unreachable"]
 
 
-class _Held(NamedTuple):
+class _Pause(NamedTuple):
     readiness: Readiness
     until_s: float
 
 
 class WeightStore:
-    """What the store last said; counts refusals by their reason.
+    """Queries the weight store and caches refusals until a pause is over.
 
-    An empty ``url`` stands for no store: every load may begin.
+    ``refusals`` counts the store's refusals by reason. An empty ``url``
+    means that there is no store and that every load may begin.
     """
 
     def __init__(
         self,
         url: str,
-        timeout_s: float = ASK_TIMEOUT_S,
+        timeout_s: float = QUERY_TIMEOUT_S,
         now_s: Callable[[], float] = boottime_s,
     ) -> None:
         self._url = url.rstrip("/")
         self._timeout_s = timeout_s
         self._now_s = now_s
-        # A version whose weights are missing, and "" for all versions.
-        self._held: dict[str, _Held] = {}
+        # By version if its weights are missing, by "" for all versions.
+        self._pauses: dict[str, _Pause] = {}
         self._state: dict[str, Readiness] = {}
         self.refusals: Counter[str] = Counter()
 
     def missing(self) -> tuple[str, ...]:
-        """Return the versions whose weights were not there when asked."""
+        """Return the versions whose weights were missing when last asked."""
         return tuple(
             sorted(v for v, s in self._state.items() if s == "missing")
         )
 
     async def readiness(self, version: str) -> Readiness:
-        """Tell whether a load of a version may begin now."""
+        """Return ``ready`` if a version may be loaded now, else why not."""
         if not self._url:
             return "ready"
-        held = self._holds("") or self._holds(version)
-        if held is not None:
-            return held
-        readiness, pause_s = await self._ask(version)
+        paused = self._paused_readiness("") or self._paused_readiness(version)
+        if paused is not None:
+            return paused
+        readiness, pause_s = await self._query(version)
         if readiness != "ready":
             self.refusals[readiness] += 1
             key = version if readiness == "missing" else ""
-            self._held[key] = _Held(readiness, self._now_s() + pause_s)
-        self._note(version, readiness)
+            self._pauses[key] = _Pause(readiness, self._now_s() + pause_s)
+        self._record_readiness(version, readiness)
         return readiness
 
-    def _holds(self, key: str) -> Readiness | None:
-        held = self._held.get(key)
-        if held is None:
+    def _paused_readiness(self, key: str) -> Readiness | None:
+        pause = self._pauses.get(key)
+        if pause is None:
             return None
-        if self._now_s() < held.until_s:
-            return held.readiness
-        del self._held[key]
+        if self._now_s() < pause.until_s:
+            return pause.readiness
+        del self._pauses[key]
         return None
 
-    async def _ask(self, version: str) -> tuple[Readiness, float]:
+    async def _query(self, version: str) -> tuple[Readiness, float]:
         model, _, name = version.partition(VERSION_SEPARATOR)
         path = f"/weights/{quote(model, safe='')}/{quote(name, safe='')}"
         try:
@@ -107,16 +109,22 @@
             )
         except (NotSent, NoAnswer):
             return "unreachable", FAULT_PAUSE_S
-        return _read_reply(reply)
+        return _parse_reply(reply)
 
-    def _note(self, version: str, readiness: Readiness) -> None:
-        """Log a change; the store's own state is not one version's."""
+    def _record_readiness(self, version: str, readiness: Readiness) -> None:
+        """Update the states of the version and of the store.
+
+        Missing weights concern one version and leave the store ready; a
+        store that is busy or unreachable says nothing about the version.
+        """
         if readiness in ("ready", "missing"):
-            self._note_change(version, readiness)
-        store: Readiness = "ready" if readiness == "missing" else readiness
-        self._note_change("", store)
+            self._update_state(version, readiness)
+        store_readiness: Readiness = (
+            "ready" if readiness == "missing" else readiness
+        )
+        self._update_state("", store_readiness)
 
-    def _note_change(self, key: str, readiness: Readiness) -> None:
+    def _update_state(self, key: str, readiness: Readiness) -> None:
         before = self._state.get(key, "ready")
         self._state[key] = readiness
         if readiness != before:
@@ -127,19 +135,21 @@
             )
 
 
-def _read_reply(reply: Reply) -> tuple[Readiness, float]:
+def _parse_reply(reply: Reply) -> tuple[Readiness, float]:
     if reply.status == 200:
-        if _has_bytes(reply.body):
+        if _states_size(reply.body):
             return "ready", 0.0
         return "unreachable", FAULT_PAUSE_S
     if reply.status == 404:
         return "missing", MISSING_PAUSE_S
     if reply.status in (429, 503):
-        return "later", _retry_after_s(reply.headers.get("retry-after", ""))
+        return "later", _parse_retry_after(
+            reply.headers.get("retry-after", "")
+        )
     return "unreachable", FAULT_PAUSE_S
 
 
-def _has_bytes(body: bytes) -> bool:
+def _states_size(body: bytes) -> bool:
     try:
         content: Any = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -148,8 +158,11 @@
     return isinstance(size, int) and not isinstance(size, bool) and size > 0
 
 
-def _retry_after_s(text: str) -> float:
-    """Return the wait of a header in seconds; a date is not understood."""
+def _parse_retry_after(text: str) -> float:
+    """Return the seconds of a Retry-After header, within the limits.
+
+    A date or an invalid value yields `FAULT_PAUSE_S`.
+    """
     if not text.isascii() or not text.isdecimal():
         return FAULT_PAUSE_S
     wait_s = float(text[:9])
@@ -157,10 +170,10 @@
 
 
 __all__ = [
-    "ASK_TIMEOUT_S",
     "FAULT_PAUSE_S",
     "MAX_RETRY_AFTER_S",
     "MISSING_PAUSE_S",
+    "QUERY_TIMEOUT_S",
     "Readiness",
     "WeightStore",
 ]
