--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/__init__.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP interface of the control process."""
+"""The operators' HTTP API of the control process."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/app.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/app.py
@@ -1,8 +1,8 @@
-"""The operators' interface as an ASGI application.
+"""The operators' HTTP API as an ASGI application.
 
-``make_operator_app(backend, authenticate)`` is served by uvicorn in the
-control process. It needs a bearer key on every path but the two health
-paths, and answers every fault with JSON and a stable code, for example
+Uvicorn serves ``make_operator_app(backend, authenticate)`` in the control
+process. Every path except the two health paths and the metrics requires a
+bearer key. Every error is answered with JSON and a stable code, for example
 ``{"error": {"code": "forbidden", "message": "..."}}``.
 """
 
@@ -17,8 +17,7 @@
 
 from sycamorestand_control.operator_api.asgi import answer_lifespan
 from sycamorestand_control.operator_api.asgi import AsgiApp
-from sycamorestand_control.operator_api.asgi import header
-from sycamorestand_control.operator_api.asgi import query
+from sycamorestand_control.operator_api.asgi import parse_query
 from sycamorestand_control.operator_api.asgi import read_json
 from sycamorestand_control.operator_api.asgi import Receive
 from sycamorestand_control.operator_api.asgi import respond
@@ -26,6 +25,7 @@
 from sycamorestand_control.operator_api.asgi import Response
 from sycamorestand_control.operator_api.asgi import Scope
 from sycamorestand_control.operator_api.asgi import Send
+from sycamorestand_control.operator_api.asgi import single_header
 from sycamorestand_control.operator_api.authentication import Authenticate
 from sycamorestand_control.operator_api.backend import NoLeader
 from sycamorestand_control.operator_api.backend import OperatorBackend
@@ -58,23 +58,27 @@
 )
 
 
-def _count_nothing(code: str) -> None:
-    """Stand in where nobody counts refusals."""
+def _ignore_refusal(code: str) -> None:
+    """Do nothing; the default where refusals are not counted."""
 
 
-def _render_nothing() -> bytes:
-    """Stand in where there are no metrics."""
+def _render_no_metrics() -> bytes:
+    """Return an empty page; the default where there are no metrics."""
     return b""
 
 
 def make_operator_app(
     backend: OperatorBackend,
     authenticate: Authenticate,
-    count_refusal: Callable[[str], None] = _count_nothing,
-    render_metrics: Callable[[], bytes] = _render_nothing,
+    count_refusal: Callable[[str], None] = _ignore_refusal,
+    render_metrics: Callable[[], bytes] = _render_no_metrics,
 ) -> AsgiApp:
-    """Return the application; refusals are counted by their code."""
-    checks = CapacityLimiter(1)
+    """Return the ASGI application of the operators' API.
+
+    ``count_refusal`` is called with the code of every error answer, and
+    ``render_metrics`` returns the page of `METRICS_PATH`.
+    """
+    check_limiter = CapacityLimiter(1)
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
@@ -89,7 +93,9 @@
 
     async def answer(scope: Scope, receive: Receive) -> Response:
         try:
-            return await _answer(backend, authenticate, checks, scope, receive)
+            return await _answer_request(
+                backend, authenticate, check_limiter, scope, receive
+            )
         except ApiError as error:
             count_refusal(error.code)
             return _error_response(error)
@@ -97,36 +103,39 @@
     return app
 
 
-async def _answer(
+async def _answer_request(
     backend: OperatorBackend,
     authenticate: Authenticate,
-    checks: CapacityLimiter,
+    check_limiter: CapacityLimiter,
     scope: Scope,
     receive: Receive,
 ) -> Response:
-    health = _health(backend, scope["method"], scope["path"])
+    health = _health_response(backend, scope["method"], scope["path"])
     if health is not None:
         return health
-    # The key comes first, so that nobody without one learns the paths.
+    # The key is checked before the path, so that a client without a valid
+    # key cannot find out which paths exist.
     identity = authenticate(_bearer_key(scope))
     if identity is None:
-        raise _unknown_key(backend)
-    route = _route(scope["method"], scope["path"])
+        raise _unknown_key_error(backend)
+    route = _find_route(scope["method"], scope["path"])
     if not role_suffices(identity.role, route.role):
         raise ApiError(403, FORBIDDEN, f"this takes the role {route.role}")
-    fields = query(scope)
+    fields = parse_query(scope)
     body = None
     if route.max_body_bytes:
         body = await read_json(scope, receive, route.max_body_bytes)
-    return await _call(route, Call(backend, identity, fields, body, checks))
+    return await _call_route(
+        route, Call(backend, identity, fields, body, check_limiter)
+    )
 
 
-def _unknown_key(backend: OperatorBackend) -> ApiError:
-    """Return what a key that fits no operator is told.
+def _unknown_key_error(backend: OperatorBackend) -> ApiError:
+    """Return the error for a key that matches no operator.
 
-    A voter on an empty disk knows no operator at all. A 401 from it would
-    be final for the client, and no command would work for as long as the
-    repair lasts; it has to ask the next voter.
+    A voter with an empty disk knows no operators until it is repaired. A
+    401 from it would stop the client, and no command would work during the
+    repair. A 503 makes the client ask the next voter.
     """
     if backend.knows_operators():
         return ApiError(401, UNAUTHENTICATED, "no valid operator key")
@@ -138,7 +147,7 @@
     )
 
 
-async def _call(route: Route, call: Call) -> Response:
+async def _call_route(route: Route, call: Call) -> Response:
     try:
         return await route.answer(call)
     except ApiError:
@@ -152,31 +161,33 @@
             leader_address=error.leader_address,
         ) from error
     except OutcomeUnknown as error:
-        raise _outcome_unknown(str(error)) from error
+        raise _outcome_unknown_error(str(error)) from error
     except UnknownSubject as error:
         raise ApiError(404, UNKNOWN_SUBJECT, str(error)) from error
     except SycamorestandError as error:
-        raise _fault(route, str(error)) from error
+        raise _failure_error(route, str(error)) from error
     except Exception as error:
-        # A fault of ours: its text may hold anything, so it is logged and
-        # not answered, and the process goes on with the next request.
+        # An unexpected error's text may hold confidential data, so it is
+        # logged and not sent. The process continues with the next request.
         logger.exception("operator request failed")
-        raise _fault(route, "an internal error, see the log") from error
+        raise _failure_error(
+            route, "an internal error, see the log"
+        ) from error
 
 
-def _fault(route: Route, message: str) -> ApiError:
+def _failure_error(route: Route, message: str) -> ApiError:
     if route.changes:
-        return _outcome_unknown(message)
+        return _outcome_unknown_error(message)
     return ApiError(500, INTERNAL_ERROR, message)
 
 
-def _outcome_unknown(message: str) -> ApiError:
+def _outcome_unknown_error(message: str) -> ApiError:
     return ApiError(
         503, OUTCOME_UNKNOWN, f"{message}; {RESEND_HINT}", retry_after_s=1
     )
 
 
-def _health(
+def _health_response(
     backend: OperatorBackend, method: str, path: str
 ) -> Response | None:
     if method not in ("GET", "HEAD"):
@@ -190,17 +201,21 @@
 
 
 def _bearer_key(scope: Scope) -> str:
-    value = header(scope, b"authorization")
+    value = single_header(scope, b"authorization")
     if value[: len(BEARER)].lower() != BEARER:
         return ""
     return value[len(BEARER) :].strip()
 
 
-def _route(method: str, path: str) -> Route:
+def _find_route(method: str, path: str) -> Route:
     route = ROUTES.get((method, path))
     if route is not None:
         return route
-    allowed = [known for known, at in ROUTES if at == path]
+    allowed = [
+        route_method
+        for route_method, route_path in ROUTES
+        if route_path == path
+    ]
     if not allowed:
         raise ApiError(404, UNKNOWN_PATH, "there is nothing at this path")
     raise ApiError(
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/asgi.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/asgi.py
@@ -1,4 +1,4 @@
-"""Requests and responses over ASGI, with bounds on what is read."""
+"""Read requests within size and time limits and respond, over ASGI."""
 
 from __future__ import annotations
 
@@ -26,29 +26,33 @@
 
 MAX_QUERY_BYTES: Final = 2_048
 MAX_QUERY_FIELDS: Final = 16
-# A client that stops halfway would otherwise hold its buffer for ever.
+# Without a timeout, the buffer of a client that stops sending would be held
+# for ever.
 BODY_TIMEOUT_S: Final = 20.0
 
 
 class Response(NamedTuple):
-    """A status and a JSON-able body."""
+    """A status, a body that is encoded as JSON, and extra headers."""
 
     status: int
     body: Any
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-def header(scope: Scope, name: bytes) -> str:
-    """Return a header's only value; a doubled one counts as absent.
+def single_header(scope: Scope, name: bytes) -> str:
+    """Return a header's value, or "" if it is absent or repeated.
 
-    Two values would be read differently by a proxy and by us.
+    A proxy and this process might use different ones of repeated values.
     """
     values = [value for key, value in scope["headers"] if key == name]
     return values[0].decode("latin-1") if len(values) == 1 else ""
 
 
-def query(scope: Scope) -> dict[str, str]:
-    """Return the query's fields; doubled and oversized ones are refused."""
+def parse_query(scope: Scope) -> dict[str, str]:
+    """Return the fields of the query string.
+
+    Raises `ApiError` if it is too long or malformed, or repeats a field.
+    """
     raw = scope.get("query_string", b"")
     if len(raw) > MAX_QUERY_BYTES:
         raise ApiError(400, INVALID_REQUEST, "the query is too long")
@@ -70,7 +74,11 @@
 
 
 async def read_json(scope: Scope, receive: Receive, max_bytes: int) -> Any:
-    """Return the request's JSON body."""
+    """Return the decoded JSON body of the request.
+
+    Raises `ApiError` if the body is larger than ``max_bytes``, takes longer
+    than `BODY_TIMEOUT_S` or is not JSON.
+    """
     body = await _read_body(scope, receive, max_bytes)
     try:
         return msgspec.json.decode(body)
@@ -81,20 +89,23 @@
 
 
 async def respond(send: Send, response: Response) -> None:
-    """Send a whole response."""
+    """Send a response with a JSON body."""
     content = msgspec.json.encode(response.body)
-    await _send_whole(
+    await _send_response(
         send, response.status, b"application/json", content, response.headers
     )
 
 
 async def respond_text(send: Send, content: bytes) -> None:
-    """Send a page of plain text, such as the metrics."""
-    await _send_whole(send, 200, b"text/plain; version=0.0.4", content, ())
+    """Send a plain-text response, such as the metrics."""
+    await _send_response(send, 200, b"text/plain; version=0.0.4", content, ())
 
 
 async def answer_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop; there is nothing to prepare."""
+    """Confirm the server's startup and shutdown events.
+
+    The application needs no setup or cleanup.
+    """
     while True:
         message = await receive()
         await send({"type": f"{message['type']}.complete"})
@@ -103,9 +114,9 @@
 
 
 async def _read_body(scope: Scope, receive: Receive, max_bytes: int) -> bytes:
-    announced = header(scope, b"content-length")
-    if announced.isdecimal() and int(announced) > max_bytes:
-        raise _too_large(max_bytes)
+    declared_length = single_header(scope, b"content-length")
+    if declared_length.isdecimal() and int(declared_length) > max_bytes:
+        raise _body_too_large_error(max_bytes)
     try:
         with anyio.fail_after(BODY_TIMEOUT_S):
             return await _read_chunks(receive, max_bytes)
@@ -125,17 +136,17 @@
         body += message.get("body", b"")
         more = message.get("more_body", False)
         if len(body) > max_bytes:
-            raise _too_large(max_bytes)
+            raise _body_too_large_error(max_bytes)
     return bytes(body)
 
 
-def _too_large(max_bytes: int) -> ApiError:
+def _body_too_large_error(max_bytes: int) -> ApiError:
     return ApiError(
         413, BODY_TOO_LARGE, f"the body has more than {max_bytes:,} bytes"
     )
 
 
-async def _send_whole(
+async def _send_response(
     send: Send,
     status: int,
     content_type: bytes,
@@ -160,8 +171,7 @@
 __all__ = [
     "answer_lifespan",
     "AsgiApp",
-    "header",
-    "query",
+    "parse_query",
     "read_json",
     "Receive",
     "respond",
@@ -169,4 +179,5 @@
     "Response",
     "Scope",
     "Send",
+    "single_header",
 ]
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/authentication.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/authentication.py
@@ -1,4 +1,4 @@
-"""Who an operator's key belongs to."""
+"""Authenticate operators by their keys."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sycamorestand_model.keys import key_matches
 
 BOOTSTRAP_OPERATOR: Final = "bootstrap"
-# Keys are made by the system and far shorter; a longer one is no key.
+# Generated keys are far shorter, so a longer text cannot be a key.
 MAX_KEY_CHARACTERS: Final = 256
 
 Authenticate = Callable[[str], OperatorIdentity | None]
@@ -20,12 +20,12 @@
 def make_authenticate(
     declarations: Callable[[], Declarations], bootstrap_key_hash: str = ""
 ) -> Authenticate:
-    """Return the function that tells an operator by the presented key.
+    """Return a function that returns the operator of a key, or None.
 
-    Before the first apply no operator is declared, so nobody could apply
-    anything. The bootstrap key of the settings is an admin until an admin
-    with a key is declared; from then on it is refused, so that a copy
-    left in an old settings file opens nothing.
+    No operator is declared before the first apply, so nobody could apply
+    declarations. Until an admin with a key is declared, the bootstrap key
+    of the settings therefore authenticates an admin. Afterwards it is
+    rejected, so that a copy in an old settings file gives no access.
     """
 
     def authenticate(key: str) -> OperatorIdentity | None:
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/backend.py
@@ -1,4 +1,4 @@
-"""What the operators' interface needs from the control process."""
+"""The interface between the operators' API and the control process."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class NoLeader(SycamorestandError):
-    """No voter leads that can be reached, so nothing has been changed.
+    """Raised if no leader can be reached; nothing has been changed.
 
-    ``leader_address`` names the leader's operator interface where it is
-    known and only this process cannot forward to it.
+    ``leader_address`` is the address of the leader's operator API if the
+    leader is known but this process cannot forward the request to it.
     """
 
     def __init__(
@@ -39,67 +39,69 @@
 
 
 class OutcomeUnknown(SycamorestandError):
-    """A change was proposed and no answer came: it may be committed.
+    """Raised if a change was proposed but not answered.
 
-    The client resends it with the same change id, to any voter.
+    The change may be committed. The client resends it with the same change
+    id to any voter.
     """
 
 
 class UnknownSubject(SycamorestandError):
-    """The subject of a question is not known to the system."""
+    """Raised if `OperatorBackend.explain` does not know the subject."""
 
 
 class OperatorBackend(Protocol):
-    """The control process behind the interface.
+    """The control process as the operators' API calls it.
 
-    Every method may raise `NoLeader`; `change` and `replace_voter` may
-    also raise `OutcomeUnknown`, and `explain` `UnknownSubject`.
-    Declarations that arrive here have passed `check` without an error.
+    Every coroutine method may raise `NoLeader`. `change` and
+    `replace_voter` may also raise `OutcomeUnknown`, and `explain` may raise
+    `UnknownSubject`. Declarations in a request have passed
+    `sycamorestand_model.check.check` without errors.
     """
 
     async def change(self, request: ChangeRequest) -> ChangeAnswer:
-        """Commit one change, or say why not."""
+        """Commit one change, or return why it was not committed."""
 
     async def declarations(self) -> DeclarationsAnswer:
         """Return the committed declarations, with their key hashes."""
 
     async def in_force(self, revision: int) -> InForceAnswer:
-        """Tell whether every live lease holder acts on the revision."""
+        """Return how many live lease holders act on the revision."""
 
     async def status(self) -> StatusAnswer:
-        """Return this process's view; it works without a leader too."""
+        """Return this process's view, which needs no leader."""
 
     async def audit(self, after: int, limit: int) -> AuditPage:
         """Return audit entries with a sequence above ``after``."""
 
     async def bills(self, customer: str, after: int, limit: int) -> BillPage:
-        """Return charges; an empty customer means all of them."""
+        """Return charges after a sequence; "" selects all customers."""
 
     async def nodes(self) -> tuple[NodeRow, ...]:
-        """Return the entry processes."""
+        """Return one row for each entry process."""
 
     async def backends(self) -> tuple[BackendRow, ...]:
-        """Return the backend servers."""
+        """Return one row for each backend server."""
 
     async def replace_voter(
         self, request: ReplaceVoterRequest
     ) -> ChangeAnswer:
-        """Start the replacement of a voter, or refuse it."""
+        """Start the replacement of a voter, or return why it is refused."""
 
     async def rollouts(self) -> tuple[RolloutRow, ...]:
-        """Return the roll-outs that are declared or under way."""
+        """Return the roll-outs that are declared or in progress."""
 
     async def explain(self, subject: str) -> Explanation:
         """Return why the system treats the subject as it does."""
 
     async def transfer_leadership(self, operator: str) -> TransferAnswer:
-        """Hand leadership to another voter, before a planned stop."""
+        """Transfer leadership to another voter before a planned stop."""
 
     def knows_operators(self) -> bool:
-        """Tell whether this process can judge an operator's key."""
+        """Return whether this process has received a configuration."""
 
     def ready(self) -> bool:
-        """Tell whether this process can answer operators now."""
+        """Return whether this process can answer operators now."""
 
 
 __all__ = [
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/errors.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/errors.py
@@ -1,4 +1,4 @@
-"""Refusals of the operators' interface: a status and a stable code."""
+"""Error answers of the operators' API, with stable codes."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 
 class ApiError(SycamorestandError):
-    """A request that is answered with an error body.
+    """Raised to answer a request with an error status and body.
 
-    ``code`` is stable and meant for programs, the message for people.
+    Programs may rely on ``code``, which is stable. The message is for
+    people.
     """
 
     def __init__(
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/plain.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/plain.py
@@ -1,8 +1,8 @@
-"""Typed messages to JSON-able objects and back, by field name.
+"""Convert typed messages to JSON-compatible objects and back.
 
-JSON answers name their fields, so that an older ``sycactl`` can read a
-newer control process: fields that it does not know are passed over and
-fields that are missing take their default. For example
+JSON answers contain field names, so that an older ``sycactl`` can read the
+answers of a newer control process. Unknown fields are ignored, and missing
+fields take their default. For example
 ``from_plain(TransferAnswer, {"leader": "a", "term": 3})``.
 """
 
@@ -24,7 +24,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Return the JSON-able form of a typed message."""
+    """Return a typed message as a JSON-compatible object."""
     if isinstance(value, Declarations):
         return to_document(value)
     if hasattr(value, "_asdict"):
@@ -34,35 +34,40 @@
     return value
 
 
-def from_plain(wanted: type[Message], value: object) -> Message:
-    """Read a message of the wanted type; raises `WireError` if it is not."""
+def from_plain(message_type: type[Message], value: object) -> Message:
+    """Return a decoded JSON value as a message of the given type.
+
+    Raises `WireError` if the value does not fit the type.
+    """
     try:
-        return _read(wanted, value)
+        return _convert(message_type, value)
     except (msgspec.ValidationError, TypeError) as error:
-        raise WireError(f"answer is no {wanted.__name__}: {error}") from error
+        raise WireError(
+            f"answer is no {message_type.__name__}: {error}"
+        ) from error
 
 
-def _read(wanted: Any, value: Any) -> Any:
-    if hasattr(wanted, "_fields"):
-        return _read_fields(wanted, value)
-    if get_origin(wanted) is tuple:
-        member = get_args(wanted)[0]
+def _convert(wanted_type: Any, value: Any) -> Any:
+    if hasattr(wanted_type, "_fields"):
+        return _convert_fields(wanted_type, value)
+    if get_origin(wanted_type) is tuple:
+        item_type = get_args(wanted_type)[0]
         if not isinstance(value, list):
             raise TypeError("a list was expected")
-        return tuple(_read(member, part) for part in value)
-    return msgspec.convert(value, wanted)
+        return tuple(_convert(item_type, part) for part in value)
+    return msgspec.convert(value, wanted_type)
 
 
-def _read_fields(wanted: Any, value: Any) -> Any:
+def _convert_fields(message_type: Any, value: Any) -> Any:
     if not isinstance(value, dict):
         raise TypeError("an object was expected")
-    hints = get_type_hints(wanted)
-    known = {
-        field: _read(hints[field], value[field])
-        for field in wanted._fields
+    hints = get_type_hints(message_type)
+    known_fields = {
+        field: _convert(hints[field], value[field])
+        for field in message_type._fields
         if field in value
     }
-    return wanted(**known)
+    return message_type(**known_fields)
 
 
 __all__ = ["from_plain", "to_plain"]
