--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/requests.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/requests.py
@@ -1,4 +1,4 @@
-"""Bodies and queries to typed requests, with all findings together."""
+"""Read bodies and queries as typed requests, and report all findings."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 VERSION_KINDS: Final = frozenset(
     {"withdraw", "reinstate", "quarantine", "lift-quarantine"}
 )
-WITHOUT_SUBJECT: Final = frozenset({"apply", "rotate-session-key"})
+KINDS_WITHOUT_SUBJECT: Final = frozenset({"apply", "rotate-session-key"})
 
 
 def read_change(body: object) -> ChangeRequest:
-    """Return the requested change; raises `ApiError` with all findings.
+    """Return the requested change, without its declarations.
 
-    The declarations of an apply have been read but not checked, see
-    `read_declarations`.
+    `read_declarations` reads and checks the declarations of an apply.
+    Raises `ApiError` with all findings.
     """
     findings = Findings()
     request = _CHANGE(body, Place(), findings)
@@ -53,28 +53,31 @@
     if request is not None:
         _check_subject(request, findings)
         _check_has_declarations(request.kind, raw, findings)
-    _refuse(findings)
+    _raise_on_errors(findings)
     return request
 
 
 def read_declarations(
     document: object,
 ) -> tuple[Declarations, tuple[Finding, ...]]:
-    """Return declarations and the findings of their whole check."""
+    """Return the declarations and all findings of reading and checking."""
     loaded = load_document(document)
     return loaded.declarations, check(loaded)
 
 
 def read_plan(body: object) -> object:
-    """Return the document that a plan is asked for."""
+    """Return the declarations document to plan, not yet checked."""
     findings = Findings()
     values = _PLAN(body, Place(), findings)
-    _refuse(findings)
+    _raise_on_errors(findings)
     return values["declarations"]
 
 
 def read_replace_voter(body: object) -> ReplaceVoterRequest:
-    """Return the requested replacement of a voter."""
+    """Return the requested replacement of a voter.
+
+    Raises `ApiError` with all findings.
+    """
     findings = Findings()
     request = _REPLACE_VOTER(body, Place(), findings)
     if request is not None and request.old_id == request.new_id:
@@ -83,38 +86,44 @@
             "is the old voter's id",
             "a wiped disk makes a new id; give that one",
         )
-    _refuse(findings)
+    _raise_on_errors(findings)
     return request
 
 
 def read_empty(body: object) -> None:
-    """Refuse fields in a body that has none."""
+    """Raise `ApiError` unless the body is an object without fields."""
     findings = Findings()
     record(dict, {})(body, Place(), findings)
-    _refuse(findings)
+    _raise_on_errors(findings)
 
 
 def read_query(
-    fields: dict[str, str], known: dict[str, int | str]
+    fields: dict[str, str], defaults: dict[str, int | str]
 ) -> dict[str, Any]:
-    """Return query fields over their defaults; whole numbers are read."""
+    """Return the query fields, with ``defaults`` for missing ones.
+
+    A field whose default is an integer is read as one. Raises `ApiError`
+    with all findings.
+    """
     findings = Findings()
-    values: dict[str, Any] = dict(known)
+    values: dict[str, Any] = dict(defaults)
     for key, text in fields.items():
         place = Place("", key)
-        if key not in known:
-            findings.error(place, "unknown field", f"known are {list(known)}")
-        elif isinstance(known[key], int):
-            values[key] = _read_whole(key, text, place, findings)
+        if key not in defaults:
+            findings.error(
+                place, "unknown field", f"known are {list(defaults)}"
+            )
+        elif isinstance(defaults[key], int):
+            values[key] = _read_integer(key, text, place, findings)
         elif text and not SUBJECT_PATTERN.fullmatch(text):
             findings.error(place, "is no name", "give a declared name")
         else:
             values[key] = text
-    _refuse(findings)
+    _raise_on_errors(findings)
     return values
 
 
-def _read_whole(
+def _read_integer(
     key: str, text: str, place: Place, findings: Findings
 ) -> int | None:
     high = MAX_PAGE_ROWS if key == "limit" else MAX_REVISION
@@ -127,7 +136,7 @@
 
 def _check_subject(request: ChangeRequest, findings: Findings) -> None:
     place = Place("", "subject")
-    if request.kind in WITHOUT_SUBJECT:
+    if request.kind in KINDS_WITHOUT_SUBJECT:
         if request.subject:
             findings.error(place, f"{request.kind} has none", "leave it out")
         return
@@ -149,7 +158,7 @@
         findings.error(place, f"{kind} takes none", "leave them out")
 
 
-def _refuse(findings: Findings) -> None:
+def _raise_on_errors(findings: Findings) -> None:
     found = findings.all()
     if has_errors(found):
         raise ApiError(
@@ -160,17 +169,17 @@
         )
 
 
-def _text(pattern: re.Pattern[str], wanted: str) -> Reader:
+def _pattern_reader(pattern: re.Pattern[str], expected: str) -> Reader:
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if isinstance(raw, str) and pattern.fullmatch(raw):
             return raw
-        findings.error(place, "cannot be used", f"give {wanted}")
+        findings.error(place, "cannot be used", f"give {expected}")
         return None
 
     return read
 
 
-def _message(raw: object, place: Place, findings: Findings) -> str | None:
+def _read_message(raw: object, place: Place, findings: Findings) -> str | None:
     if not isinstance(raw, str) or len(raw) > MAX_MESSAGE_CHARACTERS:
         findings.error(
             place,
@@ -178,11 +187,12 @@
             f"give a text of at most {MAX_MESSAGE_CHARACTERS} characters",
         )
         return None
-    # The audit trail is printed on terminals: no control sequences in it.
+    # The audit trail is printed on terminals, so it must not contain control
+    # sequences.
     return "".join(c if c.isprintable() else " " for c in raw)
 
 
-def _subject(raw: object, place: Place, findings: Findings) -> str | None:
+def _read_subject(raw: object, place: Place, findings: Findings) -> str | None:
     return "" if raw == "" else _SUBJECT_TEXT(raw, place, findings)
 
 
@@ -193,33 +203,39 @@
     return ChangeRequest(base_revision=base_revision, **values)
 
 
-def _revision(raw: object, place: Place, findings: Findings) -> int | None:
-    # -1 stands for null here, as a reader's None says that it found a fault.
+def _read_revision(
+    raw: object, place: Place, findings: Findings
+) -> int | None:
+    # None from a reader means an invalid value, so null is returned as -1.
     return -1 if raw is None else _REVISION(raw, place, findings)
 
 
-def _untouched(raw: object, place: Place, findings: Findings) -> object:
-    """Pass declarations on; they have a check of their own."""
+def _pass_through(raw: object, place: Place, findings: Findings) -> object:
+    """Return declarations as they are; `read_declarations` checks them."""
     return () if raw is None else raw
 
 
 _REVISION: Final = whole(0, MAX_REVISION)
-_ID: Final = _text(ID_PATTERN, "an id of letters, digits, '.', '_' and '-'")
-_SUBJECT_TEXT: Final = _text(SUBJECT_PATTERN, "a declared name")
+_ID: Final = _pattern_reader(
+    ID_PATTERN, "an id of letters, digits, '.', '_' and '-'"
+)
+_SUBJECT_TEXT: Final = _pattern_reader(SUBJECT_PATTERN, "a declared name")
 
 _CHANGE: Final = record(
     _make_change,
     {
         "change_id": Field(_ID, required=True),
         "kind": Field(choice(*CHANGE_KINDS), required=True),
-        "base_revision": Field(_revision),
-        "subject": Field(_subject),
-        "declarations": Field(_untouched),
-        "message": Field(_message),
+        "base_revision": Field(_read_revision),
+        "subject": Field(_read_subject),
+        "declarations": Field(_pass_through),
+        "message": Field(_read_message),
     },
 )
 
-_PLAN: Final = record(dict, {"declarations": Field(_untouched, required=True)})
+_PLAN: Final = record(
+    dict, {"declarations": Field(_pass_through, required=True)}
+)
 
 _REPLACE_VOTER: Final = record(
     ReplaceVoterRequest,
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/routes.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/routes.py
@@ -1,4 +1,4 @@
-"""The paths of the operators' interface and what each of them does."""
+"""The routes of the operators' API and their handlers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 
 PREFIX: Final = "/operator/v1"
 MAX_SMALL_BODY_BYTES: Final = 65_536
-# JSON of declarations at the bound of the folder, with room for escapes.
+# Declarations as large as the limit of their folder fit as JSON, including
+# escapes.
 MAX_DECLARATIONS_BODY_BYTES: Final = 4_194_304
 ADMIN_KINDS: Final = frozenset({"rotate-session-key"})
 
@@ -50,7 +51,10 @@
 
 
 class Call(NamedTuple):
-    """One authenticated request, read and bounded."""
+    """An authenticated request whose body has been read.
+
+    ``checks`` limits how many checks of declarations run at once.
+    """
 
     backend: OperatorBackend
     identity: OperatorIdentity
@@ -60,9 +64,9 @@
 
 
 class Route(NamedTuple):
-    """What answers a method and path, and which role it takes.
+    """The handler of a method and path, and the role that it requires.
 
-    ``changes`` says that a failure halfway leaves the outcome unknown.
+    With ``changes``, the outcome is unknown if the handler fails halfway.
     """
 
     answer: Callable[[Call], Awaitable[Response]]
@@ -72,7 +76,7 @@
 
 
 def role_suffices(held: str, wanted: str) -> bool:
-    """Tell whether a role includes another: viewer < operator < admin."""
+    """Return whether a role includes another: viewer < operator < admin."""
     return ROLES.index(held) >= ROLES.index(wanted)
 
 
@@ -91,7 +95,7 @@
 
 
 async def _plan(call: Call) -> Response:
-    wanted, findings = await _checked(call, read_plan(call.body))
+    wanted, findings = await _check_declarations(call, read_plan(call.body))
     current = await call.backend.declarations()
     difference = await to_thread.run_sync(
         plan, current.declarations, wanted, limiter=call.checks
@@ -117,12 +121,14 @@
 
 
 async def _apply(call: Call, request: ChangeRequest) -> Response:
-    declarations, findings = await _checked(call, call.body["declarations"])
+    declarations, findings = await _check_declarations(
+        call, call.body["declarations"]
+    )
     if has_errors(findings):
         message = "the declarations have errors; nothing was changed"
         return _change_response(ChangeAnswer("refused", 0, message, findings))
     if call.identity.role != "admin":
-        await _keep_operators(call.backend, request, declarations)
+        await _refuse_operator_changes(call.backend, request, declarations)
     answer = await call.backend.change(
         request._replace(declarations=declarations)
     )
@@ -131,29 +137,30 @@
     )
 
 
-async def _checked(
+async def _check_declarations(
     call: Call, document: object
 ) -> tuple[Declarations, tuple[Finding, ...]]:
-    """Read and check declarations beside the event loop.
+    """Read and check declarations in a worker thread.
 
-    At the bounds of size this takes more than a second. On the event loop
-    that would hold up the voter's heartbeats and cost it its leadership.
-    One check at a time, so that clients cannot pile them up.
+    For the largest declarations this takes more than a second. On the event
+    loop, it would delay the voter's heartbeats and cost it the leadership.
+    Only one check runs at a time, so that clients cannot start many.
     """
     return await to_thread.run_sync(
         read_declarations, document, limiter=call.checks
     )
 
 
-async def _keep_operators(
+async def _refuse_operator_changes(
     backend: OperatorBackend, request: ChangeRequest, wanted: Declarations
 ) -> None:
-    """Refuse to let a non-admin change who the operators are.
+    """Raise `ApiError` if a non-admin's apply changes the operators.
 
-    Otherwise anybody who may apply could make himself an admin. Only an
-    apply whose base is the compared revision can be committed, as a
-    change in between is a conflict, so the comparison cannot be outrun.
-    An older base is passed on: it is a conflict or a resend.
+    Otherwise everyone who may apply could become an admin. The operators
+    are compared with those of the base revision. A change that is committed
+    after the comparison makes the apply a conflict, so it cannot bypass the
+    check. An apply with an older base is a conflict or a resend; it is left
+    to the backend.
     """
     if request.base_revision is None:
         raise ApiError(
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/types.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/types.py
@@ -1,4 +1,4 @@
-"""Messages of the operators' interface, shared with ``sycactl``."""
+"""Messages of the operators' API, shared with ``sycactl``."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 
 
 class OperatorIdentity(NamedTuple):
-    """Who presented the key, and what that operator may do."""
+    """The name and the role of the operator who presented the key."""
 
     name: str
     role: Role
 
 
 class ChangeRequest(NamedTuple):
-    """One change of the configuration, safe to resend to any voter.
-
-    ``change_id`` is chosen by the client and kept for its resends.
-    ``base_revision`` is the revision that the change was worked out
-    against; None skips the comparison. ``subject`` is a version identity
-    for withdraw, reinstate, quarantine and lift-quarantine, a model for
-    the roll-outs and a VM name for drain and undrain; it is empty for
-    apply and rotate-session-key. ``operator`` is set by the interface
-    from the presented key and never read from the body.
+    """An idempotent change of the configuration.
+
+    The client chooses ``change_id`` and resends the change with the same id
+    to any voter. ``base_revision`` is the revision that the change is based
+    on; None skips the comparison. ``subject`` is a version identity for
+    withdraw, reinstate, quarantine and lift-quarantine, a model for the
+    roll-outs and a VM name for drain and undrain. It is empty for apply and
+    rotate-session-key. The API sets ``operator`` from the presented key and
+    never reads it from the body.
     """
 
     change_id: str
@@ -58,7 +58,7 @@
 
 
 class Conflict(NamedTuple):
-    """A change made since the base revision: who changed what, when."""
+    """A change that was committed after the base revision."""
 
     revision: int
     operator: str
@@ -69,8 +69,8 @@
 class ChangeAnswer(NamedTuple):
     """The outcome of a change.
 
-    A ``duplicate`` repeats the first answer's revision. ``refused`` means
-    that nothing was changed; ``findings`` or ``message`` say why.
+    A ``duplicate`` has the revision of the first answer. ``refused`` means
+    that nothing was changed; ``findings`` or ``message`` give the reason.
     """
 
     outcome: Literal["accepted", "duplicate", "conflict", "refused"]
@@ -81,9 +81,9 @@
 
 
 class ReplaceVoterRequest(NamedTuple):
-    """Admit one voter and remove another, safe to resend.
+    """An idempotent request to add one voter and remove another.
 
-    ``operator`` is set by the interface from the presented key.
+    The API sets ``operator`` from the presented key.
     """
 
     change_id: str
@@ -93,18 +93,18 @@
 
 
 class DeclarationsAnswer(NamedTuple):
-    """The committed declarations and the revision that they stand for."""
+    """The committed declarations and their revision."""
 
     revision: int
     declarations: Declarations
 
 
 class InForceAnswer(NamedTuple):
-    """How far a revision has come: in force everywhere, or waiting.
+    """Whether a revision is in force at every live lease holder.
 
     ``acknowledged`` of ``lease_holders`` live entries act on the revision
-    or a later one. ``waiting`` names VMs whose entry has not confirmed
-    and whose lease still runs.
+    or a later one. ``waiting`` names the VMs whose entry has not confirmed
+    the revision and still holds a lease.
     """
 
     revision: int
@@ -115,7 +115,7 @@
 
 
 class VoterRow(NamedTuple):
-    """One voter or learner as the answering control process sees it."""
+    """A voter or learner as the answering control process sees it."""
 
     voter_id: str
     vm: str
@@ -127,10 +127,10 @@
 
 
 class StatusAnswer(NamedTuple):
-    """The control processes and the configuration at a glance.
+    """A summary of the control processes and the configuration.
 
-    ``leader`` is a voter id and empty while there is none. ``alarms``
-    are conditions that need an operator, such as a full disk.
+    ``leader`` is a voter id, empty while there is no leader. ``alarms`` are
+    conditions that an operator has to resolve, such as a full disk.
     """
 
     voter_id: str
@@ -148,9 +148,10 @@
 
 
 class AuditEntry(NamedTuple):
-    """One change or attempted change; ``operator`` may be ``system``.
+    """A change or attempted change.
 
-    ``evidence`` holds the figures behind a change that the system made.
+    For a change that the system made, ``operator`` is ``system`` and
+    ``evidence`` holds the figures that led to it.
     """
 
     sequence: int
@@ -168,7 +169,7 @@
 
 
 class AuditPage(NamedTuple):
-    """Entries after a sequence number; ``next_after`` continues them."""
+    """Entries after a sequence number; ``next_after`` gets the next page."""
 
     entries: tuple[AuditEntry, ...]
     next_after: int
@@ -176,7 +177,7 @@
 
 
 class BillRow(NamedTuple):
-    """One charge of the ledger: exactly one for a request key."""
+    """A charge of the ledger; a request key has exactly one."""
 
     sequence: int
     at_s: float
@@ -189,7 +190,7 @@
 
 
 class BillPage(NamedTuple):
-    """Charges after a sequence number; ``next_after`` continues them."""
+    """Charges after a sequence number; ``next_after`` gets the next page."""
 
     rows: tuple[BillRow, ...]
     next_after: int
@@ -197,7 +198,7 @@
 
 
 class NodeRow(NamedTuple):
-    """One entry process and the state of its configuration lease."""
+    """An entry process and the state of its configuration lease."""
 
     vm: str
     data_centre: str
@@ -210,7 +211,7 @@
 
 
 class BackendRow(NamedTuple):
-    """One backend server as it announced itself."""
+    """A backend server as it announced itself."""
 
     name: str
     kind: str
@@ -225,7 +226,7 @@
 
 
 class RolloutRow(NamedTuple):
-    """A roll-out's committed progress and why it stands where it does."""
+    """A roll-out's committed progress and the reason for its state."""
 
     model: str
     from_version: str
@@ -237,7 +238,7 @@
 
 
 class Explanation(NamedTuple):
-    """Why the system treats a subject as it does, as lines of text.
+    """Lines of text on a subject's current state and the reasons for it.
 
     The subject is a version identity, model, profile, customer, VM or
     backend server name, or ``customer/request-key`` for one request.
