--- a/packages/sycamorestand-control/tests/operator_api/conftest.py
+++ b/packages/sycamorestand-control/tests/operator_api/conftest.py
@@ -42,7 +42,7 @@
 
 
 class FakeBackend:
-    """Answers like a control process at revision 5; ``failure`` breaks it."""
+    """A control process at revision 5; methods raise ``failure`` if set."""
 
     def __init__(self) -> None:
         self.changes: list[ChangeRequest] = []
@@ -130,13 +130,13 @@
 
 @pytest.fixture
 def declared() -> Declarations:
-    """Return what the fake backend has in force at revision 5."""
+    """Return the fake backend's declarations at revision 5."""
     return DECLARED
 
 
 @pytest.fixture
 def apply_body() -> dict[str, Any]:
-    """Return the body of an apply that changes nothing."""
+    """Return the body of an apply that changes no declaration."""
     return {
         "change_id": "c-2",
         "kind": "apply",
--- a/packages/sycamorestand-control/tests/operator_api/test_app.py
+++ b/packages/sycamorestand-control/tests/operator_api/test_app.py
@@ -34,14 +34,14 @@
 }
 REPLACE = {"change_id": "c-3", "old_id": "v1", "new_id": "v4"}
 
-# method, path, body, key, then the status and code of the refusal.
+# Method, path, body, key, and the status and code of the error answer.
 BAD_REQUESTS = {
     "no key": ("GET", f"{V1}/status", b"", "", 401, "unauthenticated"),
     "wrong key": ("GET", f"{V1}/status", b"", "x", 401, "unauthenticated"),
     "odd key": ("GET", f"{V1}/status", b"", "é" * 999, 401, "unauthenticated"),
     "no path without a key": ("GET", "/x", b"", "", 401, "unauthenticated"),
     "unknown path": ("GET", f"{V1}/x", b"", "key-admin", 404, "unknown-path"),
-    "climbing path": (
+    "parent path": (
         "GET",
         f"{V1}/../status",
         b"",
@@ -75,11 +75,18 @@
         403,
         "forbidden",
     ),
-    "no JSON": ("POST", CHANGES, b"{", "key-admin", 400, "malformed-json"),
+    "not JSON": ("POST", CHANGES, b"{", "key-admin", 400, "malformed-json"),
     "empty body": ("POST", CHANGES, b"", "key-admin", 400, "malformed-json"),
     "not UTF-8": ("POST", CHANGES, b"\xff", "key-admin", 400, None),
     "deep JSON": ("POST", CHANGES, b"[" * 9_999, "key-admin", 400, None),
-    "no object": ("POST", CHANGES, b"[]", "key-admin", 422, "invalid-request"),
+    "not an object": (
+        "POST",
+        CHANGES,
+        b"[]",
+        "key-admin",
+        422,
+        "invalid-request",
+    ),
     "oversized": (
         "POST",
         f"{V1}/replace-voter",
@@ -97,7 +104,14 @@
         400,
         "invalid-request",
     ),
-    "query rubbish": ("GET", f"{V1}/audit?&&%ff", b"", "key-admin", 400, None),
+    "malformed query": (
+        "GET",
+        f"{V1}/audit?&&%ff",
+        b"",
+        "key-admin",
+        400,
+        None,
+    ),
     "query too long": (
         "GET",
         f"{V1}/explain?subject={'a' * 3000}",
@@ -106,7 +120,14 @@
         400,
         "invalid-request",
     ),
-    "no number": ("GET", f"{V1}/audit?after=-1", b"", "key-admin", 422, None),
+    "negative number": (
+        "GET",
+        f"{V1}/audit?after=-1",
+        b"",
+        "key-admin",
+        422,
+        None,
+    ),
     "page too large": (
         "GET",
         f"{V1}/audit?limit=1001",
@@ -126,7 +147,7 @@
     ),
 }
 
-# What a change body adds to WITHDRAW, and the key path that is found.
+# The fields that a change body adds to WITHDRAW, and the finding's key path.
 BAD_CHANGES: dict[str, tuple[dict[str, Any], str]] = {
     "unknown field": ({"subjekt": "a"}, "subjekt"),
     "operator in the body": ({"operator": "ada"}, "operator"),
@@ -140,8 +161,8 @@
     "no subject": ({"subject": ""}, "subject"),
     "subject with a control character": ({"subject": "a\x1b@1"}, "subject"),
     "subject without a version": ({"subject": "cheap"}, "subject"),
-    "a subject too many": ({"kind": "rotate-session-key"}, "subject"),
-    "declarations too many": ({"declarations": {}}, "declarations"),
+    "unexpected subject": ({"kind": "rotate-session-key"}, "subject"),
+    "unexpected declarations": ({"declarations": {}}, "declarations"),
     "long message": ({"message": "m" * 501}, "message"),
     "apply without declarations": (
         {"kind": "apply", "subject": ""},
@@ -150,7 +171,7 @@
 }
 
 
-class TestReading:
+class TestQuestions:
     @pytest.mark.parametrize(
         "path",
         [
@@ -164,16 +185,16 @@
             "explain?subject=cheap@1",
         ],
     )
-    def test_a_viewer_reads(self, call: Caller, path: str) -> None:
+    def test_viewer_may_read(self, call: Caller, path: str) -> None:
         assert call("GET", f"{V1}/{path}", key="key-viewer").status == 200
 
-    def test_answers_read_back_as_their_types(self, call: Caller) -> None:
+    def test_answers_convert_back_to_their_types(self, call: Caller) -> None:
         status = from_plain(StatusAnswer, call("GET", f"{V1}/status").body)
         assert status == StatusAnswer("a", 3, "a", 5, 5, ())
         page = from_plain(AuditPage, call("GET", f"{V1}/audit").body)
         assert page.entries[0].operator == "ada"
 
-    def test_a_newer_field_is_passed_over(self) -> None:
+    def test_unknown_field_is_ignored(self) -> None:
         answer = to_plain(ChangeAnswer("accepted", 6))
         newer = {**answer, "added": 1}
         assert from_plain(ChangeAnswer, newer) == ChangeAnswer("accepted", 6)
@@ -181,11 +202,13 @@
     @pytest.mark.parametrize(
         "bad", [None, [], {}, {"outcome": "maybe", "revision": 1}]
     )
-    def test_another_shape_is_a_wire_error(self, bad: object) -> None:
+    def test_value_of_another_type_raises_wire_error(
+        self, bad: object
+    ) -> None:
         with pytest.raises(WireError):
             from_plain(ChangeAnswer, bad)
 
-    def test_key_hashes_are_for_admins_only(
+    def test_only_admins_see_key_hashes(
         self, call: Caller, declared: Declarations
     ) -> None:
         key_hash = declared.customers["acme"].key_hashes[0]
@@ -194,7 +217,7 @@
             assert key_hash not in repr(call("GET", path, key=key).body)
         assert key_hash in repr(call("GET", path).body)
 
-    def test_a_plan_shows_the_difference_and_no_hash(
+    def test_plan_shows_the_difference_without_key_hashes(
         self, call: Caller, declared: Declarations
     ) -> None:
         body = {"declarations": {}}
@@ -205,7 +228,9 @@
         key_hash = declared.customers["acme"].key_hashes[0]
         assert key_hash not in repr(reply.body)
 
-    def test_health_needs_no_key(self, call: Caller, backend: Any) -> None:
+    def test_health_paths_need_no_key(
+        self, call: Caller, backend: Any
+    ) -> None:
         assert call("GET", "/healthz", key="").status == 200
         assert call("GET", "/readyz", key="").status == 200
         backend.is_ready = False
@@ -222,16 +247,16 @@
             ("refused", 422),
         ],
     )
-    def test_each_outcome_has_its_status(
+    def test_outcome_sets_the_status(
         self, call: Caller, backend: Any, outcome: Any, status: int
     ) -> None:
-        who = Conflict(6, "ben", "c-0", "apply")
-        backend.answer = ChangeAnswer(outcome, 6, conflicts=(who,))
+        conflict = Conflict(6, "ben", "c-0", "apply")
+        backend.answer = ChangeAnswer(outcome, 6, conflicts=(conflict,))
         reply = call("POST", CHANGES, WITHDRAW)
         assert reply.status == status
         assert from_plain(ChangeAnswer, reply.body) == backend.answer
 
-    def test_the_operator_is_the_owner_of_the_key(
+    def test_operator_is_set_from_the_key(
         self, call: Caller, backend: Any
     ) -> None:
         call("POST", CHANGES, WITHDRAW, key="key-operator")
@@ -239,7 +264,7 @@
         assert backend.changes[0].operator == "otto"
         assert backend.replacements[0].operator == "ada"
 
-    def test_an_apply_passes_its_declarations_on(
+    def test_apply_passes_declarations_to_the_backend(
         self,
         call: Caller,
         backend: Any,
@@ -250,7 +275,7 @@
         assert backend.changes[0].declarations == declared
         assert backend.changes[0].base_revision == 5
 
-    def test_all_errors_of_declarations_come_back_together(
+    def test_answer_lists_all_errors_of_declarations(
         self, call: Caller, backend: Any, apply_body: dict[str, Any]
     ) -> None:
         bad = {
@@ -266,14 +291,14 @@
         ]
         assert backend.changes == []
 
-    def test_a_message_cannot_steer_a_terminal(
+    def test_message_keeps_no_control_characters(
         self, call: Caller, backend: Any
     ) -> None:
         call("POST", CHANGES, {**WITHDRAW, "message": "a\x1b[2Jb\n"})
         assert backend.changes[0].message == "a [2Jb "
 
     @pytest.mark.parametrize("case", BAD_CHANGES)
-    def test_a_bad_change_names_the_field(
+    def test_bad_change_is_refused_with_the_field(
         self, call: Caller, backend: Any, case: str
     ) -> None:
         added, key_path = BAD_CHANGES[case]
@@ -283,7 +308,7 @@
         assert found == [key_path]
         assert backend.changes == []
 
-    def test_all_faults_of_a_change_come_together(self, call: Caller) -> None:
+    def test_answer_lists_all_findings_of_a_change(self, call: Caller) -> None:
         reply = call("POST", CHANGES, {"kind": "x", "a": 1, "message": 2})
         found = {f["key_path"] for f in reply.body["error"]["findings"]}
         assert found == {"kind", "a", "message", "change_id"}
@@ -295,14 +320,14 @@
         document = {**apply_body["declarations"], "operators": {}}
         return {**apply_body, "declarations": document}
 
-    def test_an_operator_cannot_make_himself_an_admin(
+    def test_operator_cannot_change_the_operators(
         self, call: Caller, backend: Any, without_operators: dict[str, Any]
     ) -> None:
-        """An operator applies declarations with other operators in them.
+        """Guard against operators who make themselves admins by an apply.
 
-        He is refused before anything is proposed. With no base revision
-        he is refused too, as the comparison could then be outrun by a
-        change that is committed between it and his own.
+        The apply is refused before anything is proposed. Without a base
+        revision it is refused too, as another change could be committed
+        between the comparison of operators and this apply.
         """
         body = without_operators
         reply = call("POST", CHANGES, body, key="key-operator")
@@ -313,28 +338,29 @@
         assert backend.changes == []
         assert call("POST", CHANGES, body).status == 200
 
-    def test_an_operator_applies_what_leaves_operators_alone(
+    def test_operator_may_apply_with_unchanged_operators(
         self, call: Caller, backend: Any, apply_body: dict[str, Any]
     ) -> None:
         reply = call("POST", CHANGES, apply_body, key="key-operator")
         assert reply.status == 200
         assert len(backend.changes) == 1
 
-    def test_a_resend_on_an_older_base_reaches_the_backend(
+    def test_resend_with_an_older_base_reaches_the_backend(
         self, call: Caller, backend: Any, without_operators: dict[str, Any]
     ) -> None:
-        """The first answer was lost and an admin has changed operators.
+        """Guard against a 403 for a resent apply that was accepted.
 
-        The resend differs from the operators of now, but it cannot be
-        committed on an old base: the backend answers duplicate or
-        conflict, and a 403 here would hide that it was accepted.
+        The first answer was lost, and an admin has changed the operators
+        since. The resend has other operators than the current ones, but it
+        cannot be committed on an old base: the backend answers duplicate or
+        conflict.
         """
         backend.answer = ChangeAnswer("duplicate", 5)
         body = {**without_operators, "base_revision": 4}
         reply = call("POST", CHANGES, body, key="key-operator")
         assert reply.body["outcome"] == "duplicate"
 
-    def test_a_process_that_is_behind_says_so(
+    def test_base_above_this_process_revision_answers_behind(
         self, call: Caller, apply_body: dict[str, Any]
     ) -> None:
         body = {**apply_body, "base_revision": 9}
@@ -342,9 +368,9 @@
         assert (reply.status, reply.code) == (503, "behind")
 
 
-class TestRefusals:
+class TestBadRequests:
     @pytest.mark.parametrize("case", BAD_REQUESTS)
-    def test_a_bad_request_gets_its_code_and_the_next_one_is_served(
+    def test_bad_request_gets_its_code_and_the_next_one_is_served(
         self,
         call: Caller,
         backend: Any,
@@ -359,27 +385,27 @@
         assert (backend.changes, backend.replacements) == ([], [])
         assert call("GET", f"{V1}/status").status == 200
 
-    def test_two_authorization_headers_are_none(self, call: Caller) -> None:
-        again = ((b"authorization", b"Bearer key-admin"),)
-        assert call("GET", f"{V1}/status", headers=again).status == 401
-
-    def test_an_announced_length_is_refused_at_once(
+    def test_repeated_authorization_header_is_rejected(
         self, call: Caller
     ) -> None:
+        repeated = ((b"authorization", b"Bearer key-admin"),)
+        assert call("GET", f"{V1}/status", headers=repeated).status == 401
+
+    def test_too_large_content_length_is_refused(self, call: Caller) -> None:
         length = ((b"content-length", b"99999999"),)
         reply = call("POST", CHANGES, WITHDRAW, headers=length)
         assert reply.code == "body-too-large"
 
 
 class TestLargeDeclarations:
-    def test_a_long_check_does_not_hold_up_the_event_loop(
+    def test_long_check_does_not_block_the_event_loop(
         self, backend: Any, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Declarations at the bound of size are being checked.
+        """Guard against a leader that is deposed by a check of declarations.
 
-        The voter's heartbeats run on the same event loop. The check here
-        ends only once another task of the loop has run; on the loop
-        itself it would never end, and the voter would be deposed.
+        The voter's heartbeats run on the event loop, and checking the
+        largest declarations takes long. The check in this test waits until
+        another task of the loop has run, so it fails if it runs on the loop.
         """
         loop_has_run = threading.Event()
 
@@ -407,8 +433,8 @@
         assert anyio.run(main).status == 200
 
 
-class TestFaultsOfTheBackend:
-    def test_no_leader_tells_when_to_try_again(
+class TestBackendFailures:
+    def test_no_leader_has_retry_after_and_leader_address(
         self, call: Caller, backend: Any
     ) -> None:
         backend.failure = NoLeader("an election runs", 2, "10.0.0.2:7000")
@@ -420,13 +446,14 @@
     @pytest.mark.parametrize(
         "failure", [OutcomeUnknown("no answer"), ValueError("secret")]
     )
-    def test_a_change_that_breaks_off_is_an_unknown_outcome(
+    def test_failed_change_has_an_unknown_outcome(
         self, call: Caller, backend: Any, failure: Exception
     ) -> None:
-        """The change was proposed and then the answer went missing.
+        """Guard against an answer that claims a wrong outcome.
 
-        It may be committed, so neither "done" nor "not done" would be
-        true. The caller learns the outcome by a resend of the same id.
+        The change was proposed but its answer was lost, so it may be
+        committed. The caller learns the outcome by resending the same
+        change id.
         """
         backend.failure = failure
         reply = call("POST", CHANGES, WITHDRAW)
@@ -434,7 +461,7 @@
         assert "resend the same change id" in reply.body["error"]["message"]
         assert "secret" not in repr(reply.body)
 
-    def test_a_question_that_breaks_off_is_an_internal_error(
+    def test_failed_question_is_an_internal_error(
         self, call: Caller, backend: Any
     ) -> None:
         backend.failure = ValueError("secret")
@@ -442,7 +469,7 @@
         assert (reply.status, reply.code) == (500, "internal-error")
         assert "secret" not in repr(reply.body)
 
-    def test_an_unknown_subject_is_not_found(
+    def test_unknown_subject_is_not_found(
         self, call: Caller, backend: Any
     ) -> None:
         backend.failure = UnknownSubject("no such VM")
--- a/packages/sycamorestand-control/tests/operator_api/test_authentication.py
+++ b/packages/sycamorestand-control/tests/operator_api/test_authentication.py
@@ -15,22 +15,22 @@
 
 
 class TestAuthenticate:
-    def test_a_declared_key_has_its_role(self) -> None:
+    def test_declared_key_has_the_operators_role(self) -> None:
         authenticate = make_authenticate(lambda: declared("viewer"))
         assert authenticate("ann-key") == OperatorIdentity("ann", "viewer")
         for wrong in ("", "ann", "ann-key ", "é" * 500):
             assert authenticate(wrong) is None
 
-    def test_nobody_gets_in_by_default(self) -> None:
+    def test_no_key_is_valid_without_operators_and_bootstrap_key(self) -> None:
         authenticate = make_authenticate(Declarations)
         assert authenticate("") is None
         assert authenticate("first-day") is None
 
-    def test_the_bootstrap_key_ends_with_the_first_admin(self) -> None:
-        """A settings file with the bootstrap key is copied and forgotten.
+    def test_bootstrap_key_is_rejected_once_an_admin_is_declared(self) -> None:
+        """Guard against admin access with the key of an old settings file.
 
-        Until an admin is declared the key opens everything, or the first
-        apply were impossible. Afterwards it opens nothing.
+        The first apply needs the bootstrap key, as no admin is declared
+        yet. After that the key must not authenticate anybody.
         """
         current = [Declarations()]
         authenticate = make_authenticate(lambda: current[0], BOOTSTRAP)
