--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
@@ -113,9 +113,9 @@
     async def give(self, action: str, server: str, target: str) -> str:
         """Record and send one order, and return the phase that it ends in.
 
-        Return an empty string if the order was not sent: this process does
-        not lead, the server takes no orders or has an open one, or the
-        limit of concurrent loads is reached.
+        Return an empty string if the intent was not recorded, for example
+        because this process does not lead, the server takes no orders or
+        has an open one, or the limit of concurrent loads is reached.
         """
         term = self._current_term()
         if term is None or server in self._in_progress:
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
@@ -107,9 +107,9 @@
         return list(first_orders.values())
 
     async def carry_out(self, order: Order) -> str:
-        """Send an order and return its phase, empty if it was not sent.
+        """Issue an order and return its phase, empty if it was not recorded.
 
-        A load is sent only if the weight store is ready to serve it.
+        A load is issued only if the weight store is ready to serve it.
         """
         if order.kind == LOAD:
             readiness = await self._store.readiness(order.version)
