--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -1,4 +1,4 @@
-"""One version's answer to a request, over as many attempts as it takes."""
+"""One run of a chat request on one version, with retries and resumption."""
 
 from __future__ import annotations
 
@@ -36,22 +36,23 @@
     from sycamorestand_entry.upstream import UpstreamConnection
     from sycamorestand_model.backend_servers import Announcement
 
-# Attempts on one version, resumed streams included. More would only add
-# load where many servers fail at once.
+# Attempts on one version, resumed streams included. More attempts would
+# only add load when many servers fail at once.
 MAX_ATTEMPTS: Final = 3
 SERVER_RETRY_S: Final = 1.0
 
 
 class EngineRun:
-    """Reads one answer as whole events, recovering where it is safe.
-
-    The consumer sets ``released`` as soon as a part of the answer has
-    gone to the caller; from then on only a resumed stream may follow.
-    ``attempt`` grows with each start from the beginning, so that a
-    consumer that collects the answer drops what it has. ``write_now``
-    may be set with the first release; events then go through it. A list
-    in ``kept`` gets a copy of the answer's events. ``failed`` is only
-    set where backend servers are at fault, for those who judge versions.
+    """Reads one answer as whole events and recovers where that is safe.
+
+    The consumer sets ``released`` when it sends the first part of the
+    answer to the caller; afterwards a failed attempt can only be resumed,
+    not restarted. ``attempt`` increases with each restart, which tells a
+    consumer that collects the answer to drop the events it has. The
+    consumer may set ``write_now`` on the first release; later reads are
+    then written through it. If ``events_copy`` is a list, the run appends
+    the answer's events to it. ``failed`` is set only when backend servers
+    are at fault, because the comparison of versions counts it.
     """
 
     def __init__(self, context: EntryContext, work: EngineWork) -> None:
@@ -59,7 +60,7 @@
         self.released = False
         self.done = False
         self.failed = False
-        self.kept: list[bytes] | None = None
+        self.events_copy: list[bytes] | None = None
         self.write_now: Sink | None = None
         self.attempt = 0
         self.first_byte_ms = 0.0
@@ -78,16 +79,19 @@
 
     @property
     def usage(self) -> Usage | None:
-        """The tokens of a whole answer."""
+        """Token counts of a complete answer, None before its end."""
         return self._reader.usage
 
     @property
-    def ending(self) -> dict[str, Any]:
-        """The engine's last event, empty where it sent none."""
-        return self._reader.ending
+    def final_event(self) -> dict[str, Any]:
+        """The engine's event with the usage, empty if it sent none."""
+        return self._reader.final_event
 
     async def start(self) -> None:
-        """Wait for a slot and dispatch the request, or refuse."""
+        """Wait for a slot and dispatch the request.
+
+        Raises a `RequestError` if the request is refused or fails.
+        """
         work = self._work
         self._slot = await self._context.slots.acquire(
             SlotRequest(
@@ -106,24 +110,24 @@
             await self._recover(error)
 
     async def next_events(self) -> bytes:
-        """Return whole events, none at the end of a whole answer."""
+        """Return the next whole events, ``b""`` after a complete answer."""
         while not self.done:
             try:
                 if events := await self._read_events():
-                    if self.kept is not None:
-                        self.kept.append(events)
+                    if self.events_copy is not None:
+                        self.events_copy.append(events)
                     return events
             except (UpstreamError, MalformedStream) as error:
                 await self._recover(error)
         return b""
 
     def close(self) -> None:
-        """Give server and slot back; a run that goes on is cancelled."""
-        self._leave_server("ok" if self.done else "cancelled")
-        self._give_slot_back()
+        """Release server and slot; cancel the run if it is not done."""
+        self._release_server("ok" if self.done else "cancelled")
+        self._release_slot()
 
     def cost_micros(self) -> int:
-        """Return the price of the tokens of a whole answer."""
+        """Return the price of the answer's tokens, 0 before its end."""
         if self.usage is None:
             return 0
         declarations = self._context.control.in_force().declarations
@@ -131,12 +135,12 @@
 
     async def _dispatch(self, resume: bool = False) -> None:
         settings = self._context.settings
-        # An attempt after a failure takes a new connection: the old one
-        # may have gone silent while new ones work.
+        # A retry opens a new connection: pooled connections to the server
+        # may be dead while new ones work.
         idle_s = settings.pool_idle_s if self._attempts == 0 else 0.0
         self._attempts += 1
-        server, connection = await self._pass_gate(resume, idle_s)
-        self._enter_server(server, connection)
+        server, connection = await self._acquire_server(resume, idle_s)
+        self._record_dispatch(server, connection)
         if not resume:
             self._run_id = secrets.token_hex(8)
         connection.send(
@@ -145,16 +149,16 @@
             )
         )
         head = await connection.read_head(
-            self._limit_s(settings.first_byte_timeout_s)
+            self._limit_to_deadline_s(settings.first_byte_timeout_s)
         )
-        self._note_first_byte(server)
+        self._record_first_byte(server)
         try:
             check_head(head, self._reader.events if resume else None)
         except Overloaded:
-            self._leave_server("overloaded")
+            self._release_server("overloaded")
             raise
 
-    async def _pass_gate(
+    async def _acquire_server(
         self, resume: bool, idle_s: float
     ) -> tuple[Announcement, UpstreamConnection]:
         while True:
@@ -174,10 +178,11 @@
             self._context.metrics.refused_dispatches.inc({"code": code})
             if resume or not isinstance(refusal, NoBackendServer):
                 raise refusal
-            # It left while the connection was made; nothing was sent.
+            # The server left while the connection was opened. No byte was
+            # sent, so another server may be chosen.
             self._failed_servers.add(server.name)
 
-    def _note_first_byte(self, server: Announcement) -> None:
+    def _record_first_byte(self, server: Announcement) -> None:
         now_s = time.monotonic()
         latency_s = now_s - self._dispatched_s
         if not self.first_byte_ms:
@@ -188,9 +193,9 @@
 
     async def _read_events(self) -> bytes:
         assert self._connection is not None
-        self._reader.check()
+        self._reader.raise_failure()
         data = await self._connection.read_body(
-            self._limit_s(self._context.settings.chunk_gap_s),
+            self._limit_to_deadline_s(self._context.settings.chunk_gap_s),
             remaining_s(self._work.deadline_at_s),
             self._forward if self.write_now is not None else None,
         )
@@ -200,16 +205,16 @@
         return events
 
     def _forward(self, data: bytes) -> bool:
-        # Whatever is not the plain middle of a stream is left to the
-        # task, which waits in `_read_events`.
+        # Only whole text events are forwarded here. Every other read goes
+        # to the task that waits in `_read_events`.
         if not self._reader.is_forwardable(data):
             return False
         assert self.write_now is not None
         if not self.write_now(data):
             return False
-        if self.kept is not None:
-            self.kept.append(data)
-        self._reader.count(data)
+        if self.events_copy is not None:
+            self.events_copy.append(data)
+        self._reader.count_forwarded(data)
         return True
 
     def _finish(self) -> None:
@@ -221,23 +226,23 @@
         while True:
             sent = self._connection is not None
             self._may_have_run = self._may_have_run or sent
-            resume = self._may_resume()
-            self._leave_server(_outcome_of(error))
-            self._check_attempts(error, resume, sent)
+            resume = self._can_resume()
+            self._release_server(_outcome_of(error))
+            self._check_recovery_allowed(error, resume, sent)
             if not resume:
-                self._forget_attempt()
+                self._reset_attempt()
             kind = "resumed" if resume else "restarted"
             self._context.metrics.recoveries.inc({"kind": kind})
-            self._reader.go_on()
+            self._reader.expect_rest()
             try:
                 await self._dispatch(resume)
                 return
-            except UpstreamError as another:
-                error = another
+            except UpstreamError as next_error:
+                error = next_error
             except RequestError as refusal:
                 raise correct_run_state(refusal, self._may_have_run) from None
 
-    def _may_resume(self) -> bool:
+    def _can_resume(self) -> bool:
         server = self._server
         return (
             server is not None
@@ -245,28 +250,30 @@
             and self._reader.events > 0
         )
 
-    def _check_attempts(
+    def _check_recovery_allowed(
         self, error: Exception, resume: bool, sent: bool
     ) -> None:
-        late = remaining_s(self._work.deadline_at_s) <= 0
-        # After a part of the answer has been released, another run would
-        # put the rest of a different answer behind it.
+        past_deadline = remaining_s(self._work.deadline_at_s) <= 0
+        # After the release of a part of the answer, a restarted run would
+        # append the rest of a different answer to it.
         unsafe = self.released and not resume
-        allowed = not late and not unsafe and self._attempts < MAX_ATTEMPTS
+        allowed = (
+            not past_deadline and not unsafe and self._attempts < MAX_ATTEMPTS
+        )
         if allowed and (resume or not sent or self._spend_retry(error)):
             return
         self.failed = self._may_have_run
         self._context.metrics.recoveries.inc({"kind": "broken"})
         run: Run = "unknown" if self._may_have_run else "not_run"
-        if late:
+        if past_deadline:
             raise DeadlineExceeded("the deadline passed", run=run) from error
         raise BackendFailed(
             f"the backend server failed: {error}", SERVER_RETRY_S, run
         ) from error
 
     def _spend_retry(self, error: Exception) -> bool:
-        # A connection that was refused put no load on the server and
-        # needs no budget; a run that is done again does.
+        # Only a request that was sent spends the retry budget when it runs
+        # again. A refused connection put no load on the server.
         now_s = time.monotonic()
         cause = _outcome_of(error)
         customer = self._work.customer
@@ -275,14 +282,14 @@
         self._context.metrics.retries.inc({"result": result})
         return granted
 
-    def _forget_attempt(self) -> None:
+    def _reset_attempt(self) -> None:
         if self._server is not None:
             self._failed_servers.add(self._server.name)
         self._server = None
-        self._reader.begin_again()
+        self._reader.restart()
         self.attempt += 1
-        if self.kept is not None:
-            self.kept.clear()
+        if self.events_copy is not None:
+            self.events_copy.clear()
 
     def _choose_server(self) -> Announcement:
         return self._context.servers.choose(
@@ -293,7 +300,7 @@
             again=True,
         )
 
-    def _enter_server(
+    def _record_dispatch(
         self, server: Announcement, connection: UpstreamConnection
     ) -> None:
         self._connection = connection
@@ -304,7 +311,7 @@
         )
         self._context.metrics.dispatches.inc({"version": version})
 
-    def _leave_server(self, outcome: Outcome) -> None:
+    def _release_server(self, outcome: Outcome) -> None:
         if self._server is None or self._connection is None:
             return
         now_s = time.monotonic()
@@ -321,7 +328,7 @@
             self._connection.close()
         self._connection = None
 
-    def _give_slot_back(self) -> None:
+    def _release_slot(self) -> None:
         if self._slot is None:
             return
         if self.done:
@@ -343,7 +350,7 @@
             in_session=work.in_session,
         )
 
-    def _limit_s(self, limit_s: float) -> float:
+    def _limit_to_deadline_s(self, limit_s: float) -> float:
         return max(0.0, min(limit_s, remaining_s(self._work.deadline_at_s)))
 
 
