--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
@@ -77,10 +77,11 @@
         "runs_disallowed": _runs_disallowed(world, allowed),
         "runs_on_withdrawn_before": marks.runs_at_withdrawal,
         "runs_after_withdrawal": (
-            world.runs_of(marks.withdrawn_version) - marks.runs_at_withdrawal
+            world.runs_on_version(marks.withdrawn_version)
+            - marks.runs_at_withdrawal
         ),
         "runs_after_leaving": (
-            world.runs_at(marks.leaving_server) - marks.runs_at_leaving
+            world.runs_on_server(marks.leaving_server) - marks.runs_at_leaving
         ),
         "sessions_moved": _sessions_moved(answered),
         "charges_missing": len(owed - set(charges)),
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -153,7 +153,7 @@
     _say(f"backend server {LEAVING} leaves")
     world.leave(LEAVING)
     await anyio.sleep(LEAVING_BOUND_S)
-    runs_at_leaving = world.runs_at(LEAVING)
+    runs_at_leaving = world.runs_on_server(LEAVING)
     _say("killing entry-3")
     cluster.kill("entry-3")
     entries.pop("entry-3")
@@ -166,7 +166,7 @@
     entries["entry-3"] = f"127.0.0.1:{node.port}"
     _say("withdrawing nest-small 4")
     await operator.run("withdraw", ROLLED_OUT, "--wait")
-    runs_at_withdrawal = world.runs_of(ROLLED_OUT)
+    runs_at_withdrawal = world.runs_on_version(ROLLED_OUT)
     _say("stopping entry-2 as planned")
     stopped = entries.pop("entry-2")
     status = await anyio.to_thread.run_sync(cluster.stop, "entry-2")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
@@ -110,7 +110,7 @@
         """Have a server announce that it leaves; it goes on serving."""
         self.servers[name].announcing.cancel()
 
-    def runs_of(self, version: str) -> int:
+    def runs_on_version(self, version: str) -> int:
         """Return how many runs of a version the engines have begun."""
         return sum(
             record.version == version
@@ -118,7 +118,7 @@
             for record in engine.records
         )
 
-    def runs_at(self, name: str) -> int:
+    def runs_on_server(self, name: str) -> int:
         """Return how many runs a server has begun."""
         return sum(
             len(server.records)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/soak.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/soak.py
@@ -13,7 +13,7 @@
 import defopt
 
 from sycamorestand_bench.soak.mutants import sitecustomize as mutants
-from sycamorestand_bench.soak.mutants.sitecustomize import VARIABLE
+from sycamorestand_bench.soak.mutants.sitecustomize import MUTANT_VARIABLE
 from sycamorestand_bench.soak.run import play
 from sycamorestand_bench.soak.run import targets
 from sycamorestand_bench.soak.schedule import decode
@@ -50,7 +50,7 @@
     """
     failed = 0
     if mutant:
-        os.environ[VARIABLE] = mutant
+        os.environ[MUTANT_VARIABLE] = mutant
         os.environ["PYTHONPATH"] = str(Path(mutants.__file__).parent)
     if replay:
         schedules = [decode(Path(replay).read_bytes())]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
@@ -22,7 +22,7 @@
 
     from sycamorestand_bench.soak.schedule import Schedule
     from sycamorestand_bench.soak.schedule import Step
-    from sycamorestand_bench.system.gate import Gate
+    from sycamorestand_bench.system.fault_proxy import FaultProxy
     from sycamorestand_bench.system.system import System
 
 TICK_S: Final = 0.02
@@ -74,7 +74,7 @@
     """
 
     def __init__(
-        self, system: System, server_gates: Mapping[str, Gate]
+        self, system: System, server_gates: Mapping[str, FaultProxy]
     ) -> None:
         self.events: list[Event] = []
         self.stops: list[PlannedStop] = []
@@ -100,8 +100,8 @@
 
     def heal(self) -> None:
         """End whatever is still harmed and start what is not running."""
-        for gate in (*self._system.cluster.gates.values(), *self._gates()):
-            self._system.in_loop(gate.heal)
+        for gate in (*self._system.cluster.proxies.values(), *self._gates()):
+            self._system.call_in_loop(gate.heal)
         for name in self._processes():
             if not self._cluster.is_started(name):
                 self._start(name)
@@ -110,7 +110,7 @@
         """Tell whether the end of a process was caused from here."""
         return name in self._stopping or not self._cluster.is_started(name)
 
-    def _gates(self) -> list[Gate]:
+    def _gates(self) -> list[FaultProxy]:
         return list(self._server_gates.values())
 
     def _processes(self) -> tuple[str, ...]:
@@ -255,19 +255,21 @@
 
     def _harm_link(self, step: Step) -> None:
         sender, _, receiver = step.target.partition(LINK_SEPARATOR)
-        gate = self._cluster.gates[receiver]
+        gate = self._cluster.proxies[receiver]
         address = self._address(sender)
         if step.fault == "silence":
-            self._system.in_loop(gate.swallow, address)
+            self._system.call_in_loop(gate.blackhole, address)
             return
         if step.fault == "cut":
-            self._system.in_loop(gate.cut, address)
-            back = self._cluster.gates[sender]
-            self._system.in_loop(back.cut, self._address(receiver))
-            self._after(step.for_s, lambda: self._system.in_loop(back.heal))
+            self._system.call_in_loop(gate.cut, address)
+            back = self._cluster.proxies[sender]
+            self._system.call_in_loop(back.cut, self._address(receiver))
+            self._after(
+                step.for_s, lambda: self._system.call_in_loop(back.heal)
+            )
         else:
-            self._system.in_loop(gate.hold, True, address)
-        self._after(step.for_s, lambda: self._system.in_loop(gate.heal))
+            self._system.call_in_loop(gate.hold, True, address)
+        self._after(step.for_s, lambda: self._system.call_in_loop(gate.heal))
 
     def _address(self, name: str) -> str:
         if name in self._cluster.controls:
@@ -278,39 +280,39 @@
         gate = self._server_gates.get(step.target)
         is_server = gate is not None
         if gate is None:
-            gate = self._cluster.gates[step.target]
+            gate = self._cluster.proxies[step.target]
         if step.fault == "reset":
-            self._system.in_loop(gate.reset)
+            self._system.call_in_loop(gate.reset)
             return
         if step.fault == "delay":
-            self._system.in_loop(gate.delay, DELAY_S)
+            self._system.call_in_loop(gate.delay, DELAY_S)
         else:
-            self._system.in_loop(gate.cut)
+            self._system.call_in_loop(gate.cut)
         harmed = [gate]
         if step.fault == "isolate" and not is_server:
             address = self._address(step.target)
-            for other in self._cluster.gates.values():
+            for other in self._cluster.proxies.values():
                 if other is not gate:
-                    self._system.in_loop(other.cut, address)
+                    self._system.call_in_loop(other.cut, address)
                     harmed.append(other)
 
         def heal() -> None:
             for one in harmed:
-                self._system.in_loop(one.heal)
+                self._system.call_in_loop(one.heal)
 
         self._after(step.for_s, heal)
 
     def _leave(self, name: str) -> None:
-        self._system.in_loop(self._system.world.leave, name)
+        self._system.call_in_loop(self._system.world.leave, name)
         self.left_s[name] = time.monotonic()
 
     def _harm_server(self, name: str, kind: FaultKind, step: Step) -> None:
         switch = self._system.world.server(name).switch
         fault = Fault(kind, 2, pause_s=step.for_s)
-        self._system.in_loop(setattr, switch, "fault", fault)
+        self._system.call_in_loop(setattr, switch, "fault", fault)
 
         def end() -> None:
-            self._system.in_loop(setattr, switch, "fault", Fault())
+            self._system.call_in_loop(setattr, switch, "fault", Fault())
 
         self._after(step.for_s, end)
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
@@ -21,7 +21,7 @@
 LIVES_S: Final = 25.0
 # Some records of the log: a change takes a few hundred bytes.
 FORGOTTEN_BYTES: Final = 400
-VARIABLE: Final = "SYCAMORESTAND_SOAK_MUTANT"
+MUTANT_VARIABLE: Final = "SYCAMORESTAND_SOAK_MUTANT"
 
 
 def use_withdrawn_versions() -> None:
@@ -177,10 +177,10 @@
     return bool(sys.argv) and sys.argv[0].endswith("/sycamorestand")
 
 
-if os.environ.get(VARIABLE):
+if os.environ.get(MUTANT_VARIABLE):
     # The argument vector is not set yet where this module is loaded.
     sys.argv = sys.orig_argv[1:] or sys.argv
     if _is_process_of_the_system():
-        MUTANTS[os.environ[VARIABLE]][1]()
+        MUTANTS[os.environ[MUTANT_VARIABLE]][1]()
 
-__all__ = ["MUTANTS", "VARIABLE"]
+__all__ = ["MUTANTS", "MUTANT_VARIABLE"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operating.py
@@ -15,8 +15,8 @@
 from sycamorestand_bench.system.changes import Accepted
 from sycamorestand_bench.system.changes import Change
 from sycamorestand_bench.system.changes import send_change
-from sycamorestand_bench.system.operators import ask
 from sycamorestand_bench.system.operators import NO_ANSWER
+from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.operators import sycactl
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
     def _newest_revision(self) -> int:
         revisions = [a.revision for a in self.accepted]
         for name in self._system.cluster.controls:
-            answer = ask(self._system.port(name), "/status")
+            answer = query(self._system.port(name), "/status")
             if answer.status == 200:
                 revisions.append(answer.body["revision"])
         return max(revisions, default=0)
@@ -116,7 +116,7 @@
         revision = self.accepted[-1].revision
         while not self._stop:
             path = f"/in-force?revision={revision}"
-            answer = ask(self._next_port(), path)
+            answer = query(self._next_port(), path)
             if answer.status == 200 and answer.body["in_force"]:
                 self._watch.in_force = InForce(revision, time.monotonic())
                 return True
@@ -127,15 +127,15 @@
         world = self._system.world
         time.sleep(ON_ITS_WAY_S)
         from_s = time.monotonic()
-        before = world.runs_of(VERSION)
+        before = world.runs_on_version(VERSION)
         time.sleep(LOOK_S)
-        runs = world.runs_of(VERSION) - before
+        runs = world.runs_on_version(VERSION) - before
         until_s = time.monotonic()
         self.withdrawn.append(Withdrawn(VERSION, from_s, until_s, runs))
 
     def _repair(self, name: str) -> None:
         for port in self._system.ports:
-            answer = ask(port, "/status")
+            answer = query(port, "/status")
             if answer.status == NO_ANSWER or answer.status != 200:
                 continue
             old_id = _voter_at(answer.body, self._address(name))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -21,7 +21,7 @@
 from sycamorestand_bench.soak.schedule import Targets
 from sycamorestand_bench.soak.watch import Finding
 from sycamorestand_bench.soak.watch import Watch
-from sycamorestand_bench.system.gate import Gate
+from sycamorestand_bench.system.fault_proxy import FaultProxy
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import ENTRIES
 from sycamorestand_bench.system.system import is_probe
@@ -72,11 +72,11 @@
 
 def play(folder: Path, examples: Path, schedule: Schedule) -> Outcome:
     """Play a schedule against a system that is started for it."""
-    gates: dict[str, Gate] = {}
+    gates: dict[str, FaultProxy] = {}
     system = System(folder, examples)
 
     async def front(name: str, address: str) -> str:
-        gate = Gate(free_address(), address)
+        gate = FaultProxy(free_address(), address)
         gates[name] = gate
         await system.tasks.start(gate.run)
         return gate.listen
@@ -89,7 +89,7 @@
 
 class _Soak:
     def __init__(
-        self, system: System, gates: dict[str, Gate], schedule: Schedule
+        self, system: System, gates: dict[str, FaultProxy], schedule: Schedule
     ) -> None:
         self._system = system
         self._schedule = schedule
@@ -100,7 +100,7 @@
 
     def play(self) -> Outcome:
         begin_s = time.monotonic()
-        load, load_ended = self._system.in_loop(self._start_load)
+        load, load_ended = self._system.call_in_loop(self._start_load)
         pool = self._system.pool
         threads = [
             pool.submit(self._watch.run),
@@ -165,14 +165,16 @@
         bound_s = max(left.values()) + LEAVING_BOUND_S
         time.sleep(max(0.0, bound_s - time.monotonic()))
         world = self._system.world
-        before = {name: world.runs_at(name) for name in left}
+        before = {name: world.runs_on_server(name) for name in left}
         time.sleep(SETTLE_S)
-        return {name: world.runs_at(name) - before[name] for name in left}
+        return {
+            name: world.runs_on_server(name) - before[name] for name in left
+        }
 
     def _stop_load(self, load: Load, ended: anyio.Event) -> None:
         load.stop()
         try:
-            self._system.in_loop(_wait_ended, ended)
+            self._system.call_in_loop(_wait_ended, ended)
         except TimeoutError:
             names = {self._system.entry(name): name for name in ENTRIES}
             self._findings += still_waiting(
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/gate.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/fault_proxy.py
@@ -28,7 +28,7 @@
 )
 
 
-class Gate:
+class FaultProxy:
     """Passes connections on to ``target``, for each sender or not.
 
     Every method that names a sender takes `EVERYBODY` too. They are
@@ -78,7 +78,7 @@
         self._held[False].clear()
         self._delay_s = 0.0
 
-    def swallow(self, sender: str = EVERYBODY) -> int:
+    def blackhole(self, sender: str = EVERYBODY) -> int:
         """Keep a sender's open connections and deliver nothing of them.
 
         New ones work. Returns how many went silent.
@@ -193,4 +193,4 @@
     return head[start : start + length].decode()
 
 
-__all__ = ["EVERYBODY", "Gate"]
+__all__ = ["EVERYBODY", "FaultProxy"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
@@ -60,7 +60,7 @@
     return Done(done.returncode, answer, done.stderr.decode())
 
 
-def ask(port: int, path: str) -> Answer:
+def query(port: int, path: str) -> Answer:
     """Ask one control process, which may be lost."""
     return _request("GET", port, path, None)
 
@@ -84,7 +84,7 @@
     return _request("POST", port, "/changes", body)
 
 
-def hand_over(port: int) -> Answer:
+def transfer_leadership(port: int) -> Answer:
     """Have the leader hand the configuration's log to another voter."""
     return _request("POST", port, "/transfer-leadership", {})
 
@@ -109,10 +109,10 @@
 
 __all__ = [
     "Answer",
-    "ask",
+    "query",
     "change",
     "Done",
-    "hand_over",
+    "transfer_leadership",
     "NO_ANSWER",
     "OPERATOR_KEY",
     "sycactl",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
@@ -29,9 +29,9 @@
 from sycamorestand_bench.system.calls import ANSWERED
 from sycamorestand_bench.system.calls import chat
 from sycamorestand_bench.system.calls import order
-from sycamorestand_bench.system.gate import Gate
-from sycamorestand_bench.system.operators import ask
+from sycamorestand_bench.system.fault_proxy import FaultProxy
 from sycamorestand_bench.system.operators import Done
+from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.operators import sycactl
 from sycamorestand_model.backend_servers import Announcement
 from sycamorestand_model.keys import hash_key
@@ -62,21 +62,21 @@
 """
 
 
-class GatedCluster(Cluster):
+class ProxiedCluster(Cluster):
     """A cluster in which every process is reached through a gate."""
 
     def __init__(
-        self, folder: Path, open_gate: Callable[[Gate], None]
+        self, folder: Path, open_gate: Callable[[FaultProxy], None]
     ) -> None:
         super().__init__(folder)
-        self.gates: dict[str, Gate] = {}
+        self.proxies: dict[str, FaultProxy] = {}
         self._open_gate = open_gate
 
     def _start(self, name: str, role: str, **settings: str) -> None:
-        gate = self.gates.get(name)
+        gate = self.proxies.get(name)
         if gate is None:
-            gate = Gate(settings["peer_address"], free_address())
-            self.gates[name] = gate
+            gate = FaultProxy(settings["peer_address"], free_address())
+            self.proxies[name] = gate
             self._open_gate(gate)
         settings["peer_listen"] = gate.target
         super()._start(name, role, **settings)
@@ -134,12 +134,12 @@
 
     def status(self, control: str) -> dict[str, Any]:
         """Return a control process's status, empty where it is lost."""
-        answer = ask(self.port(control), "/status")
+        answer = query(self.port(control), "/status")
         return answer.body if answer.status == 200 else {}
 
-    def ask(self, control: str, path: str) -> dict[str, Any]:
+    def query(self, control: str, path: str) -> dict[str, Any]:
         """Return a control process's answer to a question."""
-        answer = ask(self.port(control), path)
+        answer = query(self.port(control), path)
         assert answer.status == 200, answer
         content: dict[str, Any] = answer.body
         return content
@@ -160,11 +160,13 @@
         self.cluster.wait_ready(name)
         self.wait_serving(name)
 
-    def in_loop(self, function: Callable[..., Any], *arguments: Any) -> Any:
+    def call_in_loop(
+        self, function: Callable[..., Any], *arguments: Any
+    ) -> Any:
         """Call a function where the fakes and gates run."""
         return self._portal.call(function, *arguments)
 
-    def joiner(self, at: str, control: str) -> str:
+    def replacement_id(self, at: str, control: str) -> str:
         """Return the id under which a process waits, empty if it doesn't."""
         for alarm in self.status(at).get("alarms", ()):
             if alarm.startswith(control) and "waits to replace" in alarm:
@@ -177,16 +179,18 @@
         entries: list[dict[str, Any]] = []
         after = 0
         while True:
-            answer = ask(self.port(control), f"/audit?after={after}&limit=200")
+            answer = query(
+                self.port(control), f"/audit?after={after}&limit=200"
+            )
             assert answer.status == 200, answer
             entries += answer.body["entries"]
             after = answer.body["next_after"]
             if not answer.body["more"]:
                 return entries
 
-    def declared(self, control: str) -> dict[str, Any]:
+    def fetch_declarations(self, control: str) -> dict[str, Any]:
         """Return the declarations that a control process holds."""
-        content = self.ask(control, "/declarations")["declarations"]
+        content = self.query(control, "/declarations")["declarations"]
         declared: dict[str, Any] = content
         return declared
 
@@ -196,17 +200,17 @@
         rows: list[dict[str, Any]] = []
         after = 0
         while True:
-            page = self.ask(leader, f"/bills?after={after}&limit=1000")
+            page = self.query(leader, f"/bills?after={after}&limit=1000")
             rows += page["rows"]
             after = page["next_after"]
             if not page["more"]:
                 return rows
 
-    def charges(self) -> Counter[str]:
+    def charges_by_key(self) -> Counter[str]:
         """Return how many charges each request key has at the leader."""
         return Counter(row["request_key"] for row in self.bills())
 
-    def orders(self, request_key: str) -> int:
+    def order_run_count(self, request_key: str) -> int:
         """Return how often the services ran an order."""
         return sum(
             record.request_key == request_key and record.method == "POST"
@@ -214,7 +218,7 @@
             for record in service.records
         )
 
-    def start_steady_engine(
+    def start_long_lease_engine(
         self, entry: str, versions: tuple[str, ...]
     ) -> None:
         """Start an engine that an entry knows of through a long cut."""
@@ -261,7 +265,7 @@
         _, tasks = self._portal.start_task(_hold_tasks)
         self.tasks = tasks
         self._exits.callback(self._portal.call, tasks.cancel_scope.cancel)
-        self.cluster = GatedCluster(
+        self.cluster = ProxiedCluster(
             self.folder,
             lambda gate: self._portal.call(tasks.start, gate.run),
         )
@@ -347,7 +351,7 @@
 __all__ = [
     "CONTROLS",
     "ENTRIES",
-    "GatedCluster",
+    "ProxiedCluster",
     "is_probe",
     "System",
     "VICTIM",
--- a/packages/sycamorestand/tests/system/test_blank_disk.py
+++ b/packages/sycamorestand/tests/system/test_blank_disk.py
@@ -6,8 +6,8 @@
 from contextlib import contextmanager
 import shutil
 
-from sycamorestand_bench.system.operators import ask
 from sycamorestand_bench.system.operators import NO_ANSWER
+from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.operators import sycactl
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import System
@@ -40,8 +40,10 @@
         leader = system.leader()
         swapped = next(name for name in CONTROLS if name != leader)
         with _blank_disk(system, swapped):
-            wait_for(lambda: system.joiner(leader, swapped), "the joiner")
-        wait_for(lambda: not system.joiner(leader, swapped), "its end")
+            wait_for(
+                lambda: system.replacement_id(leader, swapped), "the joiner"
+            )
+        wait_for(lambda: not system.replacement_id(leader, swapped), "its end")
 
 
 @contextmanager
@@ -64,4 +66,4 @@
 
 
 def _is_listening(system: System, control: str) -> bool:
-    return ask(system.port(control), "/status").status != NO_ANSWER
+    return query(system.port(control), "/status").status != NO_ANSWER
--- a/packages/sycamorestand/tests/system/test_changes.py
+++ b/packages/sycamorestand/tests/system/test_changes.py
@@ -123,7 +123,7 @@
             if entry["revision"] > base and entry["outcome"] == "applied"
         ]
         assert [entry["operator"] for entry in applied] == winners
-        model = system.declared(CONTROLS[0])["models"]["nest-small"]
+        model = system.fetch_declarations(CONTROLS[0])["models"]["nest-small"]
         for version in model["versions"].values():
             price = version["input_micros_per_mtoken"]
             assert price == prices[winners[0]]
--- a/packages/sycamorestand/tests/system/test_leases.py
+++ b/packages/sycamorestand/tests/system/test_leases.py
@@ -16,8 +16,8 @@
 from sycamorestand_bench.system.calls import NOT_RUN
 from sycamorestand_bench.system.calls import readiness
 from sycamorestand_bench.system.calls import Reply
-from sycamorestand_bench.system.operators import ask
 from sycamorestand_bench.system.operators import change
+from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import System
 from sycamorestand_bench.system.system import VICTIM
@@ -47,7 +47,7 @@
             assert pinned.version == WITHDRAWN, pinned
 
         # Otherwise it could refuse since it knows of no server any more.
-        system.start_steady_engine(VICTIM, (WITHDRAWN,))
+        system.start_long_lease_engine(VICTIM, (WITHDRAWN,))
         system.cluster.send_signal(VICTIM, SIGSTOP)
         with _cut_off(system, VICTIM):
             queued = [begin_chat(address, f"queue-{n}") for n in range(QUEUED)]
@@ -67,18 +67,18 @@
                 "--message",
                 "a test",
             )
-            runs = system.world.runs_of(WITHDRAWN)
+            runs = system.world.runs_on_version(WITHDRAWN)
             system.cluster.send_signal(VICTIM, SIGCONT)
             replies = [finish(pending) for pending in queued]
 
         assert not first, "in force while a lease was alive"
-        assert system.world.runs_of(WITHDRAWN) == runs
+        assert system.world.runs_on_version(WITHDRAWN) == runs
         for reply in replies:
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
         caught_up = wait_for(lambda: _answered(address), "the entry serves")
         assert caught_up.version == "nest-small@4"
         assert readiness(address)["revision"] >= told.body["revision"]
-        assert system.world.runs_of(WITHDRAWN) == runs
+        assert system.world.runs_on_version(WITHDRAWN) == runs
         system.sycactl("reinstate", WITHDRAWN, "--wait")
 
 
@@ -137,7 +137,7 @@
 
 def _in_force(system: System, revision: int) -> bool:
     leader = system.leader()
-    answer = ask(system.port(leader), f"/in-force?revision={revision}")
+    answer = query(system.port(leader), f"/in-force?revision={revision}")
     assert answer.status == 200, answer
     return bool(answer.body["in_force"])
 
@@ -161,20 +161,20 @@
 
 @contextmanager
 def _cut_off(system: System, entry: str) -> Iterator[None]:
-    gates = system.cluster.gates
+    gates = system.cluster.proxies
     sender = system.cluster.entries[entry].peer_address
-    system.in_loop(gates[entry].cut)
+    system.call_in_loop(gates[entry].cut)
     for control in CONTROLS:
-        system.in_loop(gates[control].cut, sender)
+        system.call_in_loop(gates[control].cut, sender)
     try:
         yield
     finally:
         for name in (entry, *CONTROLS):
-            system.in_loop(gates[name].heal)
+            system.call_in_loop(gates[name].heal)
 
 
 def _attached_to(system: System) -> str:
-    for row in system.ask(system.leader(), "/nodes")["nodes"]:
+    for row in system.query(system.leader(), "/nodes")["nodes"]:
         if row["vm"] == CUT_OFF and row["control"] in CONTROLS:
             name: str = row["control"]
             return name
@@ -182,12 +182,12 @@
 
 
 def _swallow(system: System, control: str) -> int:
-    gates = system.cluster.gates
+    gates = system.cluster.proxies
     entry_address = system.cluster.entries[CUT_OFF].peer_address
     control_address = system.cluster.controls[control].peer_address
     return sum(
         (
-            system.in_loop(gates[CUT_OFF].swallow, control_address),
-            system.in_loop(gates[control].swallow, entry_address),
+            system.call_in_loop(gates[CUT_OFF].blackhole, control_address),
+            system.call_in_loop(gates[control].blackhole, entry_address),
         )
     )
--- a/packages/sycamorestand/tests/system/test_once.py
+++ b/packages/sycamorestand/tests/system/test_once.py
@@ -37,7 +37,7 @@
         key = "order-of-a-lost-entry"
         with _slow_services(system):
             first = system.pool.submit(order, system.entry(VICTIM), key)
-            wait_for(lambda: system.orders(key), "the dispatch")
+            wait_for(lambda: system.order_run_count(key), "the dispatch")
             second = order(system.entry(OTHERS[0]), key)
             system.cluster.kill(VICTIM)
             lost = first.result()
@@ -50,7 +50,7 @@
         assert lost.run == "cut"
         for reply in (second, *during, *after, restarted):
             assert (reply.run, reply.code in UNDECIDED) == ("unknown", True)
-        assert system.orders(key) == 1
+        assert system.order_run_count(key) == 1
 
     def test_answer_of_a_run_that_ended_is_recorded(
         self, system: System
@@ -67,8 +67,8 @@
         system.restart_entry(VICTIM)
         assert first.run == ANSWERED
         assert all(reply == first for reply in retries), retries
-        assert system.orders(key) == 1
-        assert system.charges()[key] == 1
+        assert system.order_run_count(key) == 1
+        assert system.charges_by_key()[key] == 1
 
 
 class TestTwoEntries:
@@ -91,7 +91,7 @@
                 assert reply.run == ANSWERED or reply.code in UNDECIDED
             again = _retry(system, key)
             assert {reply.text for reply in again} == answers, again
-            assert system.orders(key) == 1
+            assert system.order_run_count(key) == 1
 
     @pytest.mark.parametrize("control", CONTROLS)
     def test_control_process_lost_in_between(
@@ -113,7 +113,9 @@
                 for key in keys
             }
             for key in keys:
-                wait_for(lambda key=key: system.orders(key), "a dispatch")
+                wait_for(
+                    lambda key=key: system.order_run_count(key), "a dispatch"
+                )
             system.cluster.kill(control)
             replies = {
                 key: [call.result() for call in pair]
@@ -122,9 +124,9 @@
         settled = {key: _settled(system, key) for key in keys}
         system.restart_control(control)
         system.cluster.wait_ready(control)
-        charges = system.charges()
+        charges = system.charges_by_key()
         for key in keys:
-            assert system.orders(key) == 1, (key, replies[key])
+            assert system.order_run_count(key) == 1, (key, replies[key])
             for reply in replies[key]:
                 known = reply.run == ANSWERED
                 assert not known or reply == settled[key], reply
--- a/packages/sycamorestand/tests/system/test_rollouts.py
+++ b/packages/sycamorestand/tests/system/test_rollouts.py
@@ -66,7 +66,7 @@
 
 
 def _rollout(system: System, control: str) -> dict[str, object]:
-    answer = system.ask(control, "/rollouts")
+    answer = system.query(control, "/rollouts")
     for row in answer["rollouts"]:
         if row["model"] == MODEL:
             found: dict[str, object] = row
--- a/packages/sycamorestand/tests/system/test_voters.py
+++ b/packages/sycamorestand/tests/system/test_voters.py
@@ -13,8 +13,8 @@
 from sycamorestand_bench.system.changes import ChangeStream
 from sycamorestand_bench.system.changes import send_change
 from sycamorestand_bench.system.operators import change
-from sycamorestand_bench.system.operators import hand_over
 from sycamorestand_bench.system.operators import sycactl
+from sycamorestand_bench.system.operators import transfer_leadership
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import ENTRIES
 from sycamorestand_bench.system.system import System
@@ -78,9 +78,9 @@
             again = chat(address, "charged-before", session=session)
             assert again.run == ANSWERED
             assert order(address, "ordered-before") == ordered
-        assert system.charges()["charged-before"] == 1
-        assert system.charges()["ordered-before"] == 1
-        assert system.orders("ordered-before") == 1
+        assert system.charges_by_key()["charged-before"] == 1
+        assert system.charges_by_key()["ordered-before"] == 1
+        assert system.order_run_count("ordered-before") == 1
 
 
 class TestWipedVoter:
@@ -106,7 +106,7 @@
         stream.send(CHANGES_AFTER_LOSS)
         old_id = system.status(wiped)["voter_id"]
         _wipe(system, wiped)
-        wait_for(lambda: system.joiner(voters[0], wiped), "the joiner")
+        wait_for(lambda: system.replacement_id(voters[0], wiped), "the joiner")
         ids = _voter_ids(system, voters[0])
 
         system.cluster.kill(voters[1])
@@ -115,7 +115,9 @@
         system.restart_control(voters[1])
         system.cluster.wait_ready(*voters)
         leader = _leader_of_logs(system, apart)
-        new_id = wait_for(lambda: system.joiner(leader, wiped), "joiner")
+        new_id = wait_for(
+            lambda: system.replacement_id(leader, wiped), "joiner"
+        )
         (second,) = set(voters) - {leader}
         replaced = sycactl(
             system.folder,
@@ -142,8 +144,8 @@
             assert again.body["revision"] == accepted.revision
         system.wait_serving(*ENTRIES)
         order(system.entry("entry-1"), key)
-        assert system.orders(key) == 1
-        assert system.charges()[key] == 1
+        assert system.order_run_count(key) == 1
+        assert system.charges_by_key()[key] == 1
         system.restart_control(second)
         system.cluster.wait_ready(second)
 
@@ -181,7 +183,7 @@
         leader = system.leader()
         if (leader != preferred) == apart:
             return leader
-        hand_over(system.port(leader))
+        transfer_leadership(system.port(leader))
     raise AssertionError(f"not led as wanted in {MAX_HAND_OVERS} hand-overs")
 
 
