--- a/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
@@ -65,7 +65,7 @@
     24: ArrivalTrade,
     25: ArrivalsLent,
 }
-_IN_FORCE: Final = msgspec.msgpack.Decoder(InForce)
+_IN_FORCE_DECODER: Final = msgspec.msgpack.Decoder(InForce)
 _CODES: Final = {kind: code for code, kind in _TYPES.items()}
 _DECODERS: Final[dict[int, msgspec.msgpack.Decoder[Any]]] = {
     code: msgspec.msgpack.Decoder(kind) for code, kind in _TYPES.items()
@@ -99,7 +99,7 @@
 def unpack_configuration(push: ConfigurationPush) -> InForce:
     """Return what was pushed; raises `WireError`."""
     try:
-        return _IN_FORCE.decode(decompress_content(push.packed))
+        return _IN_FORCE_DECODER.decode(decompress_content(push.packed))
     except (msgspec.MsgspecError, RecursionError) as error:
         raise WireError(f"configuration cannot be read: {error}") from error
 
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/health.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/health.py
@@ -22,37 +22,37 @@
 
     def __init__(self, now_s: float) -> None:
         self._last_sent_s = now_s - HEARTBEAT_INTERVAL_S
-        self._last_heard_s = now_s
-        self._waiting: deque[tuple[int, float]] = deque()
+        self._last_echo_s = now_s
+        self._unacknowledged: deque[tuple[int, float]] = deque()
 
-    def sent(self, sequence: int, now_s: float) -> None:
+    def record_sent(self, sequence: int, now_s: float) -> None:
         """Note that a frame was handed to the connection."""
         self._last_sent_s = now_s
-        self._waiting.append((sequence, now_s))
+        self._unacknowledged.append((sequence, now_s))
 
-    def echoed(self, sequence: int, now_s: float) -> None:
+    def record_echo(self, sequence: int, now_s: float) -> None:
         """Note that the peer has received everything up to a frame."""
-        self._last_heard_s = now_s
-        while self._waiting and self._waiting[0][0] <= sequence:
-            self._waiting.popleft()
+        self._last_echo_s = now_s
+        while self._unacknowledged and self._unacknowledged[0][0] <= sequence:
+            self._unacknowledged.popleft()
 
-    def redialled(self) -> None:
+    def reset(self) -> None:
         """Forget frames that went into a connection that was given up."""
-        self._waiting.clear()
+        self._unacknowledged.clear()
 
-    def heartbeat_due(self, now_s: float) -> bool:
+    def is_heartbeat_due(self, now_s: float) -> bool:
         """Tell whether the link has sent nothing for an interval."""
         return now_s - self._last_sent_s >= HEARTBEAT_INTERVAL_S
 
     def is_silent(self, now_s: float) -> bool:
         """Tell whether a frame has gone without echo for too long."""
-        if not self._waiting:
+        if not self._unacknowledged:
             return False
-        return now_s - self._waiting[0][1] >= SILENCE_BOUND_S
+        return now_s - self._unacknowledged[0][1] >= SILENCE_BOUND_S
 
-    def unheard_s(self, now_s: float) -> float:
+    def silence_s(self, now_s: float) -> float:
         """Return how long ago the last echo came, in seconds."""
-        return now_s - self._last_heard_s
+        return now_s - self._last_echo_s
 
 
 __all__ = ["HEARTBEAT_INTERVAL_S", "LinkHealth", "SILENCE_BOUND_S"]
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
@@ -88,7 +88,7 @@
                 while True:
                     connection, _ = listener.accept()
                     self._accepted.append(
-                        loop.create_task(self._take(connection))
+                        loop.create_task(self._serve_connection(connection))
                     )
         for server in self.servers:
             server.close()
@@ -100,7 +100,7 @@
                 connection.shutdown()
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _take(self, connection: socket.socket) -> None:
+    async def _serve_connection(self, connection: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(self._make_protocol, connection)
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/key_file.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/key_file.py
@@ -25,10 +25,10 @@
 MAX_FILE_BYTES: Final = 64 * 1024
 # Often enough for an operator who waits for a rotation; keys are asked for
 # with each frame, and a look at the file each time would cost a tenth of it.
-LOOK_INTERVAL_S: Final = 1.0
+CHECK_INTERVAL_S: Final = 1.0
 
 
-class _Seen(NamedTuple):
+class _FileVersion(NamedTuple):
     """What tells one content of a file from the next."""
 
     modified_ns: int
@@ -54,46 +54,46 @@
         self.path = path
         self.failures = 0
         self._clock_s = clock_s
-        self._looked_s = clock_s()
-        self._bad = False
+        self._checked_s = clock_s()
+        self._is_bad = False
         # Seen before it is read: a change in between is read once more.
-        self._seen = _see(path)
+        self._version = _file_version(path)
         self._keys = read_keys(path)
 
     def __call__(self) -> tuple[bytes, ...]:
         now_s = self._clock_s()
-        if now_s - self._looked_s >= LOOK_INTERVAL_S:
-            self._looked_s = now_s
-            self._look()
+        if now_s - self._checked_s >= CHECK_INTERVAL_S:
+            self._checked_s = now_s
+            self._reload_if_changed()
         return self._keys
 
-    def _look(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
-            seen = _see(self.path)
-            if seen == self._seen and not self._bad:
+            version = _file_version(self.path)
+            if version == self._version and not self._is_bad:
                 return
             keys = read_keys(self.path)
         except KeyFileError as error:
-            self._failed(error)
+            self._record_failure(error)
             return
-        self._seen = seen
-        self._take(keys)
+        self._version = version
+        self._set_keys(keys)
 
-    def _take(self, keys: tuple[bytes, ...]) -> None:
-        if self._bad or keys != self._keys:
+    def _set_keys(self, keys: tuple[bytes, ...]) -> None:
+        if self._is_bad or keys != self._keys:
             details = {"file": str(self.path), "keys": len(keys)}
             LOG.info("key file read again", extra=details)
-        self._bad = False
+        self._is_bad = False
         self._keys = keys
 
-    def _failed(self, error: KeyFileError) -> None:
+    def _record_failure(self, error: KeyFileError) -> None:
         self.failures += 1
-        if not self._bad:
+        if not self._is_bad:
             LOG.warning(
                 "key file is bad, the last good keys stay",
                 extra={"reason": str(error)},
             )
-        self._bad = True
+        self._is_bad = True
 
 
 def read_keys(path: Path) -> tuple[bytes, ...]:
@@ -128,12 +128,12 @@
     return ()
 
 
-def _see(path: Path) -> _Seen:
+def _file_version(path: Path) -> _FileVersion:
     try:
         status = os.stat(path)
     except OSError as error:
         raise _unreadable(path, error) from None
-    return _Seen(status.st_mtime_ns, status.st_size, status.st_ino)
+    return _FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
 
 
 def _unreadable(path: Path, error: OSError) -> KeyFileError:
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/link.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/link.py
@@ -36,7 +36,7 @@
 # The largest message there is, and asked for again with each renewal until
 # it has arrived: twenty renewals on a slow link left twenty copies waiting.
 # The newest one alone says all.
-REPLACED_BY_THE_NEXT: Final = (ConfigurationPush,)
+SUPERSEDED_BY_NEWER: Final = (ConfigurationPush,)
 FRAME_BYTES: Final = MAX_FRAME_BYTES // 2
 SEND_TIMEOUT_MS: Final = 1_000
 RECONNECT_MS: Final = 100
@@ -79,9 +79,9 @@
         self._queued: list[tuple[int, bytes]] = []
         self._queued_bytes = 0
         self._wake = anyio.Event()
-        self._used_s = boottime_s()
+        self._last_used_s = boottime_s()
         self._closed = False
-        self._redial = False
+        self._redial_requested = False
 
     def redial(self) -> None:
         """Dial anew now: the peer was restarted and is there again.
@@ -91,7 +91,7 @@
         is under way is not cancelled: its cancellation leaves pynng as one
         that no scope knows, and would end the process.
         """
-        self._redial = True
+        self._redial_requested = True
         self._wake.set()
 
     def close(self) -> None:
@@ -107,24 +107,24 @@
     def queue(self, message: Message) -> None:
         """Add a message to the next frame, or drop it when full."""
         encoded = encode(message)
-        if isinstance(message, REPLACED_BY_THE_NEXT):
+        if isinstance(message, SUPERSEDED_BY_NEWER):
             self._drop_queued(encoded[0])
         if self._queued_bytes + len(encoded[1]) > QUEUE_BYTES:
             self._owner.counters.dropped += 1
             return
         self._queued.append(encoded)
         self._queued_bytes += len(encoded[1])
-        self._used_s = boottime_s()
+        self._last_used_s = boottime_s()
         self._wake.set()
 
-    def echoed(self, sequence: int, now_s: float) -> None:
+    def record_echo(self, sequence: int, now_s: float) -> None:
         """Note the newest frame that the peer has received."""
-        self._health.echoed(sequence, now_s)
-        self._used_s = now_s
+        self._health.record_echo(sequence, now_s)
+        self._last_used_s = now_s
 
     async def run(self, idle_s: float) -> None:
         """Dial, send and dial anew on silence, until idle for long."""
-        while not self._is_over(idle_s):
+        while not self._is_finished(idle_s):
             with pynng.Pair1(
                 send_timeout=SEND_TIMEOUT_MS,
                 reconnect_time_min=RECONNECT_MS,
@@ -136,9 +136,9 @@
                     secure_dialer(socket, self._owner.tls)
                 target = url(self.address, self._owner.tls)
                 socket.dial(target, block=False)
-                self._redial = False
+                self._redial_requested = False
                 await self._send_until_silent(socket, idle_s)
-            self._health.redialled()
+            self._health.reset()
 
     async def _send_until_silent(
         self, socket: pynng.Pair1, idle_s: float
@@ -148,22 +148,22 @@
                 with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                     await self._wake.wait()
             self._wake = anyio.Event()
-            if self._redial:
+            if self._redial_requested:
                 return
             now_s = boottime_s()
             if self._health.is_silent(now_s):
                 self._owner.counters.redials += 1
                 LOG.info("link silent", extra={"peer": self.address})
                 return
-            if self._is_over(idle_s):
+            if self._is_finished(idle_s):
                 return
-            if not self._queued and self._health.heartbeat_due(now_s):
+            if not self._queued and self._health.is_heartbeat_due(now_s):
                 self._queued.append(encode(Heartbeat()))
             if self._queued and not await self._send_frame(socket):
                 return
 
-    def _is_over(self, idle_s: float) -> bool:
-        return self._closed or boottime_s() - self._used_s >= idle_s
+    def _is_finished(self, idle_s: float) -> bool:
+        return self._closed or boottime_s() - self._last_used_s >= idle_s
 
     async def _send_frame(self, socket: pynng.Pair1) -> bool:
         messages = self.take_batch()
@@ -186,7 +186,7 @@
             # stale by now; the link starts over with an empty connection.
             self._owner.counters.dropped += len(messages)
             return False
-        self._health.sent(sequence, boottime_s())
+        self._health.record_sent(sequence, boottime_s())
         self._owner.counters.frames_sent += 1
         self._owner.counters.bytes_sent += len(data)
         return True
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
@@ -80,7 +80,7 @@
         return sum(self.refusals.counts.values()) - self.refused
 
 
-class _Heard(NamedTuple):
+class _LastFrame(NamedTuple):
     """The newest frame of a peer, and what we had sent to all by then."""
 
     incarnation: int
@@ -119,8 +119,8 @@
         self._tls = tls
         self._handler = handler
         self._links: dict[str, Link] = {}
-        self._heard: dict[str, _Heard] = {}
-        self._unproved: dict[str, tuple[int, int]] = {}
+        self._last_frames: dict[str, _LastFrame] = {}
+        self._unconfirmed: dict[str, tuple[int, int]] = {}
         self._relays = Relays()
         self._sequence = 0
         self._calls: dict[int, tuple[anyio.Event, list[CallReply]]] = {}
@@ -148,7 +148,7 @@
                 task_status.started()
                 while True:
                     received = await listener.arecv_msg()
-                    self._accept(received.bytes, received.pipe)
+                    self._handle_frame(received.bytes, received.pipe)
 
     def send(self, address: str, message: Message) -> None:
         """Queue a message; it goes out with whatever else is queued.
@@ -173,8 +173,8 @@
 
     def relay_for(self, address: str) -> str | None:
         """Return who passes messages on to a peer, None if nobody must."""
-        unheard_s = self.silence_s(address)
-        return self._relays.relay_for(address, unheard_s, boottime_s())
+        silence_s = self.silence_s(address)
+        return self._relays.relay_for(address, silence_s, boottime_s())
 
     def close_link(self, address: str) -> None:
         """Close the link to a peer that is gone; a message opens another."""
@@ -209,10 +209,10 @@
 
     def silence_s(self, address: str) -> float:
         """Return how long ago a peer was heard of, infinity if never."""
-        heard = self._heard.get(address)
-        if heard is None:
+        last = self._last_frames.get(address)
+        if last is None:
             return float("inf")
-        return boottime_s() - heard.at_s
+        return boottime_s() - last.at_s
 
     def _link(self, address: str) -> Link:
         link = self._links.get(address)
@@ -221,7 +221,7 @@
                 self.address,
                 self.incarnation,
                 lambda: self._keys()[0],
-                self._count_frame,
+                self._next_sequence,
                 lambda: self._echo(address),
                 self.counters,
                 self._tls,
@@ -238,68 +238,70 @@
             del self._links[link.address]
 
     def _echo(self, address: str) -> tuple[int, int]:
-        heard = self._heard.get(address)
-        if heard is None:
-            return self._unproved.get(address, (0, 0))
-        return heard.incarnation, heard.sequence
+        last = self._last_frames.get(address)
+        if last is None:
+            return self._unconfirmed.get(address, (0, 0))
+        return last.incarnation, last.sequence
 
-    def _count_frame(self) -> int:
+    def _next_sequence(self) -> int:
         # One count for all links: a link that was given up and made again
         # would begin at one, and its peer take its frames for repeated.
         self._sequence += 1
         return self._sequence
 
-    def _accept(self, data: bytes, pipe: Any) -> None:
+    def _handle_frame(self, data: bytes, pipe: Any) -> None:
         self.counters.frames_received += 1
         self.counters.bytes_received += len(data)
         now_s = boottime_s()
         try:
             frame = open_frame(data, self._keys(), self.address)
-            self._check_new(frame, now_s)
+            self._check_not_stale(frame, now_s)
         except FrameRefused as error:
             peer = error.peer or _remote_host(pipe)
             self.counters.refusals.add(error.kind, peer, now_s)
             return
-        self._unproved.pop(frame.sender, None)
-        heard = self._heard.get(frame.sender)
-        self._heard[frame.sender] = _Heard(
+        self._unconfirmed.pop(frame.sender, None)
+        last = self._last_frames.get(frame.sender)
+        self._last_frames[frame.sender] = _LastFrame(
             frame.incarnation, frame.sequence, now_s, self._sequence
         )
         link = self._link(frame.sender)
-        if heard is not None and frame.incarnation != heard.incarnation:
+        if last is not None and frame.incarnation != last.incarnation:
             link.redial()
         if frame.echo_incarnation == self.incarnation:
-            link.echoed(frame.echo_sequence, now_s)
+            link.record_echo(frame.echo_sequence, now_s)
         for code, body in frame.messages:
             self._deliver(frame.sender, code, body)
 
-    def _check_new(self, frame: Frame, now_s: float) -> None:
-        heard = self._heard.get(frame.sender)
+    def _check_not_stale(self, frame: Frame, now_s: float) -> None:
+        last = self._last_frames.get(frame.sender)
         if frame.echo_incarnation not in (0, self.incarnation):
             # Recorded before our restart, or the peer has yet to notice
             # it. Our link tells it; what it sends from then on is taken.
-            if heard is None:
+            if last is None:
                 newest = (frame.incarnation, frame.sequence)
-                if frame.sender not in self._unproved:
+                if frame.sender not in self._unconfirmed:
                     # Told at once; the first heartbeat is half a second on.
                     self.send(frame.sender, Heartbeat())
-                self._unproved[frame.sender] = newest
+                self._unconfirmed[frame.sender] = newest
             self._link(frame.sender)
-            raise FrameRefused(Refusal.EARLIER_LIFE, frame.sender)
-        if heard is None or frame.incarnation > heard.incarnation:
+            raise FrameRefused(Refusal.RECEIVER_INCARNATION, frame.sender)
+        if last is None or frame.incarnation > last.incarnation:
             return
-        if frame.incarnation < heard.incarnation:
-            if not self._is_successor(frame, heard, now_s):
+        if frame.incarnation < last.incarnation:
+            if not self._is_successor(frame, last, now_s):
                 self._link(frame.sender)
-                raise FrameRefused(Refusal.INCARNATION, frame.sender)
-        elif frame.sequence <= heard.sequence:
+                raise FrameRefused(Refusal.SENDER_INCARNATION, frame.sender)
+        elif frame.sequence <= last.sequence:
             raise FrameRefused(Refusal.REPEATED, frame.sender)
 
-    def _is_successor(self, frame: Frame, heard: _Heard, now_s: float) -> bool:
+    def _is_successor(
+        self, frame: Frame, last: _LastFrame, now_s: float
+    ) -> bool:
         return (
-            now_s - heard.at_s >= INCARNATION_CHANGE_S
+            now_s - last.at_s >= INCARNATION_CHANGE_S
             and frame.echo_incarnation == self.incarnation
-            and frame.echo_sequence > heard.sent_sequence
+            and frame.echo_sequence > last.sent_sequence
         )
 
     def _deliver(self, sender: str, code: int, body: bytes) -> None:
@@ -310,7 +312,7 @@
             LOG.debug("message dropped", extra={"reason": str(error)})
             return
         if isinstance(message, Relayed):
-            self._take_relayed(sender, message)
+            self._handle_relayed(sender, message)
             return
         if isinstance(message, CallReply):
             waiting = self._calls.get(message.call_id)
@@ -327,17 +329,17 @@
             self.counters.faults += 1
             LOG.exception("message not handled", extra={"peer": sender})
 
-    def _take_relayed(self, sender: str, message: Relayed) -> None:
+    def _handle_relayed(self, sender: str, message: Relayed) -> None:
         """Pass a message on, or take one that was passed on to here."""
         if message.passed and message.target == self.address:
-            self._relays.learn(message.origin, sender, boottime_s())
+            self._relays.record(message.origin, sender, boottime_s())
             self._deliver(message.origin, message.code, message.body)
         elif not message.passed and message.origin == sender:
             # Passed on once only: two that each take the other for the way
             # would send it to and fro without end.
             self.counters.relayed += 1
-            onward = message._replace(passed=True)
-            self.send_directly(message.target, onward)
+            forwarded = message._replace(passed=True)
+            self.send_directly(message.target, forwarded)
         else:
             self.counters.malformed += 1
 
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/refusals.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/refusals.py
@@ -22,8 +22,8 @@
     UNREADABLE = "cannot be read"
     RECEIVER = "is for another process"
     REPEATED = "was received before, or is older than one that was"
-    INCARNATION = "is from before the peer's restart"
-    EARLIER_LIFE = "was meant for this process before its restart"
+    SENDER_INCARNATION = "is from before the peer's restart"
+    RECEIVER_INCARNATION = "was meant for this process before its restart"
 
 
 class Refusals:
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/relays.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/relays.py
@@ -21,7 +21,7 @@
 DIRECT_SILENCE_S: Final = 0.7
 # A way that nothing has come by for so long is forgotten; the peer that
 # is cut off renews its lease three times in it.
-RELAY_LIFE_S: Final = 1.5
+RELAY_TIMEOUT_S: Final = 1.5
 
 
 class _Relay(NamedTuple):
@@ -35,12 +35,12 @@
     def __init__(self) -> None:
         self._relays: dict[str, _Relay] = {}
 
-    def learn(self, origin: str, relay: str, now_s: float) -> None:
+    def record(self, origin: str, relay: str, now_s: float) -> None:
         """Note that a message of a peer came through another one."""
         self._relays[origin] = _Relay(relay, now_s)
 
     def relay_for(
-        self, address: str, unheard_s: float, now_s: float
+        self, address: str, silence_s: float, now_s: float
     ) -> str | None:
         """Return who passes messages on to a peer, None to send directly.
 
@@ -49,10 +49,10 @@
         relay = self._relays.get(address)
         if relay is None:
             return None
-        if now_s - relay.heard_s > RELAY_LIFE_S:
+        if now_s - relay.heard_s > RELAY_TIMEOUT_S:
             del self._relays[address]
             return None
-        return relay.address if unheard_s > DIRECT_SILENCE_S else None
+        return relay.address if silence_s > DIRECT_SILENCE_S else None
 
 
-__all__ = ["DIRECT_SILENCE_S", "RELAY_LIFE_S", "Relays"]
+__all__ = ["DIRECT_SILENCE_S", "RELAY_TIMEOUT_S", "Relays"]
--- a/packages/sycamorestand-peer/tests/test_key_file.py
+++ b/packages/sycamorestand-peer/tests/test_key_file.py
@@ -11,8 +11,8 @@
 
 from sycamorestand_bench.addresses import free_address
 from sycamorestand_peer.errors import KeyFileError
+from sycamorestand_peer.key_file import CHECK_INTERVAL_S
 from sycamorestand_peer.key_file import KeyFile
-from sycamorestand_peer.key_file import LOOK_INTERVAL_S
 from sycamorestand_peer.mesh import PeerMesh
 from sycamorestand_peer.messages import AddressList
 
@@ -28,7 +28,7 @@
         return self.now_s
 
 
-class Held:
+class KeyFileHarness:
     """A key file and the clock that says when it is looked at."""
 
     def __init__(self, path: Path, *keys: bytes) -> None:
@@ -43,17 +43,17 @@
         fresh.write_bytes(b"\n".join(keys))
         fresh.rename(self.path)
 
-    def look(self) -> tuple[bytes, ...]:
-        self.clock.now_s += LOOK_INTERVAL_S
+    def check(self) -> tuple[bytes, ...]:
+        self.clock.now_s += CHECK_INTERVAL_S
         return self.keys()
 
 
 class TestKeyFile:
     def test_a_change_is_seen_at_the_next_look(self, tmp_path: Path) -> None:
-        held = Held(tmp_path / "keys", OLD)
+        held = KeyFileHarness(tmp_path / "keys", OLD)
         held.write(NEW, OLD)
         assert held.keys() == (OLD,)
-        assert held.look() == (NEW, OLD)
+        assert held.check() == (NEW, OLD)
 
     @pytest.mark.parametrize("content", [None, b"", b"short", b"x" * 65])
     def test_a_bad_file_keeps_the_last_good_keys(
@@ -69,15 +69,15 @@
         taken at the next look.
         """
         caplog.set_level(logging.INFO)
-        held = Held(tmp_path / "keys", OLD)
+        held = KeyFileHarness(tmp_path / "keys", OLD)
         if content is None:
             held.path.unlink()
         else:
             held.write(content)
-        assert [held.look() for _ in range(3)] == [(OLD,)] * 3
+        assert [held.check() for _ in range(3)] == [(OLD,)] * 3
         assert held.keys.failures == 3
         held.write(NEW)
-        assert held.look() == (NEW,)
+        assert held.check() == (NEW,)
         levels = [record.levelname for record in caplog.records]
         assert levels == ["WARNING", "INFO"]
 
@@ -102,7 +102,9 @@
         old one goes, on one process before the other each time. Messages
         flow both ways after every single step and none is refused.
         """
-        held = [Held(tmp_path / name, OLD) for name in ("one", "two")]
+        held = [
+            KeyFileHarness(tmp_path / name, OLD) for name in ("one", "two")
+        ]
         received: list[list[Any]] = [[], []]
         meshes = [
             PeerMesh(
@@ -118,7 +120,7 @@
             for keys in ((OLD, NEW), (NEW, OLD), (NEW,)):
                 for file in held:
                     file.write(*keys)
-                    file.look()
+                    file.check()
                     for taken in received:
                         taken.clear()
                     meshes[0].send(meshes[1].address, AddressList(()))
--- a/packages/sycamorestand-peer/tests/test_mesh.py
+++ b/packages/sycamorestand-peer/tests/test_mesh.py
@@ -175,7 +175,7 @@
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             await tasks.start(two.mesh.run)
-            one.mesh._accept(seal(before, KEY), None)
+            one.mesh._handle_frame(seal(before, KEY), None)
             await until(lambda: two.mesh.counters.frames_received)
             tasks.cancel_scope.cancel()
 
@@ -224,7 +224,7 @@
     return True
 
 
-class _SilentGate:
+class _DroppingProxy:
     """A TCP hop that can lose track of the connections open now."""
 
     def __init__(self, target: str) -> None:
@@ -233,7 +233,7 @@
         self._dead: set[int] = set()
         self._open: set[int] = set()
 
-    def lose_track(self) -> None:
+    def drop_open_connections(self) -> None:
         self._dead |= self._open
 
     async def run(self, *, task_status: Any) -> None:
@@ -277,7 +277,7 @@
         dials a new one, which works; messages arrive again.
         """
         listen = free_address()
-        gate = _SilentGate(listen)
+        gate = _DroppingProxy(listen)
         one, two = Node(), Node(address=gate.address, listen=listen)
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
@@ -285,7 +285,7 @@
             await tasks.start(gate.run)
             one.mesh.send(gate.address, AddressList(()))
             await until(lambda: len(two.received) == 1)
-            gate.lose_track()
+            gate.drop_open_connections()
             await until(lambda: one.mesh.counters.redials > 0)
             one.mesh.send(gate.address, AddressList(()))
             await until(lambda: len(two.received) > 1)
--- a/packages/sycamorestand-peer/tests/test_relays.py
+++ b/packages/sycamorestand-peer/tests/test_relays.py
@@ -13,7 +13,7 @@
 from sycamorestand_peer.messages import Relayed
 from sycamorestand_peer.messages import TableResync
 from sycamorestand_peer.relays import DIRECT_SILENCE_S
-from sycamorestand_peer.relays import RELAY_LIFE_S
+from sycamorestand_peer.relays import RELAY_TIMEOUT_S
 from sycamorestand_peer.relays import Relays
 
 NEVER_S = float("inf")
@@ -39,14 +39,14 @@
 
     def test_a_peer_that_is_heard_directly_needs_none(self) -> None:
         relays = Relays()
-        relays.learn("a:1", "r:1", 0.0)
+        relays.record("a:1", "r:1", 0.0)
         assert relays.relay_for("a:1", DIRECT_SILENCE_S, 0.1) is None
         assert relays.relay_for("a:1", DIRECT_SILENCE_S + 0.1, 0.1) == "r:1"
 
     def test_a_way_that_nothing_comes_by_is_forgotten(self) -> None:
         relays = Relays()
-        relays.learn("a:1", "r:1", 0.0)
-        assert relays.relay_for("a:1", NEVER_S, RELAY_LIFE_S + 0.1) is None
+        relays.record("a:1", "r:1", 0.0)
+        assert relays.relay_for("a:1", NEVER_S, RELAY_TIMEOUT_S + 0.1) is None
         assert relays.relay_for("a:1", NEVER_S, 0.2) is None
 
 
--- a/packages/sycamorestand-peer/tests/test_replay.py
+++ b/packages/sycamorestand-peer/tests/test_replay.py
@@ -135,8 +135,8 @@
             )
         assert one.received == [PEER, PEER]
         assert one.refusals() == {
-            Refusal.INCARNATION: 2,
-            Refusal.EARLIER_LIFE: 1,
+            Refusal.SENDER_INCARNATION: 2,
+            Refusal.RECEIVER_INCARNATION: 1,
         }
 
     async def test_frames_from_before_this_process_restarted(
@@ -159,7 +159,7 @@
                 old = (earlier.mesh.incarnation, 7)
                 await later.replay(later.frame(5, 9, echo=old))
                 assert PEER not in later.received
-                assert later.refusals()[Refusal.EARLIER_LIFE] >= 1
+                assert later.refusals()[Refusal.RECEIVER_INCARNATION] >= 1
                 while peer.mesh.address not in later.received:
                     peer.mesh.send(later.mesh.address, MESSAGE)
                     await anyio.sleep(0.05)
