--- a/packages/sycamorestand-peer/src/sycamorestand_peer/__init__.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes: links, heartbeats, authentication."""
+"""Messages between processes: links, heartbeats and authentication."""
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/clock.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted on."""
+"""The clock that measures leases."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def boottime_s() -> float:
-    """Return seconds since boot, counting time spent suspended.
+    """Return the seconds since boot, including time spent suspended.
 
-    ``CLOCK_MONOTONIC`` stands still while a VM is suspended; a lease
-    measured on it would look valid after a pause that outlasted it.
+    ``CLOCK_MONOTONIC`` does not advance while a VM is suspended, so a
+    lease that ran out during the suspension would still look valid on it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/codec.py
@@ -1,4 +1,8 @@
-"""Messages to bytes and back; the code of a type never changes."""
+"""Encodes and decodes messages.
+
+The code of a message type never changes, so that processes of different
+releases understand each other.
+"""
 
 from __future__ import annotations
 
@@ -74,12 +78,15 @@
 
 
 def encode(message: Message) -> tuple[int, bytes]:
-    """Return a message's type code and its bytes."""
+    """Return the type code and the encoded body of a message."""
     return _CODES[type(message)], _ENCODER.encode(message)
 
 
 def decode(code: int, body: bytes | msgspec.Raw) -> Any:
-    """Return the message; raise `WireError` for unknown or broken ones."""
+    """Return the message of a type code and an encoded body.
+
+    Raises `WireError` if the code is unknown or the body is invalid.
+    """
     decoder = _DECODERS.get(code)
     if decoder is None:
         raise WireError(f"message type {code} is unknown")
@@ -91,13 +98,16 @@
 
 
 def pack_configuration(in_force: InForce) -> ConfigurationPush:
-    """Return the push of a configuration."""
+    """Return a push with the encoded and compressed configuration."""
     packed = compress_content(msgspec.msgpack.encode(in_force))
     return ConfigurationPush(in_force.revision, packed)
 
 
 def unpack_configuration(push: ConfigurationPush) -> InForce:
-    """Return what was pushed; raises `WireError`."""
+    """Return the configuration of a push.
+
+    Raises `WireError` if it cannot be decompressed or decoded.
+    """
     try:
         return _IN_FORCE_DECODER.decode(decompress_content(push.packed))
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/errors.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/errors.py
@@ -7,15 +7,22 @@
 
 
 class PeerError(SycamorestandError):
-    """Base of errors between processes of the system."""
+    """Base class of errors in connections between the system's processes."""
 
 
 class PeerTimeout(PeerError):
-    """A peer gave no reply in time; it may have acted on the message."""
+    """A peer sent no reply in time.
+
+    The peer may have received the message and acted on it.
+    """
 
 
 class FrameRefused(PeerError):
-    """A frame is not to be acted on; ``peer`` is empty if not authentic."""
+    """A received frame must be dropped.
+
+    ``peer`` is the sender's address. It is empty if the sender is unknown
+    because the frame is not authentic or cannot be decoded.
+    """
 
     def __init__(self, kind: Refusal, peer: str = "") -> None:
         super().__init__(f"frame {kind}")
@@ -24,14 +31,17 @@
 
 
 class KeyFileError(PeerError, ValueError):
-    """A key file cannot be read or holds no good key.
+    """A key file cannot be read or holds no valid key.
 
-    It is a ``ValueError`` too, which is how a setting is found bad.
+    It is also a ``ValueError``, which marks the setting as invalid.
     """
 
 
 class TlsFileError(PeerError, ValueError):
-    """Certificates or a key cannot be used."""
+    """TLS certificates or a TLS key cannot be used.
+
+    It is also a ``ValueError``, which marks the setting as invalid.
+    """
 
 
 __all__ = [
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/frames.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/frames.py
@@ -1,4 +1,4 @@
-"""Authenticated frames: many messages, one code over all of them."""
+"""Authenticated frames: many messages under one authentication code."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from sycamorestand_peer.refusals import Refusal
 
 TAG_BYTES: Final = 16
-# Larger than any configuration that `check` admits, and small enough that
-# a stranger who connects cannot make a process fill its memory.
+# Larger than any configuration that `check` accepts, and small enough that
+# an unauthenticated sender cannot exhaust a process's memory.
 MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
 
 
 class Frame(NamedTuple):
-    """What one nng message carries.
+    """The content of one nng message.
 
-    ``sequence`` counts the sender's frames to this receiver.
-    ``echo_incarnation`` and ``echo_sequence`` name the newest frame that
-    the sender has received from the receiver: that is how a connection
-    which swallows frames without an error is noticed.
+    ``sequence`` increases with each frame that the sender sends.
+    ``echo_incarnation`` and ``echo_sequence`` identify the newest frame
+    that the sender has received from the receiver. The echo lets the
+    receiver detect a connection that loses its frames without an error.
     """
 
     sender: str
@@ -41,15 +41,17 @@
 
 
 def seal(frame: Frame, key: bytes) -> bytes:
-    """Return the frame's bytes behind their authentication code."""
+    """Return the encoded frame, prefixed with its authentication code."""
     body = _ENCODER.encode(frame)
     return _tag(body, key) + body
 
 
 def open_frame(data: bytes, keys: tuple[bytes, ...], receiver: str) -> Frame:
-    """Check and read a frame; several keys are valid during a rotation.
+    """Return the authenticated and decoded frame.
 
-    Raises `FrameRefused` before anything in the frame is acted on.
+    Several ``keys`` are valid while the cluster key is rotated. Raises
+    `FrameRefused` if no key fits, the frame cannot be decoded, or it is
+    addressed to another process than ``receiver``.
     """
     tag, body = data[:TAG_BYTES], data[TAG_BYTES:]
     if not any(hmac.compare_digest(tag, _tag(body, key)) for key in keys):
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/http_server.py
@@ -1,9 +1,9 @@
-"""What the HTTP servers of all processes share: a stop that cuts nothing.
+"""A base for HTTP servers whose planned stop resets no connection.
 
-uvicorn closes its listeners and its idle connections at once. The kernel
-resets connections that wait to be accepted, and a connection on which a
-request has arrived but was not read yet; their callers cannot tell whether
-it has run.
+On shutdown uvicorn closes its listeners and its idle connections at once.
+The kernel then resets connections that wait to be accepted and connections
+with a request that has arrived but was not read. Callers of reset
+connections cannot tell whether their request has run.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class HttpProtocol(HttpToolsProtocol):
-    """A connection that is not closed as idle with a request on it."""
+    """A connection that stays open while it has an unread request."""
 
     def timeout_keep_alive_handler(self) -> None:
         """Close the idle connection, unless a request has arrived on it."""
@@ -34,15 +34,19 @@
             super().timeout_keep_alive_handler()
 
     def shutdown(self) -> None:
-        """Close where idle, or after the answer that is under way."""
+        """Close the connection now if idle, else after its response.
+
+        An idle connection with an unread request is not closed.
+        """
         idle = self.cycle is None or self.cycle.response_complete
         if not idle or not self.has_unread():
             super().shutdown()
 
     def has_unread(self) -> bool:
-        """Tell whether bytes of a request wait to be read.
+        """Return whether the socket holds unread bytes of a request.
 
-        A busy process comes to its timers before it reads them.
+        The event loop of a busy process may run a timer before it reads
+        bytes that have already arrived.
         """
         readable = poll()
         readable.register(self.transport.get_extra_info("socket"), POLLIN)
@@ -50,9 +54,10 @@
 
 
 class HttpServer(uvicorn.Server):
-    """A server of these listeners whose planned stop resets nothing.
+    """A server on ``listeners`` whose planned stop resets no connection.
 
-    Its configuration's ``http`` is an `HttpProtocol` class.
+    The ``http`` setting of its configuration must be `HttpProtocol` or a
+    subclass.
     """
 
     def __init__(
@@ -64,24 +69,24 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals to the process, which makes a planned stop of them."""
+        """Install no signal handlers: the process handles signals itself."""
         yield
 
     async def shutdown(
         self, sockets: list[socket.socket] | None = None
     ) -> None:
-        """Accept nothing new, and return when all connections are closed."""
+        """Stop accepting and return once all connections are closed."""
         self.stop_accepting()
         await asyncio.gather(*self._accepted)
         await self.drain()
         await super().shutdown(sockets)
 
     async def drain(self) -> None:
-        """Let what runs end; another server may bound or soften this."""
+        """Wait for open connections to end; subclasses may limit the wait."""
         await self.end_connections()
 
     def stop_accepting(self) -> None:
-        """Take the connections that wait to be accepted, and no more."""
+        """Accept the connections in the backlog, then close the listeners."""
         loop = asyncio.get_running_loop()
         for listener in self.listeners:
             with contextlib.suppress(BlockingIOError):
@@ -94,7 +99,7 @@
             server.close()
 
     async def end_connections(self) -> None:
-        """Close what is idle until no connection is left."""
+        """Close connections as they become idle, until none is left."""
         while connections := list(self.server_state.connections):
             for connection in connections:
                 connection.shutdown()
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/key_file.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/key_file.py
@@ -1,4 +1,4 @@
-"""Keys in a file that may change while the process runs."""
+"""Keys in a file that is read again when it changes."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 LOG: Final = logging.getLogger(__name__)
 MIN_KEY_BYTES: Final = 16
-# What the hash function of the frames takes as a key. Longer ones are
-# refused: cut short, a backend server's whole key would match none.
+# The maximum key size of BLAKE2b, which authenticates frames. Longer keys
+# are refused instead of cut: a backend server that sends its whole key would
+# not match the shortened one.
 MAX_KEY_BYTES: Final = 64
 MAX_FILE_BYTES: Final = 64 * 1024
-# Often enough for an operator who waits for a rotation; keys are asked for
-# with each frame, and a look at the file each time would cost a tenth of it.
+# Short enough for an operator who waits for a key rotation. Each frame asks
+# for the keys; checking the file each time would add a tenth to its cost.
 CHECK_INTERVAL_S: Final = 1.0
 
 
 class _FileVersion(NamedTuple):
-    """What tells one content of a file from the next."""
+    """File attributes that change when the content is replaced."""
 
     modified_ns: int
     size: int
@@ -37,15 +38,15 @@
 
 
 class KeyFile:
-    """The keys of a file, read again when the file has changed.
+    """The keys of a file, read again when the file changes.
 
-    Calling it returns the keys that are valid now. A file that cannot be
-    read, or holds a bad key, leaves the last good keys in force: an
-    editor writes half a file, a copy fails, and without this the process
-    would refuse every peer until someone mends the file. The state is
-    logged when it changes, and ``failures`` counts the bad looks.
+    Calling the object returns the keys that are valid now. If the file
+    cannot be read or holds an invalid key, the last valid keys stay in
+    use; otherwise a half-written file or a failed copy would make the
+    process refuse every peer until the file is repaired. A change between
+    valid and invalid is logged, and ``failures`` counts failed checks.
 
-    Raises `KeyFileError` when there is no first set of good keys.
+    The constructor raises `KeyFileError` if the file is invalid.
     """
 
     def __init__(
@@ -56,7 +57,8 @@
         self._clock_s = clock_s
         self._checked_s = clock_s()
         self._is_bad = False
-        # Seen before it is read: a change in between is read once more.
+        # The version is taken before the content is read, so that a change
+        # in between is detected by the next check.
         self._version = _file_version(path)
         self._keys = read_keys(path)
 
@@ -97,9 +99,11 @@
 
 
 def read_keys(path: Path) -> tuple[bytes, ...]:
-    """Return the keys of a file, one a line; the first one signs.
+    """Return the keys of a file that has one key on each line.
 
-    Raises `KeyFileError`, whose message never repeats a key.
+    The first key signs. Raises `KeyFileError` if the file cannot be read,
+    is too large, or holds no key or one of an invalid length. The message
+    never contains a key.
     """
     try:
         with path.open("rb") as file:
@@ -119,12 +123,12 @@
 
 
 def as_key_source(keys: tuple[bytes, ...] | KeySource) -> KeySource:
-    """Return a source, also for keys that never change."""
+    """Return a key source; fixed keys are wrapped into one."""
     return keys if callable(keys) else lambda: keys
 
 
 def no_keys() -> tuple[bytes, ...]:
-    """Return no key: the source where no file is set."""
+    """Return no keys; the key source if no key file is configured."""
     return ()
 
 
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/link.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/link.py
@@ -1,4 +1,4 @@
-"""One outgoing connection to one peer, kept alive by one task."""
+"""An outgoing connection to one peer, kept alive by one task."""
 
 from __future__ import annotations
 
@@ -30,23 +30,29 @@
     from sycamorestand_peer.tls import TlsIdentity
 
 LOG: Final = logging.getLogger(__name__)
-# What may wait for a peer that is away. Older messages are of no use to
-# it: leases and heartbeats are asked for again, the log repeats itself.
+# The limit of the queue to an unreachable peer. Messages beyond it may be
+# dropped: leases and heartbeats are requested again, and the replicated log
+# is sent again.
 QUEUE_BYTES: Final = 4 * 1024 * 1024
-# The largest message there is, and asked for again with each renewal until
-# it has arrived: twenty renewals on a slow link left twenty copies waiting.
-# The newest one alone says all.
+# Message types of which only the newest needs to be queued. A configuration
+# push is the largest message, and an entry requests it with each renewal
+# until it arrives: on a slow link twenty renewals queued twenty copies.
 SUPERSEDED_BY_NEWER: Final = (ConfigurationPush,)
 FRAME_BYTES: Final = MAX_FRAME_BYTES // 2
 SEND_TIMEOUT_MS: Final = 1_000
 RECONNECT_MS: Final = 100
-# A VM that is gone is dialled ever less often: 29 that vanished at once
-# cost the process that served them most of a core at ten dials a second.
+# Dials to an unreachable VM back off up to this interval. Ten dials a second
+# to each of 29 unreachable VMs used most of a core.
 RECONNECT_MAX_MS: Final = 2_000
 
 
 class LinkOwner(NamedTuple):
-    """What a link needs to know of the process that it belongs to."""
+    """The properties of the owning process that a link needs.
+
+    ``key`` returns the key that signs frames. ``next_sequence`` returns the
+    number of the next frame. ``echo`` returns the incarnation and sequence
+    of the newest frame received from the link's peer.
+    """
 
     address: str
     incarnation: int
@@ -60,16 +66,17 @@
 class Link:
     """Queues messages for one peer and sends them in batches.
 
-    The socket is a pair's, though nothing comes back on it. A push socket
-    lists a connection as free again when its last send ends, also where
-    the connection was closed meanwhile; the next send then goes to memory
-    that was given back, and the process ends with SIGSEGV: once in some
-    thousand connections that were reset, none with a pair, which keeps
-    one connection and compares before it uses it.
-
-    All that was queued while the last frame went out leaves in one frame:
-    an nng message costs about as much processor time as encoding fifty
-    small messages, so batching is what keeps control within its share.
+    The link uses a pair socket although nothing is received on it. A push
+    socket marks a connection as free again when its last send ends, even
+    if the connection was closed in the meantime. The next send then uses
+    freed memory and the process ends with SIGSEGV; this happened about
+    once in some thousand reset connections. A pair socket keeps a single
+    connection and checks it before use.
+
+    All messages that are queued while a frame is being sent go out in the
+    next frame. An nng message takes about as much CPU time as encoding
+    fifty small messages, so batching limits the CPU use of control
+    processes.
     """
 
     def __init__(self, address: str, owner: LinkOwner) -> None:
@@ -84,28 +91,28 @@
         self._redial_requested = False
 
     def redial(self) -> None:
-        """Dial anew now: the peer was restarted and is there again.
+        """Reconnect at once, because the peer has restarted.
 
-        The old connection waits up to `RECONNECT_MAX_MS` before it dials,
-        and what goes into it before is lost without an error. A send that
-        is under way is not cancelled: its cancellation leaves pynng as one
-        that no scope knows, and would end the process.
+        The old socket would wait up to `RECONNECT_MAX_MS` before it dials,
+        and messages sent on it until then would be lost without an error.
+        A running send is not cancelled: pynng would raise a cancellation
+        that belongs to no cancel scope, which would end the process.
         """
         self._redial_requested = True
         self._wake.set()
 
     def close(self) -> None:
-        """End the link; what is queued is lost with it."""
+        """Close the link and discard its queued messages."""
         self._closed = True
         self._wake.set()
 
     @property
     def queued_bytes(self) -> int:
-        """Return how many bytes wait to be sent."""
+        """Return the number of bytes that wait to be sent."""
         return self._queued_bytes
 
     def queue(self, message: Message) -> None:
-        """Add a message to the next frame, or drop it when full."""
+        """Queue a message, or drop it if `QUEUE_BYTES` would be exceeded."""
         encoded = encode(message)
         if isinstance(message, SUPERSEDED_BY_NEWER):
             self._drop_queued(encoded[0])
@@ -118,12 +125,15 @@
         self._wake.set()
 
     def record_echo(self, sequence: int, now_s: float) -> None:
-        """Note the newest frame that the peer has received."""
+        """Record the newest frame that the peer has acknowledged."""
         self._health.record_echo(sequence, now_s)
         self._last_used_s = now_s
 
     async def run(self, idle_s: float) -> None:
-        """Dial, send and dial anew on silence, until idle for long."""
+        """Dial and send, and redial whenever the connection fails.
+
+        Returns once the link is closed, or was not used for ``idle_s``.
+        """
         while not self._is_finished(idle_s):
             with pynng.Pair1(
                 send_timeout=SEND_TIMEOUT_MS,
@@ -182,8 +192,8 @@
         try:
             await socket.asend(data)
         except pynng.Timeout:
-            # The peer is away or does not read. What was in the frame is
-            # stale by now; the link starts over with an empty connection.
+            # The peer is unreachable or does not read. The messages in the
+            # frame are stale by now; the link drops them and reconnects.
             self._owner.counters.dropped += len(messages)
             return False
         self._health.record_sent(sequence, boottime_s())
@@ -192,14 +202,14 @@
         return True
 
     def _drop_queued(self, code: int) -> None:
-        """Drop what waits of a type, as a newer message says it all."""
+        """Drop the queued messages of a type that a newer one supersedes."""
         kept = [item for item in self._queued if item[0] != code]
         dropped = [item for item in self._queued if item[0] == code]
         self._queued = kept
         self._queued_bytes -= sum(len(body) for _, body in dropped)
 
     def take_batch(self) -> tuple[tuple[int, bytes], ...]:
-        """Take what fits into one frame off the queue, oldest first."""
+        """Remove and return the oldest queued messages that fit one frame."""
         taken: list[tuple[int, bytes]] = []
         size = 0
         while self._queued and (
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
@@ -1,4 +1,4 @@
-"""Links to every peer of a process, and the one socket it listens on."""
+"""The links of a process to its peers, and the socket it listens on."""
 
 from __future__ import annotations
 
@@ -44,16 +44,17 @@
     Handler = Callable[[str, Any], None]
 
 LOG: Final = logging.getLogger(__name__)
-# A restarted peer whose clock was set back has a lower incarnation. It is
-# taken after this much silence of the old one, longer than any lease, and
-# only with an echo of a frame from after that: recorded frames have none.
+# A restarted peer whose clock was set back has a lower incarnation. Its
+# frames are accepted once the previous incarnation was silent for this time,
+# which is longer than any lease, and only if they echo a frame sent after
+# the last one from that incarnation. Replayed frames carry no such echo.
 INCARNATION_CHANGE_S: Final = 5.0
-# A link that nobody has used for this long belongs to a VM that is gone.
+# A link that was unused for this long is closed: its VM no longer exists.
 LINK_IDLE_S: Final = 60.0
 
 
 class MeshCounters:
-    """What the mesh has seen; read by the metrics page."""
+    """Counters of a mesh, exported as metrics."""
 
     def __init__(self) -> None:
         self.frames_sent = 0
@@ -69,19 +70,26 @@
 
     @property
     def refused(self) -> int:
-        """Return how many frames were not authentic or not for us."""
+        """Return the number of frames not authentic or for another process.
+
+        Frames that cannot be decoded count as well.
+        """
         counts = self.refusals.counts
         kinds = (Refusal.KEY, Refusal.UNREADABLE, Refusal.RECEIVER)
         return sum(counts[kind] for kind in kinds)
 
     @property
     def stale(self) -> int:
-        """Return how many authentic frames came too late to be acted on."""
+        """Return the number of authentic frames that were refused as old."""
         return sum(self.refusals.counts.values()) - self.refused
 
 
 class _LastFrame(NamedTuple):
-    """The newest frame of a peer, and what we had sent to all by then."""
+    """The newest frame of a peer.
+
+    ``sent_sequence`` is the number of the last frame that this process had
+    sent to any peer when the frame arrived.
+    """
 
     incarnation: int
     sequence: int
@@ -90,17 +98,18 @@
 
 
 class PeerMesh:
-    """Sends messages to peers by address and hands over what arrives.
-
-    Delivery is at most once and unordered across a redial: whoever needs
-    an answer repeats the question. ``address`` is where peers reach this
-    process, ``listen_address`` where it listens if that differs.
-
-    ``keys`` returns the cluster keys that are valid now; the first one
-    signs, so a key is rotated by adding the new one behind everywhere,
-    then moving it to the front, then dropping the old one, without a
-    stop. With ``tls`` the frames go through TLS as well, and peers that
-    only speak plain get no connection.
+    """Sends messages to peers by address and delivers received messages.
+
+    Delivery is at most once, and messages may be reordered when a link
+    reconnects; a sender that needs an answer must repeat its request.
+    ``address`` is where peers reach this process, ``listen_address`` where
+    it listens if that differs.
+
+    ``keys`` returns the cluster keys that are valid now. The first one
+    signs. A key is rotated without a stop: on all processes the new key is
+    added behind the old one, then moved to the front, and then the old one
+    is removed. With ``tls`` connections use TLS, and peers without TLS
+    cannot connect.
     """
 
     def __init__(
@@ -132,8 +141,9 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Listen and serve links until cancelled."""
-        # Of many peers; why a pair's socket, `Link` says.
+        """Listen and run the links until cancelled."""
+        # A polyamorous pair socket accepts many peers. `Link` explains why
+        # the sockets are pairs.
         with pynng.Pair1(
             polyamorous=True, recv_max_size=MAX_FRAME_BYTES
         ) as listener:
@@ -151,10 +161,10 @@
                     self._handle_frame(received.bytes, received.pipe)
 
     def send(self, address: str, message: Message) -> None:
-        """Queue a message; it goes out with whatever else is queued.
+        """Queue a message to a peer.
 
-        It goes through a third process where the peer was last heard
-        through one and is not heard directly.
+        The message goes through a relay if the peer was last heard through
+        one and is not heard directly.
         """
         relay = self.relay_for(address)
         if relay is None:
@@ -163,36 +173,40 @@
             self.send_through(relay, address, message)
 
     def send_directly(self, address: str, message: Message) -> None:
-        """Queue a message on the direct way, whatever is known of it."""
+        """Queue a message on the direct link, even if a relay is known."""
         self._link(address).queue(message)
 
     def send_through(self, relay: str, address: str, message: Message) -> None:
-        """Have a third process pass a message on."""
+        """Queue a message that ``relay`` forwards to ``address``."""
         relayed = Relayed(self.address, address, *encode(message))
         self._link(relay).queue(relayed)
 
     def relay_for(self, address: str) -> str | None:
-        """Return who passes messages on to a peer, None if nobody must."""
+        """Return the relay to a peer, None to send directly."""
         silence_s = self.silence_s(address)
         return self._relays.relay_for(address, silence_s, boottime_s())
 
     def close_link(self, address: str) -> None:
-        """Close the link to a peer that is gone; a message opens another."""
+        """Close the link to a peer.
+
+        The next message to the peer opens a new link.
+        """
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
 
     def next_call_id(self) -> int:
-        """Return a number for a message that expects a `CallReply`."""
+        """Return a new id for a message that expects a `CallReply`."""
         self._next_call += 1
         return self._next_call
 
     async def call(
         self, address: str, call_id: int, message: Message, timeout_s: float
     ) -> CallReply:
-        """Send a message and wait for the reply that carries its number.
+        """Send a message and return the reply with the same ``call_id``.
 
-        Raises `PeerTimeout`; the peer may have acted all the same.
+        Raises `PeerTimeout` if no reply arrives within ``timeout_s``. The
+        peer may have acted on the message nevertheless.
         """
         event = anyio.Event()
         replies: list[CallReply] = []
@@ -208,7 +222,7 @@
         return replies[0]
 
     def silence_s(self, address: str) -> float:
-        """Return how long ago a peer was heard of, infinity if never."""
+        """Return the seconds since a peer's last frame, infinity if none."""
         last = self._last_frames.get(address)
         if last is None:
             return float("inf")
@@ -244,8 +258,9 @@
         return last.incarnation, last.sequence
 
     def _next_sequence(self) -> int:
-        # One count for all links: a link that was given up and made again
-        # would begin at one, and its peer take its frames for repeated.
+        # All links share one counter. With a counter for each link, a link
+        # that was closed and opened again would begin at one, and the peer
+        # would refuse its frames as repeated.
         self._sequence += 1
         return self._sequence
 
@@ -276,12 +291,14 @@
     def _check_not_stale(self, frame: Frame, now_s: float) -> None:
         last = self._last_frames.get(frame.sender)
         if frame.echo_incarnation not in (0, self.incarnation):
-            # Recorded before our restart, or the peer has yet to notice
-            # it. Our link tells it; what it sends from then on is taken.
+            # The frame was sent before this process restarted, or the peer
+            # has not noticed the restart yet. The first frame on the link
+            # informs the peer; its later frames are accepted.
             if last is None:
                 newest = (frame.incarnation, frame.sequence)
                 if frame.sender not in self._unconfirmed:
-                    # Told at once; the first heartbeat is half a second on.
+                    # This informs the peer at once; the first heartbeat of
+                    # the link would follow half a second later.
                     self.send(frame.sender, Heartbeat())
                 self._unconfirmed[frame.sender] = newest
             self._link(frame.sender)
@@ -323,20 +340,20 @@
         try:
             self._handler(sender, message)
         except Exception:
-            # A message that another release understands otherwise must not
-            # end this process, nor the next one the same way; the log has
-            # the place, the counter the alert.
+            # A message from another release that the handler cannot process
+            # must not end this process, nor every process that receives it.
+            # The log shows the traceback, and the counter raises the alert.
             self.counters.faults += 1
-            LOG.exception("message not handled", extra={"peer": sender})
+            LOG.exception("message handler failed", extra={"peer": sender})
 
     def _handle_relayed(self, sender: str, message: Relayed) -> None:
-        """Pass a message on, or take one that was passed on to here."""
+        """Deliver a message relayed to this process, or forward one."""
         if message.passed and message.target == self.address:
             self._relays.record(message.origin, sender, boottime_s())
             self._deliver(message.origin, message.code, message.body)
         elif not message.passed and message.origin == sender:
-            # Passed on once only: two that each take the other for the way
-            # would send it to and fro without end.
+            # A message is forwarded only once: two processes that use each
+            # other as the relay would exchange it in an endless loop.
             self.counters.relayed += 1
             forwarded = message._replace(passed=True)
             self.send_directly(message.target, forwarded)
@@ -345,11 +362,11 @@
 
 
 def _remote_host(pipe: Any) -> str:
-    """Return the IP of a connection; its port changes with each one."""
+    """Return the IP address of a connection, without its changing port."""
     try:
         return str(pipe.remote_address).rpartition(":")[0]
     except (AttributeError, pynng.NNGException):
-        # The connection is closed already.
+        # The connection is already closed.
         return "unknown"
 
 
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
@@ -1,4 +1,4 @@
-"""Every message between the system's own processes, as typed data."""
+"""The messages between the system's own processes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Heartbeat(NamedTuple):
-    """Keeps a link's echo moving while nothing else is sent."""
+    """Carries a link's echo while no other message is sent."""
 
 
 class LeaseRequest(NamedTuple):
-    """An entry asks its control process for a configuration lease.
+    """A request of an entry to its control process for a lease.
 
-    ``sent_at_s`` is the entry's own clock and comes back in the grant,
-    which counts from there. ``sequence`` counts the entry's requests.
+    ``sent_at_s`` is the entry's own clock. The grant returns it, and the
+    lease is counted from it. ``sequence`` counts the entry's requests.
     """
 
     address: EntryAddress
@@ -28,7 +28,7 @@
 
 
 class LeaseGrantMessage(NamedTuple):
-    """A lease of ``length_s`` counted from the request's ``sent_at_s``."""
+    """A lease of ``length_s`` from the request's ``sent_at_s`` on."""
 
     sent_at_s: float
     length_s: float
@@ -36,16 +36,16 @@
 
 
 class EntryCount(NamedTuple):
-    """How many entries there are, told with each lease.
+    """The number of entries, sent with each lease.
 
-    What all entries may add together is divided by it.
+    Each entry divides the limits that all entries share by this number.
     """
 
     entries: int
 
 
 class LeaseDenied(NamedTuple):
-    """No lease now, and the control processes that may give one."""
+    """The refusal of a lease, with control processes that may grant one."""
 
     sent_at_s: float
     reason: str
@@ -53,9 +53,9 @@
 
 
 class ConfigurationPush(NamedTuple):
-    """A revision for an entry to apply and acknowledge.
+    """A configuration revision for an entry to apply and acknowledge.
 
-    ``packed`` is made once for all entries by `pack_configuration`.
+    `pack_configuration` encodes ``packed`` once for all entries.
     """
 
     revision: int
@@ -63,38 +63,38 @@
 
 
 class TableUpdate(NamedTuple):
-    """Encoded changes of a table of soft state, such as backend servers."""
+    """Encoded changes of a soft-state table, such as the backend servers."""
 
     table: str
     payload: bytes
 
 
 class TableResync(NamedTuple):
-    """Asks for the whole table, after a gap in its changes."""
+    """A request for a whole table after a gap in its updates."""
 
     table: str
 
 
 class AnnouncementRelay(NamedTuple):
-    """A backend server's announcement, from an entry to its control."""
+    """A backend server's announcement, relayed by an entry to control."""
 
     announcement: Announcement
 
 
 class AddressList(NamedTuple):
-    """Addresses that callers may use, most useful first."""
+    """Entry addresses for callers, in order of preference."""
 
     addresses: tuple[EntryAddress, ...]
 
 
 class ControlList(NamedTuple):
-    """The voters' peer addresses, the nearest to the entry first."""
+    """The voters' peer addresses, those nearest to the entry first."""
 
     addresses: tuple[str, ...]
 
 
 class LedgerBatch(NamedTuple):
-    """Records of one ledger shard, encoded by the state package."""
+    """A command for one ledger shard, encoded by the state package."""
 
     call_id: int
     shard: int
@@ -102,7 +102,7 @@
 
 
 class ProposalForward(NamedTuple):
-    """A command for a group's leader, from another control process."""
+    """A command that a control process forwards to a group's leader."""
 
     call_id: int
     group: int
@@ -110,7 +110,7 @@
 
 
 class CallReply(NamedTuple):
-    """The answer to a call; ``failure`` is empty on success."""
+    """The reply to a call; ``failure`` is empty on success."""
 
     call_id: int
     failure: str
@@ -118,7 +118,7 @@
 
 
 class ReplicaPayload(NamedTuple):
-    """Bytes of the replicated log between two voters of a group."""
+    """An encoded message of the replicated log between voters of a group."""
 
     group: int
     sender: str
@@ -126,7 +126,10 @@
 
 
 class ControlLeaseRequest(NamedTuple):
-    """A control process asks the leader for the lease it grants from."""
+    """A request of a control process to the leader for a lease.
+
+    The control process grants leases to entries only within this lease.
+    """
 
     control: str
     sent_at_s: float
@@ -135,7 +138,7 @@
 
 
 class Query(NamedTuple):
-    """A question that only the leader can answer, as encoded fields."""
+    """A query that only the leader can answer, with encoded fields."""
 
     call_id: int
     kind: str
@@ -143,7 +146,7 @@
 
 
 class ControlLeaseGranted(NamedTuple):
-    """The leader's lease to a control process."""
+    """The leader's grant of a lease to a control process."""
 
     sent_at_s: float
     length_s: float
@@ -151,9 +154,9 @@
 
 
 class SampleReport(NamedTuple):
-    """What a VM saw of versions since its last report, as encoded rows.
+    """A VM's samples of versions since its last report, as encoded rows.
 
-    ``sequence`` grows with each report, so that a doubled one is dropped.
+    ``sequence`` increases with each report, so that duplicates are dropped.
     """
 
     vm: str
@@ -164,16 +167,17 @@
 
 
 class SharedRatings(NamedTuple):
-    """Ratings that other entries were given since the last such message."""
+    """Ratings that other entries received since the previous message."""
 
     ratings: tuple[RatingCount, ...]
 
 
 class SessionsStay(NamedTuple):
-    """Sessions that go on with the version in use during a roll-out's step.
+    """Sessions that keep the version in use during a step of a roll-out.
 
-    Entries tell their control process, which tells all the others. The step is
-    that of ``version`` of ``service``.
+    An entry sends them to its control process, which forwards them to all
+    others. ``step`` is a step of the roll-out of ``version`` of ``service``.
+    ``places`` are the places of the sessions, by which a step selects them.
     """
 
     service: str
@@ -183,9 +187,9 @@
 
 
 class ArrivalTrade(NamedTuple):
-    """What an entry gives to its control process's pool, and asks of it.
+    """Arrivals that an entry gives to its control's pool, or asks from it.
 
-    By service, in arrivals; ``number`` comes back in the answer.
+    Both are counted by service. The reply returns ``number``.
     """
 
     number: int
@@ -194,17 +198,20 @@
 
 
 class ArrivalsLent(NamedTuple):
-    """What the pool lends to the entry that sent a trade."""
+    """Arrivals that the pool lends to an entry, by service.
+
+    ``number`` is that of the entry's `ArrivalTrade`.
+    """
 
     number: int
     lent: dict[str, float]
 
 
 class Relayed(NamedTuple):
-    """A message between two processes that are cut off from each other.
+    """A message between two processes that cannot reach each other.
 
-    ``origin`` sends it to a third process, which passes it on to
-    ``target`` with ``passed`` set; it is passed on once and no further.
+    ``origin`` sends it to a relay, which forwards it to ``target`` with
+    ``passed`` set. A message is forwarded only once.
     """
 
     origin: str
@@ -215,7 +222,7 @@
 
 
 class JoinRequest(NamedTuple):
-    """A control process with a new disk asks to be a learner."""
+    """A request of a control process with a new disk to join as a learner."""
 
     call_id: int
     member_id: str
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/refusals.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/refusals.py
@@ -1,4 +1,4 @@
-"""Frames that were refused: counted by kind, logged as a change of state."""
+"""Counts refused frames by reason and logs the peers that send them."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from typing import Final
 
 LOG: Final = logging.getLogger(__name__)
-# A peer that keeps sending bad frames is logged when it begins, and again
-# only after it has sent none for this long.
+# A peer that keeps sending bad frames is logged once, and again only if it
+# resumes after it has sent none for this long.
 QUIET_S: Final = 60.0
-# Whoever can connect can make a new peer with each connection; past this
-# many, refusals are only counted.
+# Anyone who can connect can use a new peer name for each frame. With this
+# many peers in the table, refusals of further peers are only counted.
 MAX_PEERS: Final = 512
 
 
 class Refusal(StrEnum):
-    """Why a frame was not acted on."""
+    """The reason why a frame was refused."""
 
     KEY = "no valid key fits"
     UNREADABLE = "cannot be read"
@@ -27,14 +27,18 @@
 
 
 class Refusals:
-    """Counts refused frames and remembers whose are being refused."""
+    """Counts refused frames and tracks the peers that send them."""
 
     def __init__(self) -> None:
         self.counts: dict[Refusal, int] = dict.fromkeys(Refusal, 0)
         self._last_s: dict[tuple[str, Refusal], float] = {}
 
     def add(self, kind: Refusal, peer: str, now_s: float) -> None:
-        """Count a frame; log if this peer's were not refused lately."""
+        """Count a refused frame.
+
+        The peer is logged unless one of its frames was refused for the
+        same reason within `QUIET_S`.
+        """
         self.counts[kind] += 1
         state = (peer, kind)
         last_s = self._last_s.get(state)
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/relays.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/relays.py
@@ -1,14 +1,14 @@
-"""Ways around a cut between two processes, through a third one.
+"""Routes messages around a network partition through a third process.
 
-What it answers: an entry is cut off from every control process, while
-other entries reach both. Its lease runs out within seconds and it refuses
-work, although everything it needs is two steps away; with several entries
-of a data centre cut off, its callers find nobody. A third process passes
-messages on, unread, and answers come back the same way.
+An entry may lose its connections to all control processes while other
+entries reach both sides. Without relays its lease would expire within
+seconds and it would refuse work; if this happens to several entries of a
+data centre, its callers find no entry. A third process therefore forwards
+messages without reading them, and replies return the same way.
 
-It changes nothing of what a lease promises: the holder counts from when it
-sent its request, so the longer way only shortens it, and the granter
-grants to the same entry as ever.
+Relays do not weaken leases. The holder counts a lease from the time when it
+sent the request, so the longer route only shortens the lease, and the
+control process grants it to the same entry as on the direct route.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from typing import Final
 from typing import NamedTuple
 
-# Somewhat more than a heartbeat's interval: then the direct way is taken
-# to be cut. Wrongly guessed, a message takes the longer way and arrives.
+# The direct route counts as broken after this silence, which is somewhat
+# longer than the heartbeat interval. If it still works, messages take the
+# longer route and arrive nevertheless.
 DIRECT_SILENCE_S: Final = 0.7
-# A way that nothing has come by for so long is forgotten; the peer that
-# is cut off renews its lease three times in it.
+# A relay is dropped if no message has arrived through it for this long. The
+# partitioned peer renews its lease three times within this time.
 RELAY_TIMEOUT_S: Final = 1.5
 
 
@@ -30,21 +31,21 @@
 
 
 class Relays:
-    """Through whom each peer was last heard that is not heard directly."""
+    """The relay through which each peer was last heard."""
 
     def __init__(self) -> None:
         self._relays: dict[str, _Relay] = {}
 
     def record(self, origin: str, relay: str, now_s: float) -> None:
-        """Note that a message of a peer came through another one."""
+        """Record that a message of ``origin`` arrived through ``relay``."""
         self._relays[origin] = _Relay(relay, now_s)
 
     def relay_for(
         self, address: str, silence_s: float, now_s: float
     ) -> str | None:
-        """Return who passes messages on to a peer, None to send directly.
+        """Return the relay to a peer, None to send directly.
 
-        ``unheard_s`` is for how long nothing came from the peer directly.
+        ``silence_s`` is the time since the peer's last direct message.
         """
         relay = self._relays.get(address)
         if relay is None:
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/tls.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/tls.py
@@ -1,4 +1,4 @@
-"""Connections under TLS where both ends show a certificate."""
+"""Mutual TLS: both ends of a connection present a certificate."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-# The name in every process's certificate. nng compares it with the names
-# in a certificate only, not with its IP numbers, so there is one for all;
-# the frames say which process it is.
+# The name in every process's certificate. nng compares it only with the
+# names in a certificate, not with its IP addresses, so all processes share
+# one name. The frames identify the process.
 CERTIFICATE_NAME: Final = "sycamorestand"
 PLAIN_SCHEME: Final = "tcp"
 TLS_SCHEME: Final = "tls+tcp"
 
 
 class TlsIdentity(NamedTuple):
-    """An authority, and a process's certificate and key, as PEM texts."""
+    """The authority and a process's certificate and key, in PEM format."""
 
     authority: str
     certificate: str
     key: str
 
     def __repr__(self) -> str:
-        # A key must not get into a log with the settings that hold it.
+        # The repr may be logged with the settings; it must not show the key.
         return "TlsIdentity(...)"
 
 
 def read_tls_identity(
     authority_file: Path, certificate_file: Path, key_file: Path
 ) -> TlsIdentity:
-    """Read and check three PEM files; raises `TlsFileError`.
+    """Return the identity in three PEM files.
 
-    All that could keep a handshake from working is looked at here: a bad
-    file would else show as peers that stay silent.
+    Raises `TlsFileError` if a file cannot be used for a handshake. Without
+    these checks an invalid file would only show as peers that are silent.
     """
     try:
         texts = [
@@ -58,19 +58,22 @@
 
 
 def secure_listener(socket: pynng.Socket, identity: TlsIdentity) -> None:
-    """Let a socket accept only peers with a certificate of the authority."""
+    """Make a socket accept only peers with a certificate of the authority."""
     socket.tls_config = _config(pynng.TLSConfig.MODE_SERVER, identity)
 
 
 def secure_dialer(socket: pynng.Socket, identity: TlsIdentity) -> None:
-    """Let a socket dial only processes of this cluster."""
+    """Make a socket connect only to processes of this cluster.
+
+    Their certificate must be of the authority and for `CERTIFICATE_NAME`.
+    """
     config = _config(pynng.TLSConfig.MODE_CLIENT, identity)
     config.set_server_name(CERTIFICATE_NAME)
     socket.tls_config = config
 
 
 def url(address: str, identity: TlsIdentity | None) -> str:
-    """Return what nng listens on or dials."""
+    """Return the URL that nng listens on or dials."""
     scheme = PLAIN_SCHEME if identity is None else TLS_SCHEME
     return f"{scheme}://{address}"
 
@@ -94,8 +97,8 @@
 
 def _check_pair(certificate: Path, key: Path) -> None:
     try:
-        # Without a password an encrypted key would be asked for on the
-        # terminal, and the process wait for ever.
+        # Without a password argument, OpenSSL would prompt for the password
+        # of an encrypted key on the terminal and block the process.
         _empty_context().load_cert_chain(certificate, key, password="")
     except (ssl.SSLError, OSError):
         raise TlsFileError(
