--- a/packages/sycamorestand-peer/tests/conftest.py
+++ b/packages/sycamorestand-peer/tests/conftest.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def until() -> Callable[[Callable[[], object]], Awaitable[None]]:
-    """Wait until a condition holds; fail the test after ten seconds."""
+    """Return a function that waits up to ten seconds for a condition."""
 
     async def wait(condition: Callable[[], object]) -> None:
         with anyio.fail_after(WAIT_S):
--- a/packages/sycamorestand-peer/tests/cut_off_process.py
+++ b/packages/sycamorestand-peer/tests/cut_off_process.py
@@ -1,7 +1,8 @@
-"""A process with links or a listener that `test_native_faults` disturbs.
+"""A process whose links or listener `test_native_faults` disturbs.
 
 Run as a program: ``dial PORT...`` keeps a link to each port busy,
-``listen PORT`` serves a mesh there. It ends with its standard input.
+``listen PORT`` serves a mesh on the port. The process ends when its
+standard input is closed.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 
 KEY = b"k" * 32
 IDLE_S = 3_600.0
-# The product waits a tenth of a second; a thousand times as many
-# disturbances are met in the same time.
+# The product waits at least a tenth of a second. With this value a thousand
+# times as many connections are disturbed in the same time.
 RECONNECT_MS = 1
 
 
--- a/packages/sycamorestand-peer/tests/test_key_file.py
+++ b/packages/sycamorestand-peer/tests/test_key_file.py
@@ -1,4 +1,4 @@
-"""Key files that change under a running process."""
+"""Key files that change while a process runs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class KeyFileHarness:
-    """A key file and the clock that says when it is looked at."""
+    """A key file and the clock that decides when it is checked."""
 
     def __init__(self, path: Path, *keys: bytes) -> None:
         self.path = path
@@ -38,7 +38,7 @@
         self.keys = KeyFile(path, self.clock)
 
     def write(self, *keys: bytes) -> None:
-        """Replace the file in one step, as the operators' page says."""
+        """Replace the file atomically, as operators are told to."""
         fresh = self.path.with_suffix(".new")
         fresh.write_bytes(b"\n".join(keys))
         fresh.rename(self.path)
@@ -49,11 +49,11 @@
 
 
 class TestKeyFile:
-    def test_a_change_is_seen_at_the_next_look(self, tmp_path: Path) -> None:
-        held = KeyFileHarness(tmp_path / "keys", OLD)
-        held.write(NEW, OLD)
-        assert held.keys() == (OLD,)
-        assert held.check() == (NEW, OLD)
+    def test_a_change_is_read_at_the_next_check(self, tmp_path: Path) -> None:
+        key_file = KeyFileHarness(tmp_path / "keys", OLD)
+        key_file.write(NEW, OLD)
+        assert key_file.keys() == (OLD,)
+        assert key_file.check() == (NEW, OLD)
 
     @pytest.mark.parametrize("content", [None, b"", b"short", b"x" * 65])
     def test_a_bad_file_keeps_the_last_good_keys(
@@ -62,26 +62,25 @@
         caplog: pytest.LogCaptureFixture,
         content: bytes | None,
     ) -> None:
-        """A copy to one VM fails halfway, or an editor leaves rubbish.
+        """A file that is missing or invalid must not make peers be refused.
 
-        The process goes on with the keys that it has, so no peer is
-        refused. It counts each bad look and logs once; a mended file is
-        taken at the next look.
+        The process keeps its last valid keys, counts each failed check and
+        logs once. A repaired file is used from the next check on.
         """
         caplog.set_level(logging.INFO)
-        held = KeyFileHarness(tmp_path / "keys", OLD)
+        key_file = KeyFileHarness(tmp_path / "keys", OLD)
         if content is None:
-            held.path.unlink()
+            key_file.path.unlink()
         else:
-            held.write(content)
-        assert [held.check() for _ in range(3)] == [(OLD,)] * 3
-        assert held.keys.failures == 3
-        held.write(NEW)
-        assert held.check() == (NEW,)
+            key_file.write(content)
+        assert [key_file.check() for _ in range(3)] == [(OLD,)] * 3
+        assert key_file.keys.failures == 3
+        key_file.write(NEW)
+        assert key_file.check() == (NEW,)
         levels = [record.levelname for record in caplog.records]
         assert levels == ["WARNING", "INFO"]
 
-    def test_no_first_keys_is_an_error_without_the_key(
+    def test_the_error_for_an_invalid_first_file_does_not_show_the_key(
         self, tmp_path: Path
     ) -> None:
         path = tmp_path / "keys"
@@ -93,39 +92,39 @@
 
 class TestRotation:
     @pytest.mark.anyio
-    async def test_no_message_is_refused_while_keys_move(
+    async def test_no_message_is_refused_during_a_key_rotation(
         self, tmp_path: Path, until: Any
     ) -> None:
-        """An operator rotates the cluster key of two running processes.
+        """A key rotation must not interrupt messages between processes.
 
-        The new key goes behind the old one, then to the front, then the
-        old one goes, on one process before the other each time. Messages
-        flow both ways after every single step and none is refused.
+        The new key is added behind the old one, moved to the front, and
+        then the old one is removed, each time on one process before the
+        other. After each step messages must arrive in both directions.
         """
-        held = [
+        key_files = [
             KeyFileHarness(tmp_path / name, OLD) for name in ("one", "two")
         ]
         received: list[list[Any]] = [[], []]
         meshes = [
             PeerMesh(
                 free_address(),
-                file.keys,
-                lambda sender, message, taken=taken: taken.append(message),
+                key_file.keys,
+                lambda sender, message, inbox=inbox: inbox.append(message),
             )
-            for file, taken in zip(held, received, strict=True)
+            for key_file, inbox in zip(key_files, received, strict=True)
         ]
         async with anyio.create_task_group() as tasks:
             for mesh in meshes:
                 await tasks.start(mesh.run)
             for keys in ((OLD, NEW), (NEW, OLD), (NEW,)):
-                for file in held:
-                    file.write(*keys)
-                    file.check()
-                    for taken in received:
-                        taken.clear()
+                for key_file in key_files:
+                    key_file.write(*keys)
+                    key_file.check()
+                    for inbox in received:
+                        inbox.clear()
                     meshes[0].send(meshes[1].address, AddressList(()))
                     meshes[1].send(meshes[0].address, AddressList(()))
                     await until(lambda: all(received))
             tasks.cancel_scope.cancel()
         assert [mesh.counters.refused for mesh in meshes] == [0, 0]
-        assert [file.keys() for file in held] == [(NEW,), (NEW,)]
+        assert [key_file.keys() for key_file in key_files] == [(NEW,), (NEW,)]
--- a/packages/sycamorestand-peer/tests/test_link.py
+++ b/packages/sycamorestand-peer/tests/test_link.py
@@ -1,4 +1,4 @@
-"""What waits at a link while its peer cannot be reached."""
+"""The queue of a link while its peer cannot be reached."""
 
 from __future__ import annotations
 
@@ -27,36 +27,36 @@
 
 
 def push(revision: int) -> ConfigurationPush:
-    """Return a configuration as large as one of a thousand routes."""
+    """Return a push as large as a configuration of a thousand routes."""
     return ConfigurationPush(revision, bytes(PUSH_BYTES))
 
 
 class TestSlowPeer:
-    def test_only_the_newest_configuration_waits(self) -> None:
-        """All entries are back after a loss of power, over slow links.
+    def test_only_the_newest_configuration_stays_queued(self) -> None:
+        """Repeated requests must not fill the queue with configurations.
 
-        Each renewal that comes before the first push has gone out asks for
-        it again. Every copy kept, each entry's queue may hold up to 4 MB.
-        One newest copy is all that an entry needs.
+        After a power loss all entries reconnect over slow links, and each
+        lease renewal requests the configuration until it has arrived. If
+        every copy were kept, the queue of each entry could grow to 4 MB.
         """
         link = make_link()
         link.queue(Heartbeat())
         for revision in range(1, PUSHES + 1):
             link.queue(push(revision))
-        whole_bytes = link.queued_bytes
+        bytes_before = link.queued_bytes
         batch = link.take_batch()
         revisions = [
             decode(code, body).revision for code, body in batch if code == 5
         ]
         assert revisions == [PUSHES]
-        assert whole_bytes < 2 * max(len(body) for _, body in batch)
+        assert bytes_before < 2 * max(len(body) for _, body in batch)
         assert link.queued_bytes == 0
 
-    def test_what_went_out_does_not_hold_the_next_one_back(self) -> None:
-        """A push was sent and lost with the connection of a killed entry.
+    def test_a_sent_configuration_does_not_prevent_a_second_one(self) -> None:
+        """A push that was lost with its connection must be sent again.
 
-        The entry is back and asks again; the new push waits to be sent,
-        whatever became of the one before.
+        An entry is killed while a push is sent to it, restarts and requests
+        the configuration again.
         """
         link = make_link()
         link.queue(push(1))
--- a/packages/sycamorestand-peer/tests/test_mesh.py
+++ b/packages/sycamorestand-peer/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Two processes' meshes on loopback, in one event loop."""
+"""The meshes of two processes on loopback, in one event loop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 NEVER_MS = 60_000
 
 
-class Node:
+class Process:
     def __init__(
         self, key: bytes = KEY, address: str = "", listen: str = ""
     ) -> None:
@@ -46,7 +46,7 @@
 class TestMesh:
     @pytest.mark.anyio
     async def test_a_call_is_answered(self) -> None:
-        one, two = Node(), Node()
+        one, two = Process(), Process()
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             await tasks.start(two.mesh.run)
@@ -61,15 +61,15 @@
     async def test_a_peer_with_another_key_is_refused_and_counted(
         self, until: Any
     ) -> None:
-        """A process that does not know the cluster key sends a message.
+        """A process without the cluster key must not reach the handler.
 
-        Nothing of it reaches the handler, the refusal is counted, and the
-        next message of a true peer is served.
+        Its frame is refused and counted, and the next message of a valid
+        peer is delivered.
         """
-        one, two, stranger = Node(), Node(), Node(key=b"s" * 32)
+        one, two, stranger = Process(), Process(), Process(key=b"s" * 32)
         async with anyio.create_task_group() as tasks:
-            for node in (one, two, stranger):
-                await tasks.start(node.mesh.run)
+            for process in (one, two, stranger):
+                await tasks.start(process.mesh.run)
             stranger.mesh.send(two.mesh.address, AddressList(()))
             await until(lambda: two.mesh.counters.refused > 0)
             assert two.received == []
@@ -78,13 +78,13 @@
             tasks.cancel_scope.cancel()
 
     @pytest.mark.anyio
-    async def test_garbage_is_counted_and_the_next_message_served(
+    async def test_invalid_bytes_are_refused_and_the_next_message_delivered(
         self, until: Any
     ) -> None:
-        """A stranger writes bytes that are no frame at all."""
+        """Bytes that are not a frame must not stop the listener."""
         import pynng
 
-        one, two = Node(), Node()
+        one, two = Process(), Process()
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             await tasks.start(two.mesh.run)
@@ -97,40 +97,44 @@
             tasks.cancel_scope.cancel()
 
     @pytest.mark.anyio
-    async def test_a_restarted_peer_is_heard_at_once(self, until: Any) -> None:
-        """A peer restarts on its address and counts frames from one.
+    async def test_frames_of_a_restarted_peer_are_accepted_at_once(
+        self, until: Any
+    ) -> None:
+        """Frames of a restarted peer must not be refused as repeated.
 
-        Its new incarnation is larger, so its low sequence numbers are not
-        taken for doubled frames of its earlier life.
+        The peer restarts on its address and numbers its frames from one
+        again, but with a larger incarnation.
         """
-        one = Node()
+        one = Process()
         address = free_address()
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             for _ in range(2):
                 before = len(one.received)
-                node = Node(address=address)
-                async with anyio.create_task_group() as life:
-                    await life.start(node.mesh.run)
-                    node.mesh.send(one.mesh.address, AddressList(()))
+                process = Process(address=address)
+                async with anyio.create_task_group() as process_tasks:
+                    await process_tasks.start(process.mesh.run)
+                    process.mesh.send(one.mesh.address, AddressList(()))
                     await until(lambda n=before: len(one.received) > n)
-                    life.cancel_scope.cancel()
+                    process_tasks.cancel_scope.cancel()
             tasks.cancel_scope.cancel()
 
     @pytest.mark.anyio
-    async def test_a_handler_that_fails_ends_nothing(self, until: Any) -> None:
-        """A peer of another release sends what this one cannot handle.
+    async def test_an_error_in_the_handler_does_not_stop_the_mesh(
+        self, until: Any
+    ) -> None:
+        """A peer of another release sends a message that raises an error.
 
-        The fault is counted and logged; the next message is served.
+        The error is counted and logged; the next message is delivered.
         """
-        one, two = Node(), Node()
-        handled = two.mesh._handler
+        one, two = Process(), Process()
+        handler = two.mesh._handler
         faults = [ValueError("another release")]
 
         def fail_once(sender: str, message: Any) -> None:
             if faults:
                 raise faults.pop()
-            handled(sender, message)
+            handler(sender, message)
 
         two.mesh._handler = fail_once
         async with anyio.create_task_group() as tasks:
@@ -143,8 +147,8 @@
             tasks.cancel_scope.cancel()
 
     @pytest.mark.anyio
-    async def test_no_answer_is_a_timeout(self) -> None:
-        one = Node()
+    async def test_a_call_without_a_reply_raises_a_timeout(self) -> None:
+        one = Process()
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             with pytest.raises(PeerTimeout):
@@ -155,65 +159,66 @@
 
 
 class TestRestart:
-    """A heartbeat and a redial of their own would come too late here."""
+    """Peers react to a restart before the next heartbeat or redial."""
 
     @pytest.mark.anyio
-    async def test_a_peer_that_does_not_know_of_it_is_told_at_once(
+    async def test_a_peer_that_missed_the_restart_is_informed_at_once(
         self, until: Any, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A process restarts while its peer goes on sending.
+        """Messages are lost until a peer knows that a process restarted.
 
-        The peer's frames are meant for the process of before and are
-        refused, until it hears of the new one. That must not wait for the
-        next heartbeat: what is sent meanwhile is lost.
+        The peer keeps sending frames to the earlier incarnation, and they
+        are refused until it receives a frame from the new one. That frame
+        must not wait for the next heartbeat.
         """
         monkeypatch.setattr(LINK + "HEARTBEAT_INTERVAL_S", NEVER_S)
-        one, two = Node(), Node()
-        before = Frame(
+        one, two = Process(), Process()
+        stale_frame = Frame(
             two.mesh.address, one.mesh.address, 1, 1, 7, 7, ((1, b""),)
         )
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             await tasks.start(two.mesh.run)
-            one.mesh._handle_frame(seal(before, KEY), None)
+            one.mesh._handle_frame(seal(stale_frame, KEY), None)
             await until(lambda: two.mesh.counters.frames_received)
             tasks.cancel_scope.cancel()
 
     @pytest.mark.anyio
-    async def test_its_peers_dial_anew_at_once(
+    async def test_peers_of_a_restarted_process_redial_at_once(
         self, until: Any, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A process was away for so long that nobody dials it often.
+        """Peers must not wait for their backoff once a process is back.
 
-        It comes back and says so. Its peers must not wait for their next
-        attempt: a voter or an entry would be without answers meanwhile.
+        The process was unreachable for so long that its peers seldom dial
+        it. When it sends a frame they reconnect; until then a voter or an
+        entry would get no replies.
         """
         monkeypatch.setattr(LINK + "RECONNECT_MS", NEVER_MS)
         monkeypatch.setattr(LINK + "RECONNECT_MAX_MS", NEVER_MS)
         monkeypatch.setattr(LINK + "HEARTBEAT_INTERVAL_S", NEVER_S)
         monkeypatch.setattr(HEALTH + "SILENCE_BOUND_S", NEVER_S)
-        one, two = Node(), Node()
+        one, two = Process(), Process()
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
-            async with anyio.create_task_group() as first_life:
-                await first_life.start(two.mesh.run)
+            async with anyio.create_task_group() as first_tasks:
+                await first_tasks.start(two.mesh.run)
                 one.mesh.send(two.mesh.address, AddressList(()))
                 await until(lambda: two.received)
                 two.mesh.send(one.mesh.address, AddressList(()))
                 await until(lambda: one.received)
-                first_life.cancel_scope.cancel()
+                first_tasks.cancel_scope.cancel()
             await until(lambda: is_free(two.mesh.address))
-            again = Node(address=two.mesh.address)
-            await tasks.start(again.mesh.run)
-            again.mesh.send(one.mesh.address, AddressList(()))
+            restarted = Process(address=two.mesh.address)
+            await tasks.start(restarted.mesh.run)
+            restarted.mesh.send(one.mesh.address, AddressList(()))
             await until(lambda: len(one.received) == 2)
             one.mesh.send(two.mesh.address, AddressList(()))
-            await until(lambda: again.received)
+            await until(lambda: restarted.received)
             tasks.cancel_scope.cancel()
 
 
 def is_free(address: str) -> bool:
-    """Tell whether the socket that listened there is closed for good."""
+    """Return whether no socket listens on the address any more."""
     host, _, port = address.rpartition(":")
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -225,7 +230,7 @@
 
 
 class _DroppingProxy:
-    """A TCP hop that can lose track of the connections open now."""
+    """A TCP proxy that can silently drop the data of open connections."""
 
     def __init__(self, target: str) -> None:
         self.address = free_address()
@@ -250,11 +255,11 @@
         host, port = self._target.split(":")
         async with (
             client,
-            await anyio.connect_tcp(host, int(port)) as upstream,
+            await anyio.connect_tcp(host, int(port)) as server,
             anyio.create_task_group() as tasks,
         ):
-            tasks.start_soon(self._copy, client, upstream, number)
-            await self._copy(upstream, client, number)
+            tasks.start_soon(self._copy, client, server, number)
+            await self._copy(server, client, number)
 
     async def _copy(self, source: Any, sink: Any, number: int) -> None:
         try:
@@ -267,26 +272,24 @@
 
 class TestSilentConnection:
     @pytest.mark.anyio
-    async def test_a_connection_gone_silent_is_dialled_anew(
-        self, until: Any
-    ) -> None:
-        """Something between two processes loses track of a connection.
+    async def test_a_silent_connection_is_replaced(self, until: Any) -> None:
+        """A connection that loses data without an error must be replaced.
 
-        Sends go on without an error and nothing arrives. The sender sees
-        that its frames are no longer echoed, closes the connection and
-        dials a new one, which works; messages arrive again.
+        A device between two processes loses the state of the connection:
+        sends succeed but nothing arrives. The sender notices that its
+        frames are no longer echoed and opens a new connection.
         """
         listen = free_address()
-        gate = _DroppingProxy(listen)
-        one, two = Node(), Node(address=gate.address, listen=listen)
+        proxy = _DroppingProxy(listen)
+        one, two = Process(), Process(address=proxy.address, listen=listen)
         async with anyio.create_task_group() as tasks:
             await tasks.start(one.mesh.run)
             await tasks.start(two.mesh.run)
-            await tasks.start(gate.run)
-            one.mesh.send(gate.address, AddressList(()))
+            await tasks.start(proxy.run)
+            one.mesh.send(proxy.address, AddressList(()))
             await until(lambda: len(two.received) == 1)
-            gate.drop_open_connections()
+            proxy.drop_open_connections()
             await until(lambda: one.mesh.counters.redials > 0)
-            one.mesh.send(gate.address, AddressList(()))
+            one.mesh.send(proxy.address, AddressList(()))
             await until(lambda: len(two.received) > 1)
             tasks.cancel_scope.cancel()
--- a/packages/sycamorestand-peer/tests/test_native_faults.py
+++ b/packages/sycamorestand-peer/tests/test_native_faults.py
@@ -1,4 +1,4 @@
-"""Connections that end in every way must not end the process."""
+"""Connections that are reset or closed must not crash the process."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 import time
 
 PROGRAM = Path(__file__).with_name("cut_off_process.py")
-# A send on a socket that lists a closed connection ended the process once
-# in some thousand disturbances; so many leave a chance of one in a hundred
-# that such a fault goes by unseen.
+# A send on a socket that still lists a closed connection crashed the process
+# about once in some thousand disturbances. With this number of disturbances
+# such a fault stays undetected in one of a hundred runs.
 DISTURBANCES = 6_000
 PORTS = 6
 WAIT_S = 120.0
-# What both ends of an nng connection say first: the protocol's number.
+# Both ends of an nng connection first send the number of the protocol.
 PAIR1 = 0x11
 HANDSHAKE = struct.pack(">4sHH", b"\0SP\0", PAIR1, 0)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class FaultyPeer:
-    """Listens on a port; accepts, reads a little, resets or closes."""
+    """A listener that resets or closes each connection after a short read."""
 
     def __init__(self, seed: int, limit: int) -> None:
         self.count = 0
@@ -59,7 +59,8 @@
             if self._random.random() < 0.7:
                 reset_on_close(connection)
         except OSError:
-            # It was faster; that is one more way to end a connection.
+            # The other process closed the connection first; this counts as
+            # a disturbance as well.
             return
 
 
@@ -77,7 +78,7 @@
 
 
 def disturb_listener(port: int, seed: int, count: int) -> None:
-    """Dial, send whole, torn and no frames, then close or reset."""
+    """Dial, send a whole or partial frame or none, then close or reset."""
     random = Random(seed)
     for _ in range(count):
         try:
@@ -91,7 +92,7 @@
                 if random.random() < 0.6:
                     reset_on_close(dialled)
         except OSError:
-            # The process ended, or its queue of connections is full.
+            # The process has ended, or its listen backlog is full.
             time.sleep(0.001)
 
 
@@ -108,7 +109,7 @@
 
 
 def end(process: subprocess.Popen[str]) -> int:
-    """Return how the process ends once it is told to."""
+    """Close the process's standard input and return its exit status."""
     process.communicate(timeout=WAIT_S)
     return process.returncode
 
@@ -119,13 +120,13 @@
 
 
 class TestDisturbedConnections:
-    def test_the_process_with_the_links_lives(self) -> None:
-        """A control process is cut off while its peers are restarted.
+    def test_a_process_with_links_survives_resets(self) -> None:
+        """A reset connection must not crash the process that dialled it.
 
-        Callers see orders that nobody answers: the process is gone, and
-        with one more lost its ledger has no quorum. Connections are taken
-        and then reset or closed, at once, after the handshake or in the
-        middle of a frame; the link goes on sending while each one ends.
+        If control processes crashed while their peers restart, the ledger
+        could lose its quorum and orders would stay unanswered. Connections
+        are reset or closed at once, after the handshake or in the middle of
+        a frame, while the link keeps sending.
         """
         peers = [
             FaultyPeer(seed, DISTURBANCES // PORTS) for seed in range(PORTS)
@@ -144,11 +145,11 @@
         assert returned == 0
         assert sum(peer.count for peer in peers) == DISTURBANCES
 
-    def test_the_process_that_listens_lives(self) -> None:
-        """Peers dial and vanish in the middle of what they send.
+    def test_a_listening_process_survives_resets(self) -> None:
+        """Peers that disconnect within a frame must not crash a listener.
 
-        The listening process must take the next connection as it took the
-        first: all entries of a data centre hang on it.
+        All entries of a data centre depend on the listening process; it
+        must keep accepting connections.
         """
         port = free_port()
         process = start("listen", [port])
--- a/packages/sycamorestand-peer/tests/test_relays.py
+++ b/packages/sycamorestand-peer/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Messages that a third process passes on around a cut."""
+"""Messages that a relay forwards around a network partition."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 KEY = b"k" * 32
 
 
-class Node:
-    """A process that notes what it is sent, and answers a resync."""
+class Process:
+    """A process that records its messages and answers a resync."""
 
     def __init__(self) -> None:
         self.received: list[tuple[str, Any]] = []
@@ -34,16 +34,16 @@
 
 
 class TestRelays:
-    def test_nobody_is_needed_where_nothing_came_through_one(self) -> None:
+    def test_a_peer_never_heard_through_a_relay_has_none(self) -> None:
         assert Relays().relay_for("a:1", NEVER_S, 0.0) is None
 
-    def test_a_peer_that_is_heard_directly_needs_none(self) -> None:
+    def test_a_peer_that_is_heard_directly_has_no_relay(self) -> None:
         relays = Relays()
         relays.record("a:1", "r:1", 0.0)
         assert relays.relay_for("a:1", DIRECT_SILENCE_S, 0.1) is None
         assert relays.relay_for("a:1", DIRECT_SILENCE_S + 0.1, 0.1) == "r:1"
 
-    def test_a_way_that_nothing_comes_by_is_forgotten(self) -> None:
+    def test_an_unused_relay_expires(self) -> None:
         relays = Relays()
         relays.record("a:1", "r:1", 0.0)
         assert relays.relay_for("a:1", NEVER_S, RELAY_TIMEOUT_S + 0.1) is None
@@ -52,25 +52,25 @@
 
 class TestMesh:
     @pytest.mark.anyio
-    async def test_an_answer_comes_back_the_way_of_the_question(
+    async def test_a_reply_returns_through_the_relay_of_the_request(
         self, until: Any
     ) -> None:
-        """Two processes that never heard each other, and a third one.
+        """A reply must use the relay if the direct route is broken.
 
-        The first asks through the third. The second takes the question as
-        the first one's and answers; it has not heard the first directly,
-        so the answer goes back through the third too.
+        The first process sends a request to the second through the third.
+        The second has never heard the first directly, so its reply goes
+        through the third as well.
         """
-        first, second, third = Node(), Node(), Node()
+        first, second, third = Process(), Process(), Process()
         async with anyio.create_task_group() as tasks:
-            for node in (first, second, third):
-                await tasks.start(node.mesh.run)
-            question = TableResync("t")
+            for process in (first, second, third):
+                await tasks.start(process.mesh.run)
+            request = TableResync("t")
             first.mesh.send_through(
-                third.mesh.address, second.mesh.address, question
+                third.mesh.address, second.mesh.address, request
             )
             await until(lambda: first.received)
-            assert second.received == [(first.mesh.address, question)]
+            assert second.received == [(first.mesh.address, request)]
             assert first.received == [(second.mesh.address, AddressList(()))]
             assert third.received == []
             assert third.mesh.counters.relayed == 2
@@ -81,17 +81,18 @@
 
     @pytest.mark.anyio
     @pytest.mark.parametrize("fault", ["other origin", "passed on before"])
-    async def test_what_is_not_the_senders_own_is_not_passed_on(
+    async def test_a_relay_forwards_only_messages_of_their_sender(
         self, fault: str, until: Any
     ) -> None:
-        """Messages that two relays would send to and fro without end.
+        """A relay must not forward a message twice or for a false origin.
 
-        Or that one process sends in the name of another.
+        Two relays could otherwise exchange a message in an endless loop,
+        or a process could send messages in the name of another.
         """
-        first, third = Node(), Node()
+        first, third = Process(), Process()
         async with anyio.create_task_group() as tasks:
-            for node in (first, third):
-                await tasks.start(node.mesh.run)
+            for process in (first, third):
+                await tasks.start(process.mesh.run)
             origin = first.mesh.address
             message = Relayed(origin, "127.0.0.1:9", 10, b"", True)
             if fault == "other origin":
--- a/packages/sycamorestand-peer/tests/test_replay.py
+++ b/packages/sycamorestand-peer/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Authentic frames at the wrong time or place: recorded, sent again."""
+"""Authentic frames that are replayed later or to another process."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Process:
-    """A mesh, what it received, and a wire that recorded frames go into."""
+    """A mesh, the senders of its messages, and a way to replay frames."""
 
     def __init__(self, address: str = "", incarnation: int = 0) -> None:
         self.received: list[str] = []
@@ -46,7 +46,7 @@
         return {kind: count for kind, count in counts.items() if count}
 
     async def replay(self, *frames: bytes) -> None:
-        """Send recorded bytes and wait until all of them were judged."""
+        """Send recorded frames and wait until all are processed."""
         with pynng.Pair1(dial=f"tcp://{self.mesh.address}") as wire:
             before = self.mesh.counters.frames_received
             for frame in frames:
@@ -81,11 +81,11 @@
 
 
 class TestReplay:
-    async def test_a_frame_counts_once(self) -> None:
-        """Someone on the network records a frame and sends it again.
+    async def test_a_repeated_frame_is_refused(self) -> None:
+        """A frame that is recorded and replayed must not run twice.
 
-        The second one is authentic to the last bit and carries a request
-        that has run. It is dropped and counted; the next frame is served.
+        The copy is authentic and carries a request that has already run.
+        It is refused and counted; the next frame is delivered.
         """
         one = Process()
         async with running(one):
@@ -94,13 +94,13 @@
         assert one.received == [PEER, PEER]
         assert one.refusals() == {Refusal.REPEATED: 2}
 
-    async def test_a_frame_for_another_receiver(
+    async def test_a_frame_for_another_receiver_is_refused(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """A frame that an entry was sent is played to a control process.
+        """A frame to an entry must not be accepted by a control process.
 
-        Both know the cluster key, so only the receiver's name in the
-        frame tells. One line is logged for the peer, not one a frame.
+        Both have the cluster key, so only the receiver in the frame tells
+        them apart. One line is logged for the peer, not one for each frame.
         """
         one = Process()
         frames = [one.frame(5, n, receiver="127.0.0.1:8") for n in (1, 2, 3)]
@@ -113,25 +113,25 @@
         assert lines[0].__dict__["peer"] == PEER
 
     @pytest.mark.parametrize("silence_s", [5.0, 0.0])
-    async def test_frames_from_before_the_peer_restarted(
+    async def test_frames_from_before_the_peer_restarted_are_refused(
         self, silence_s: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A peer restarts; frames of its earlier life are played again.
+        """Frames of a peer's earlier incarnation must not be accepted.
 
-        They echo this process's own incarnation, as the peer had heard of
-        it. Also when the new life has been silent for so long that a
-        lower incarnation could be taken (a bound of 0 here), they echo
-        nothing that was sent since, and are refused.
+        They may echo the current incarnation of this process. They are
+        refused even if the new incarnation was silent for so long that a
+        lower one could be accepted (a bound of 0 here), because they echo
+        no frame that was sent since.
         """
         monkeypatch.setattr(CHANGE_BOUND, silence_s)
         one = Process()
         async with running(one):
-            ours = one.mesh.incarnation
+            own = one.mesh.incarnation
             await one.replay(one.frame(5, 1), one.frame(6, 1))
             await one.replay(
                 one.frame(5, 9),
-                one.frame(5, 10, echo=(ours, 0)),
-                one.frame(5, 11, echo=(ours - 1, 100)),
+                one.frame(5, 10, echo=(own, 0)),
+                one.frame(5, 11, echo=(own - 1, 100)),
             )
         assert one.received == [PEER, PEER]
         assert one.refusals() == {
@@ -139,14 +139,15 @@
             Refusal.RECEIVER_INCARNATION: 1,
         }
 
-    async def test_frames_from_before_this_process_restarted(
+    async def test_frames_from_before_this_process_restarted_are_refused(
         self, until: Any
     ) -> None:
-        """An entry restarts and remembers no peer; old grants are played.
+        """A restarted entry must not accept replayed lease grants.
 
-        What its peers sent to its earlier life echoes that life. It is
-        refused, a later and a first one alike, while the true peer, which
-        has yet to notice the restart too, gets through by itself.
+        It no longer knows the sequence numbers of its peers, but frames
+        that were sent to its earlier incarnation echo that incarnation and
+        are refused. The actual peer, which has not noticed the restart
+        either, gets its messages through without help.
         """
         earlier, peer = Process(), Process()
         async with running(peer):
@@ -166,15 +167,15 @@
 
 
 class TestRestart:
-    async def test_a_peer_whose_clock_was_set_back_is_heard(
+    async def test_a_peer_whose_clock_was_set_back_is_accepted(
         self, until: Any, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A VM comes back with its clock set back.
+        """A peer must not stay refused until its clock has caught up.
 
-        Its incarnation is lower than the one that its peer knows, and the
-        peer still echoes its earlier life. After the bound of silence (0
-        here) both hear each other: it echoes what the peer sent after its
-        restart. Nobody waits until the clock reaches its old time.
+        A VM restarts with its clock set back. Its incarnation is lower than
+        the one that its peer knows, and the peer still echoes the earlier
+        one. After the silence bound (0 here) both accept each other's
+        frames, because the VM echoes frames sent after its restart.
         """
         monkeypatch.setattr(CHANGE_BOUND, 0.0)
         address = free_address()
@@ -184,9 +185,9 @@
                 one.mesh.send(address, MESSAGE)
                 two.mesh.send(one.mesh.address, MESSAGE)
                 await until(lambda: one.received and two.received)
-            await self._talk(one, Process(address, incarnation=5))
+            await self._exchange(one, Process(address, incarnation=5))
 
-    async def _talk(self, one: Process, two: Process) -> None:
+    async def _exchange(self, one: Process, two: Process) -> None:
         one.received.clear()
         async with running(two):
             with anyio.fail_after(10):
@@ -195,11 +196,13 @@
                     two.mesh.send(one.mesh.address, MESSAGE)
                     await anyio.sleep(0.05)
 
-    async def test_a_link_made_anew_is_heard_at_once(self, until: Any) -> None:
-        """A link is given up as idle, and a message opens another one.
+    async def test_frames_of_a_reopened_link_are_accepted_at_once(
+        self, until: Any
+    ) -> None:
+        """Frames of a link that is closed and reopened must be accepted.
 
-        Its frames must not be numbered from one again: the peer would
-        take them for repeated ones, until their count had caught up.
+        If the new link numbered its frames from one again, the peer would
+        refuse them as repeated until the numbers had caught up.
         """
         one, two = Process(), Process()
         async with running(one, two):
@@ -213,7 +216,7 @@
 
 
 class TestRefusals:
-    async def test_logged_once_until_quiet(
+    async def test_a_peer_is_logged_once_until_it_was_quiet(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         refusals = Refusals()
@@ -222,13 +225,13 @@
         assert refusals.counts[Refusal.KEY] == 4
         assert len(caplog.records) == 2
 
-    async def test_strangers_without_number_are_only_counted(
+    async def test_the_number_of_logged_peers_is_bounded(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """Someone sends bad frames under ever new names.
+        """Bad frames under ever new names must not grow the peer table.
 
-        The table of peers stays bounded, the count goes on, and once it
-        is quiet again a new peer is logged as before.
+        Further frames are only counted. After a quiet period new peers are
+        logged again.
         """
         refusals = Refusals()
         for number in range(MAX_PEERS + 100):
--- a/packages/sycamorestand-peer/tests/test_tls.py
+++ b/packages/sycamorestand-peer/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Processes under TLS, and strangers who want to join them."""
+"""Processes that use TLS, and unauthorised processes that connect."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Authority:
-    """Certificates by the steps of docs/operators/keys.md."""
+    """Issues certificates by the steps in docs/operators/keys.md."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -82,13 +82,14 @@
         )
 
     def gave_up(self) -> bool:
-        """Tell whether a link ended without an echo from its peer."""
+        """Return whether a link gave up without an echo from its peer."""
         counters = self.mesh.counters
         return counters.dropped + counters.redials > 0
 
 
 def _other_authority(ours: Authority, others: Authority) -> TlsIdentity:
-    # It accepts our certificates, so that only ours can end the handshake.
+    # The stranger accepts certificates of `ours`, so that only the other end
+    # can refuse the handshake.
     identity = others.identity("stranger")
     return identity._replace(authority=ours.identity("x").authority)
 
@@ -125,10 +126,11 @@
     async def test_two_authorities_in_one_file_are_both_accepted(
         self, ours: Authority, others: Authority, until: Any
     ) -> None:
-        """An authority is replaced: both stand in every process's file.
+        """Replacing the authority must not interrupt messages.
 
-        A process with a new certificate and one with an old one hear each
-        other, so that they can be renewed one after the other.
+        While every process's authority file holds both authorities, a
+        process with a new certificate and one with an old certificate
+        accept each other, so that certificates can be renewed one by one.
         """
         old, new = ours.identity("old"), others.identity("new")
         both = old.authority + new.authority
@@ -146,11 +148,11 @@
     async def test_a_stranger_with_the_cluster_key_gets_nothing_through(
         self, kind: str, ours: Authority, others: Authority, until: Any
     ) -> None:
-        """Someone has got hold of the cluster key, but of no certificate.
+        """The cluster key without a valid certificate must give no access.
 
-        It sends to a process, and that one sends to it. It sees its
-        connection stay silent until it gives it up; nothing arrives on
-        either side. The next message of a true peer is served.
+        A stranger and a process send to each other. Nothing arrives on
+        either side, both links give up, and the next message of a valid
+        peer is delivered.
         """
         one, two = (Process(ours.identity(name)) for name in ("one", "two"))
         stranger = Process(STRANGERS[kind](ours, others))
@@ -167,10 +169,10 @@
             await until(lambda: one.received == [two.mesh.address])
             tasks.cancel_scope.cancel()
 
-    async def test_no_certificate_gets_nothing_through(
+    async def test_a_client_without_a_certificate_is_refused(
         self, ours: Authority, until: Any
     ) -> None:
-        """A client speaks TLS and trusts us, but shows no certificate."""
+        """A TLS client that presents no certificate must not connect."""
         one, two = (Process(ours.identity(name)) for name in ("one", "two"))
         config = pynng.TLSConfig(
             pynng.TLSConfig.MODE_CLIENT,
@@ -193,7 +195,7 @@
     async def test_a_certificate_does_not_replace_the_cluster_key(
         self, ours: Authority, until: Any
     ) -> None:
-        """A process with a good certificate has another cluster key."""
+        """A valid certificate with another cluster key must be refused."""
         one = Process(ours.identity("one"))
         stranger = Process(ours.identity("two"), key=b"s" * 32)
         async with anyio.create_task_group() as tasks:
@@ -204,13 +206,13 @@
             assert one.received == []
             tasks.cancel_scope.cancel()
 
-    async def test_a_certificate_for_another_name_is_not_served(
+    async def test_nothing_is_sent_to_a_certificate_for_another_name(
         self, ours: Authority, until: Any
     ) -> None:
-        """The authority signed a web server of the same company as well.
+        """Other servers with a certificate of the authority get no messages.
 
-        It listens in place of a process that is gone. Processes that dial
-        it see another name and send it nothing.
+        A web server of the same company listens on the address of a process
+        that no longer runs. A process that dials it refuses its name.
         """
         one = Process(ours.identity("one"))
         web = Process(ours.identity("web", "www.example"))
@@ -224,7 +226,7 @@
 
 
 class TestTlsIdentity:
-    def test_a_key_of_another_certificate_is_found(
+    def test_a_key_of_another_certificate_is_refused(
         self, ours: Authority
     ) -> None:
         authority, certificate, _ = ours.issue("one")
@@ -232,12 +234,12 @@
         with pytest.raises(TlsFileError, match="and its key"):
             read_tls_identity(authority, certificate, key)
 
-    def test_an_authority_without_a_certificate_is_found(
+    def test_an_authority_without_a_certificate_is_refused(
         self, ours: Authority
     ) -> None:
         _, certificate, key = ours.issue("one")
         with pytest.raises(TlsFileError, match="no PEM certificate"):
             read_tls_identity(key, certificate, key)
 
-    def test_its_key_is_not_shown(self, ours: Authority) -> None:
+    def test_the_repr_does_not_show_the_key(self, ours: Authority) -> None:
         assert "KEY" not in repr(ours.identity("one"))
