--- a/packages/sycamorestand-decisions/tests/test_retry.py
+++ b/packages/sycamorestand-decisions/tests/test_retry.py
@@ -6,10 +6,10 @@
 
 class TestRetryBudget:
     def test_a_failing_pool_gets_few_retries(self) -> None:
-        """Every request of every customer fails, a thousand in a second.
+        """All of a thousand requests in a second fail, for every customer.
 
-        Without a budget the pool would get a thousand more. Here it gets
-        what was saved up, at most a tenth.
+        Without a budget the pool would get a thousand more. With it, retries
+        are limited to the saved-up budget, at most a tenth.
         """
         budget = RetryBudget()
         granted = sum(
@@ -18,7 +18,7 @@
         )
         assert 1 <= granted <= 100
 
-    def test_one_customer_cannot_spend_for_all(self) -> None:
+    def test_one_customer_cannot_spend_the_budget_of_others(self) -> None:
         budget = RetryBudget()
         while budget.may_retry("broken", 0.0, "error"):
             pass
@@ -47,17 +47,17 @@
 
 
 class TestHedgeBudget:
-    def test_only_idempotent_requests_that_wait_long(self) -> None:
+    def test_only_idempotent_requests_that_wait_long_are_hedged(self) -> None:
         budget = HedgeBudget()
         assert not budget.may_hedge(0.0, 99.0, False)
         assert not budget.may_hedge(0.0, 0.0, True)
         assert budget.may_hedge(0.0, 99.0, True)
 
     def test_hedges_stay_a_small_share(self) -> None:
-        """All servers become slow together, every request waits long.
+        """All servers become slow together, so every request waits long.
 
-        Hedging all would double the load. The budget lets through its
-        savings and two in a hundred.
+        Hedging all requests would double the load. The budget allows its
+        initial content and two in a hundred requests.
         """
         budget = HedgeBudget()
         hedged = 0
