--- a/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
@@ -1,4 +1,4 @@
-"""Links to every peer of a process, and the one socket it listens on."""
+"""The links of a process to its peers, and the socket it listens on."""
 
 from __future__ import annotations
 
@@ -44,16 +44,17 @@
     Handler = Callable[[str, Any], None]
 
 LOG: Final = logging.getLogger(__name__)
-# A restarted peer whose clock was set back has a lower incarnation. It is
-# taken after this much silence of the old one, longer than any lease, and
-# only with an echo of a frame from after that: recorded frames have none.
+# A restarted peer whose clock was set back has a lower incarnation. Its
+# frames are accepted once the previous incarnation was silent for this time,
+# which is longer than any lease, and only if they echo a frame sent after
+# the last one from that incarnation. Replayed frames carry no such echo.
 INCARNATION_CHANGE_S: Final = 5.0
-# A link that nobody has used for this long belongs to a VM that is gone.
+# A link that was unused for this long is closed: its VM no longer exists.
 LINK_IDLE_S: Final = 60.0
 
 
 class MeshCounters:
-    """What the mesh has seen; read by the metrics page."""
+    """Counters of a mesh, exported as metrics."""
 
     def __init__(self) -> None:
         self.frames_sent = 0
@@ -69,19 +70,26 @@
 
     @property
     def refused(self) -> int:
-        """Return how many frames were not authentic or not for us."""
+        """Return the number of frames not authentic or for another process.
+
+        Frames that cannot be decoded count as well.
+        """
         counts = self.refusals.counts
         kinds = (Refusal.KEY, Refusal.UNREADABLE, Refusal.RECEIVER)
         return sum(counts[kind] for kind in kinds)
 
     @property
     def stale(self) -> int:
-        """Return how many authentic frames came too late to be acted on."""
+        """Return the number of authentic frames that were refused as old."""
         return sum(self.refusals.counts.values()) - self.refused
 
 
-class _Heard(NamedTuple):
-    """The newest frame of a peer, and what we had sent to all by then."""
+class _LastFrame(NamedTuple):
+    """The newest frame of a peer.
+
+    ``sent_sequence`` is the number of the last frame that this process had
+    sent to any peer when the frame arrived.
+    """
 
     incarnation: int
     sequence: int
@@ -90,17 +98,18 @@
 
 
 class PeerMesh:
-    """Sends messages to peers by address and hands over what arrives.
-
-    Delivery is at most once and unordered across a redial: whoever needs
-    an answer repeats the question. ``address`` is where peers reach this
-    process, ``listen_address`` where it listens if that differs.
-
-    ``keys`` returns the cluster keys that are valid now; the first one
-    signs, so a key is rotated by adding the new one behind everywhere,
-    then moving it to the front, then dropping the old one, without a
-    stop. With ``tls`` the frames go through TLS as well, and peers that
-    only speak plain get no connection.
+    """Sends messages to peers by address and delivers received messages.
+
+    Delivery is at most once, and messages may be reordered when a link
+    reconnects; a sender that needs an answer must repeat its request.
+    ``address`` is where peers reach this process, ``listen_address`` where
+    it listens if that differs.
+
+    ``keys`` returns the cluster keys that are valid now. The first one
+    signs. A key is rotated without a stop: on all processes the new key is
+    added behind the old one, then moved to the front, and then the old one
+    is removed. With ``tls`` connections use TLS, and peers without TLS
+    cannot connect.
     """
 
     def __init__(
@@ -119,8 +128,8 @@
         self._tls = tls
         self._handler = handler
         self._links: dict[str, Link] = {}
-        self._heard: dict[str, _Heard] = {}
-        self._unproved: dict[str, tuple[int, int]] = {}
+        self._last_frames: dict[str, _LastFrame] = {}
+        self._unconfirmed: dict[str, tuple[int, int]] = {}
         self._relays = Relays()
         self._sequence = 0
         self._calls: dict[int, tuple[anyio.Event, list[CallReply]]] = {}
@@ -132,8 +141,9 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Listen and serve links until cancelled."""
-        # Of many peers; why a pair's socket, `Link` says.
+        """Listen and run the links until cancelled."""
+        # A polyamorous pair socket accepts many peers. `Link` explains why
+        # the sockets are pairs.
         with pynng.Pair1(
             polyamorous=True, recv_max_size=MAX_FRAME_BYTES
         ) as listener:
@@ -148,13 +158,13 @@
                 task_status.started()
                 while True:
                     received = await listener.arecv_msg()
-                    self._accept(received.bytes, received.pipe)
+                    self._handle_frame(received.bytes, received.pipe)
 
     def send(self, address: str, message: Message) -> None:
-        """Queue a message; it goes out with whatever else is queued.
+        """Queue a message to a peer.
 
-        It goes through a third process where the peer was last heard
-        through one and is not heard directly.
+        The message goes through a relay if the peer was last heard through
+        one and is not heard directly.
         """
         relay = self.relay_for(address)
         if relay is None:
@@ -163,36 +173,40 @@
             self.send_through(relay, address, message)
 
     def send_directly(self, address: str, message: Message) -> None:
-        """Queue a message on the direct way, whatever is known of it."""
+        """Queue a message on the direct link, even if a relay is known."""
         self._link(address).queue(message)
 
     def send_through(self, relay: str, address: str, message: Message) -> None:
-        """Have a third process pass a message on."""
+        """Queue a message that ``relay`` forwards to ``address``."""
         relayed = Relayed(self.address, address, *encode(message))
         self._link(relay).queue(relayed)
 
     def relay_for(self, address: str) -> str | None:
-        """Return who passes messages on to a peer, None if nobody must."""
-        unheard_s = self.silence_s(address)
-        return self._relays.relay_for(address, unheard_s, boottime_s())
+        """Return the relay to a peer, None to send directly."""
+        silence_s = self.silence_s(address)
+        return self._relays.relay_for(address, silence_s, boottime_s())
 
     def close_link(self, address: str) -> None:
-        """Close the link to a peer that is gone; a message opens another."""
+        """Close the link to a peer.
+
+        The next message to the peer opens a new link.
+        """
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
 
     def next_call_id(self) -> int:
-        """Return a number for a message that expects a `CallReply`."""
+        """Return a new id for a message that expects a `CallReply`."""
         self._next_call += 1
         return self._next_call
 
     async def call(
         self, address: str, call_id: int, message: Message, timeout_s: float
     ) -> CallReply:
-        """Send a message and wait for the reply that carries its number.
+        """Send a message and return the reply with the same ``call_id``.
 
-        Raises `PeerTimeout`; the peer may have acted all the same.
+        Raises `PeerTimeout` if no reply arrives within ``timeout_s``. The
+        peer may have acted on the message nevertheless.
         """
         event = anyio.Event()
         replies: list[CallReply] = []
@@ -208,11 +222,11 @@
         return replies[0]
 
     def silence_s(self, address: str) -> float:
-        """Return how long ago a peer was heard of, infinity if never."""
-        heard = self._heard.get(address)
-        if heard is None:
+        """Return the seconds since a peer's last frame, infinity if none."""
+        last = self._last_frames.get(address)
+        if last is None:
             return float("inf")
-        return boottime_s() - heard.at_s
+        return boottime_s() - last.at_s
 
     def _link(self, address: str) -> Link:
         link = self._links.get(address)
@@ -221,7 +235,7 @@
                 self.address,
                 self.incarnation,
                 lambda: self._keys()[0],
-                self._count_frame,
+                self._next_sequence,
                 lambda: self._echo(address),
                 self.counters,
                 self._tls,
@@ -238,68 +252,73 @@
             del self._links[link.address]
 
     def _echo(self, address: str) -> tuple[int, int]:
-        heard = self._heard.get(address)
-        if heard is None:
-            return self._unproved.get(address, (0, 0))
-        return heard.incarnation, heard.sequence
-
-    def _count_frame(self) -> int:
-        # One count for all links: a link that was given up and made again
-        # would begin at one, and its peer take its frames for repeated.
+        last = self._last_frames.get(address)
+        if last is None:
+            return self._unconfirmed.get(address, (0, 0))
+        return last.incarnation, last.sequence
+
+    def _next_sequence(self) -> int:
+        # All links share one counter. With a counter for each link, a link
+        # that was closed and opened again would begin at one, and the peer
+        # would refuse its frames as repeated.
         self._sequence += 1
         return self._sequence
 
-    def _accept(self, data: bytes, pipe: Any) -> None:
+    def _handle_frame(self, data: bytes, pipe: Any) -> None:
         self.counters.frames_received += 1
         self.counters.bytes_received += len(data)
         now_s = boottime_s()
         try:
             frame = open_frame(data, self._keys(), self.address)
-            self._check_new(frame, now_s)
+            self._check_not_stale(frame, now_s)
         except FrameRefused as error:
             peer = error.peer or _remote_host(pipe)
             self.counters.refusals.add(error.kind, peer, now_s)
             return
-        self._unproved.pop(frame.sender, None)
-        heard = self._heard.get(frame.sender)
-        self._heard[frame.sender] = _Heard(
+        self._unconfirmed.pop(frame.sender, None)
+        last = self._last_frames.get(frame.sender)
+        self._last_frames[frame.sender] = _LastFrame(
             frame.incarnation, frame.sequence, now_s, self._sequence
         )
         link = self._link(frame.sender)
-        if heard is not None and frame.incarnation != heard.incarnation:
+        if last is not None and frame.incarnation != last.incarnation:
             link.redial()
         if frame.echo_incarnation == self.incarnation:
-            link.echoed(frame.echo_sequence, now_s)
+            link.record_echo(frame.echo_sequence, now_s)
         for code, body in frame.messages:
             self._deliver(frame.sender, code, body)
 
-    def _check_new(self, frame: Frame, now_s: float) -> None:
-        heard = self._heard.get(frame.sender)
+    def _check_not_stale(self, frame: Frame, now_s: float) -> None:
+        last = self._last_frames.get(frame.sender)
         if frame.echo_incarnation not in (0, self.incarnation):
-            # Recorded before our restart, or the peer has yet to notice
-            # it. Our link tells it; what it sends from then on is taken.
-            if heard is None:
+            # The frame was sent before this process restarted, or the peer
+            # has not noticed the restart yet. The first frame on the link
+            # informs the peer; its later frames are accepted.
+            if last is None:
                 newest = (frame.incarnation, frame.sequence)
-                if frame.sender not in self._unproved:
-                    # Told at once; the first heartbeat is half a second on.
+                if frame.sender not in self._unconfirmed:
+                    # This informs the peer at once; the first heartbeat of
+                    # the link would follow half a second later.
                     self.send(frame.sender, Heartbeat())
-                self._unproved[frame.sender] = newest
+                self._unconfirmed[frame.sender] = newest
             self._link(frame.sender)
-            raise FrameRefused(Refusal.EARLIER_LIFE, frame.sender)
-        if heard is None or frame.incarnation > heard.incarnation:
+            raise FrameRefused(Refusal.RECEIVER_INCARNATION, frame.sender)
+        if last is None or frame.incarnation > last.incarnation:
             return
-        if frame.incarnation < heard.incarnation:
-            if not self._is_successor(frame, heard, now_s):
+        if frame.incarnation < last.incarnation:
+            if not self._is_successor(frame, last, now_s):
                 self._link(frame.sender)
-                raise FrameRefused(Refusal.INCARNATION, frame.sender)
-        elif frame.sequence <= heard.sequence:
+                raise FrameRefused(Refusal.SENDER_INCARNATION, frame.sender)
+        elif frame.sequence <= last.sequence:
             raise FrameRefused(Refusal.REPEATED, frame.sender)
 
-    def _is_successor(self, frame: Frame, heard: _Heard, now_s: float) -> bool:
+    def _is_successor(
+        self, frame: Frame, last: _LastFrame, now_s: float
+    ) -> bool:
         return (
-            now_s - heard.at_s >= INCARNATION_CHANGE_S
+            now_s - last.at_s >= INCARNATION_CHANGE_S
             and frame.echo_incarnation == self.incarnation
-            and frame.echo_sequence > heard.sent_sequence
+            and frame.echo_sequence > last.sent_sequence
         )
 
     def _deliver(self, sender: str, code: int, body: bytes) -> None:
@@ -310,7 +329,7 @@
             LOG.debug("message dropped", extra={"reason": str(error)})
             return
         if isinstance(message, Relayed):
-            self._take_relayed(sender, message)
+            self._handle_relayed(sender, message)
             return
         if isinstance(message, CallReply):
             waiting = self._calls.get(message.call_id)
@@ -321,33 +340,33 @@
         try:
             self._handler(sender, message)
         except Exception:
-            # A message that another release understands otherwise must not
-            # end this process, nor the next one the same way; the log has
-            # the place, the counter the alert.
+            # A message from another release that the handler cannot process
+            # must not end this process, nor every process that receives it.
+            # The log shows the traceback, and the counter raises the alert.
             self.counters.faults += 1
-            LOG.exception("message not handled", extra={"peer": sender})
+            LOG.exception("message handler failed", extra={"peer": sender})
 
-    def _take_relayed(self, sender: str, message: Relayed) -> None:
-        """Pass a message on, or take one that was passed on to here."""
+    def _handle_relayed(self, sender: str, message: Relayed) -> None:
+        """Deliver a message relayed to this process, or forward one."""
         if message.passed and message.target == self.address:
-            self._relays.learn(message.origin, sender, boottime_s())
+            self._relays.record(message.origin, sender, boottime_s())
             self._deliver(message.origin, message.code, message.body)
         elif not message.passed and message.origin == sender:
-            # Passed on once only: two that each take the other for the way
-            # would send it to and fro without end.
+            # A message is forwarded only once: two processes that use each
+            # other as the relay would exchange it in an endless loop.
             self.counters.relayed += 1
-            onward = message._replace(passed=True)
-            self.send_directly(message.target, onward)
+            forwarded = message._replace(passed=True)
+            self.send_directly(message.target, forwarded)
         else:
             self.counters.malformed += 1
 
 
 def _remote_host(pipe: Any) -> str:
-    """Return the IP of a connection; its port changes with each one."""
+    """Return the IP address of a connection, without its changing port."""
     try:
         return str(pipe.remote_address).rpartition(":")[0]
     except (AttributeError, pynng.NNGException):
-        # The connection is closed already.
+        # The connection is already closed.
         return "unknown"
 
 
