--- a/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/context.py
@@ -70,12 +70,12 @@
         self.retries = RetryBudget(settings.retry_share)
         self.arrivals = ArrivalBudget(settings.allowance)
         self.loans = Loans(self.arrivals, control, self.now_s)
-        self.progress = ServerProgress()
+        self.server_progress = ServerProgress()
         self.answer_times = AnswerTimes()
         self.prefill_rates = PrefillRates()
         self.cascade = CascadeLearner()
         control.add_listener(SharedRatings, self._on_ratings)
-        self.staying = RetainedSessions(settings.session_idle_s)
+        self.retained_sessions = RetainedSessions(settings.session_idle_s)
         control.add_listener(SessionsStay, self._on_sessions)
         self._queue_delays: dict[tuple[str, bool], QueueDelay] = {}
         self._event_gaps: dict[str, QueueDelay] = {}
@@ -128,7 +128,7 @@
 
     def _on_sessions(self, message: SessionsStay) -> None:
         step = Step(message.service, message.version, message.step)
-        self.staying.retain(step, message.places)
+        self.retained_sessions.retain(step, message.places)
 
     def start_background(
         self, function: Callable[..., Awaitable[None]], *arguments: Any
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/exchange.py
@@ -143,7 +143,7 @@
 
     def is_overtaken(self) -> bool:
         """Return whether the server has answered requests sent later."""
-        return self._context.progress.has_overtaken(
+        return self._context.server_progress.has_overtaken(
             self.destination.server.name, self.begin_s
         )
 
@@ -163,7 +163,7 @@
         self._outcome = "timeout"
         self._reason = "too slow"
         self._left_early = early
-        self._was_queued = self._context.progress.is_serving_in_order(
+        self._was_queued = self._context.server_progress.is_serving_in_order(
             self.destination.server.name, self.begin_s
         )
         waited_s = time.monotonic() - self.begin_s
@@ -233,7 +233,7 @@
         """Record that the first part of the answer came."""
         now_s = time.monotonic()
         self._first_byte_ms = int((now_s - self.begin_s) * 1000)
-        self._context.progress.record_first_event(
+        self._context.server_progress.record_first_event(
             self.destination.server.name, self.begin_s, now_s
         )
         self._context.servers.record_first_byte(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -103,13 +103,15 @@
     if not call.session or (stable and target != stable):
         return
     place = _session_place(call, service)
-    context.staying.record_served(service, place, time.monotonic())
+    context.retained_sessions.record_served(service, place, time.monotonic())
     step = _current_step(context, service)
     if (
         step is not None
         and place < _rollout_share(context, service) * PLACE_COUNT
     ):
-        _send_retained(context, step, context.staying.retain(step, (place,)))
+        _send_retained(
+            context, step, context.retained_sessions.retain(step, (place,))
+        )
 
 
 def _is_retained(
@@ -119,12 +121,14 @@
     step = _current_step(context, service)
     if step is None or not call.session:
         return False
-    staying = context.staying
+    retained_sessions = context.retained_sessions
     share = _rollout_share(context, service)
     _send_retained(
-        context, step, staying.begin_step(step, share, time.monotonic())
+        context,
+        step,
+        retained_sessions.begin_step(step, share, time.monotonic()),
     )
-    return staying.is_retained(step, _session_place(call, service))
+    return retained_sessions.is_retained(step, _session_place(call, service))
 
 
 def _current_step(context: EntryContext, service: str) -> Step | None:
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -50,7 +50,7 @@
                     name, "service", name, "hall", 1, 1, ("nest", version)
                 )
         self.context: Any = SimpleNamespace(control=self.control)
-        self.context.staying = RetainedSessions(IDLE_S)
+        self.context.retained_sessions = RetainedSessions(IDLE_S)
         self.context.servers = Servers(self.control, None)  # type: ignore[arg-type]
 
     def set_share(self, share: float) -> None:
@@ -71,7 +71,7 @@
     def receive_from(self, other: EntryScene) -> None:
         for message in other.control.sent_messages:
             step = Step(message.service, message.version, message.step)
-            self.context.staying.retain(step, message.places)
+            self.context.retained_sessions.retain(step, message.places)
 
 
 def make_call(session: str) -> RoutedCall:
