--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/admission.py
@@ -47,9 +47,10 @@
 # slot it would have started.
 MIN_SLACK_S: Final = 1.0
 # A customer with no running and no waiting request may exceed the slots by
-# this share. One entry has few slots, so that the next one becomes free only
-# after a quarter of a second, a delay caused by other customers' floods. Pools
-# of up to five slots get no extra slot, which would be a large part of them.
+# this share. With the few slots of one entry, the next one becomes free only
+# after a quarter of a second; without an extra slot, the floods of other
+# customers would cause the customer this delay. Pools of up to five slots get
+# no extra slot, which would be a large part of them.
 OVERCOMMIT_SHARE: Final = 0.1
 MAX_WAITING_PER_CUSTOMER: Final = 512
 MAX_WAITING_PER_POOL: Final = 2048
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrival_pool.py
@@ -51,7 +51,7 @@
     ) -> dict[str, float]:
         """Add the arrivals that an entry gives and return those lent to it.
 
-        The pool returns shares that exceed its capacity to the entry.
+        The pool returns arrivals that exceed its capacity to the entry.
         ``pools`` is the number of pools, 0 if this process is not one of them.
         """
         if not pools:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/arrivals.py
@@ -54,9 +54,9 @@
 MAX_SERVICES: Final = 256
 # A busy entry spends several arrivals between two trades.
 TRADE_INTERVAL_S: Final = 0.1
-# A request that needs an arrival now does not wait for the regular interval.
-# While the pool is empty, the interval keeps each such request from asking
-# again.
+# A request that needs an arrival now does not wait for `TRADE_INTERVAL_S`.
+# While the pool is empty, this shorter interval keeps each such request from
+# asking again.
 URGENT_TRADE_INTERVAL_S: Final = 0.02
 # Pause before the next gift after the pool was full.
 GIVE_BACKOFF_S: Final = 1.0
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/attempt_timeouts.py
@@ -45,8 +45,8 @@
 REMAINING_SHARE: Final = 0.5
 MIN_EVENT_S: Final = 1.0
 # The largest model of current engines reads 13,000 to 16,000 tokens of a
-# prompt a second while nothing else runs. A server that shares its capacity
-# and is slower than this rate hangs or has a queue.
+# prompt a second while nothing else runs. Even if other requests take a part
+# of its capacity, a server that is slower than this rate hangs or has a queue.
 PREFILL_TOKENS_PER_S: Final = 10_000.0
 # A gap beyond the target is late already, and a preempted run resumes by
 # itself. Three times the target is longer than any gap of a calm server.
@@ -221,7 +221,7 @@
         self._last_begin_s[server] = now_s
 
     def is_serving_in_order(self, server: str, sent_s: float) -> bool:
-        """Return whether answers have begun since, none out of order.
+        """Return whether answers began after ``sent_s``, none out of order.
 
         A request that waits at such a server is in its queue; its wait is no
         sign of a fault.
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/concurrency_limit.py
@@ -7,8 +7,9 @@
 
 The limit falls when the time to the first byte shows a queue in the server, or
 when the server reports overload. While the limit is in use, it grows by one
-for as many successful answers as the limit (additive increase, multiplicative
-decrease), so that entries that share a server converge to equal parts.
+after as many successful answers as its value (additive increase,
+multiplicative decrease), so that entries that share a server converge to equal
+parts.
 """
 
 from __future__ import annotations
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
@@ -2,8 +2,8 @@
 
 Demand shifts between versions over minutes. A server's report gives one number
 for all its versions, is seconds old, and may be missing. Without correction,
-one late report of a burst requests a load of minutes that is of no use when
-the burst has ended, and a server that stops reporting looks idle, so its
+one late report of a burst causes a load that takes minutes and is of no use
+when the burst has ended, and a server that stops reporting looks idle, so its
 versions are unloaded under running requests.
 
 The requests of a server are therefore split among its versions by their shares
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/fair_queue.py
@@ -187,9 +187,9 @@
         flow = self._flow(ticket.customer)
         start_s = max(flow.virtual_s, self.virtual_s)
         flow.virtual_s = start_s + _cost_s(ticket)
-        # The virtual time must also advance while no request waits. Otherwise
-        # a customer that used an idle pool would be kept back for as long when
-        # a queue forms.
+        # The virtual time must also advance while no request waits. Otherwise,
+        # when a queue forms, a customer would be kept back for as long as it
+        # had used the idle pool.
         self.virtual_s = start_s
         self.served += ticket.expected_s / self.share
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/objective.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from sycamorestand_model.declarations import Objective
 
-# Probability of a false stop of one roll-out. A version is stopped at this
-# level of evidence; a profile with a higher weight of exposure accepts a
-# higher probability.
+# Accepted probability of a false stop of one roll-out, which sets the evidence
+# at which a version is stopped. A profile with a higher weight of exposure
+# accepts a higher probability.
 FALSE_STOP_PROBABILITY: Final = 0.0005
 MAX_FALSE_STOP_PROBABILITY: Final = 0.0008
 MIN_FALSE_STOP_PROBABILITY: Final = 0.0002
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
@@ -175,9 +175,10 @@
     withdrawn: Collection[str],
     now_s: float,
 ) -> tuple[str, str] | None:
-    """Return the server and version of a spare replica, None if none is.
+    """Return the server and version of a spare replica, None without one.
 
-    Withdrawn versions come last, then the version with the least demand wins.
+    Withdrawn versions are chosen last, otherwise the one with the least demand
+    first.
     """
     options: list[tuple[bool, float, str, str]] = []
     for server in others:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retained_sessions.py
@@ -23,8 +23,8 @@
 MAX_SEEN: Final = 4096
 # Steps of roll-outs that run at the same time.
 MAX_STEPS: Final = 64
-# Sessions of one step. While no new server comes for hours, the version in use
-# serves all sessions that begin meanwhile.
+# Sessions of one step. While the new version has no server for hours, the
+# version in use serves all sessions that begin meanwhile.
 MAX_RETAINED: Final = 65_536
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
@@ -12,8 +12,8 @@
 from typing import Final
 
 # Of the successes. A lost server of nine fails 11 % of the requests once, and
-# saved-up budget covers a retry of each. A pool that fails as a whole gets 10
-# % more load.
+# saved-up budget covers a retry of each. A pool that fails as a whole gets
+# 10 % more load.
 RETRY_SHARE: Final = 0.1
 CUSTOMER_BURST: Final = 5.0
 # Bucket size of one entry for all customers. A lost server fails one full
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
@@ -44,8 +44,8 @@
 SUSPECT_LOG_EVIDENCE: Final = log(10.0)
 # If a roll-out must end within a time, its steps see about a dozen requests.
 # Evidence of five to one, with a smaller allowance for the uncertainty of the
-# reference, is then the most that can be expected. A healthy version that is
-# stopped by it is ordered again.
+# reference, is then the most that can be expected. If it stops a healthy
+# version, the roll-out of that version is ordered again.
 DOUBT_LOG_EVIDENCE: Final = log(5.0)
 DOUBT_DEVIATIONS: Final = 1.0
 # A dozen requests say little about a class with a high expected rate, such as
@@ -59,8 +59,8 @@
 MIN_RATED: Final = 30
 # Ratings of each class that full use needs; each earlier step needs a fourth
 # of the next one. At full use there is no old version left to compare with, so
-# ratings from then on are no evidence. When they were counted, one roll-out of
-# six that was bad for one class was completed.
+# ratings from then on are no evidence. When they were counted, one in six
+# roll-outs of a version that was bad for one class was completed.
 CLASS_RATED_FOR_FULL: Final = 200
 # Classes below this share of the ratings would delay every roll-out, so they
 # are not waited for.
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/size_ladder.py
@@ -57,13 +57,13 @@
     attempts_left: int,
     strain: float = 0.0,
 ) -> int | None:
-    """Return the model to escalate to, None to release the answer.
+    """Return the index of the model to escalate to, None to release.
 
     ``confidence`` is the model's confidence in its answer, 0 to 100, None if
     it gave none. Without an attempt left the answer is released, as a poor
-    answer is worth more than none. An escalation by one model needs one more
-    attempt, to escalate again from there. ``strain`` is the current queueing
-    delay at the servers, as a share of the latency target.
+    answer is worth more than none. An escalation by one model must leave one
+    more attempt for an escalation from there. ``strain`` is the current
+    queueing delay at the servers, as a share of the latency target.
     """
     between = 0 < size < len(sizes) - 1
     threshold = ACCEPT_AFTER_NEAR_MISS if between else ACCEPT_CONFIDENCE
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/starting.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/starting.py
@@ -3,8 +3,9 @@
 When all entries restart at once, callers come back immediately, each for its
 only retry, and no other entry can serve them. An entry that does not listen
 before it holds a lease, or that refuses requests until then, loses all
-requests of that period. An entry that lets requests wait answers most of them
-within their latency target: it gets a lease within 0.3 s once control is back.
+requests of that period. An entry that lets requests wait answers most of them,
+and streams within their latency target: it gets a lease within 0.3 s once
+control is back.
 
 The wait is bounded because the lease may not come: by a share of the caller's
 remaining time, so that enough is left to try another entry; by a time after
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
@@ -129,8 +129,8 @@
     if total <= MAX_PAST_REQUESTS:
         return stats
     keep = MAX_PAST_REQUESTS / total
-    faded = {s: _scaled(c, keep) for s, c in stats.strata.items()}
-    return VersionStats(faded)
+    scaled = {s: _scaled(c, keep) for s, c in stats.strata.items()}
+    return VersionStats(scaled)
 
 
 def _scaled(counts: ClassStats, keep: float) -> ClassStats:
--- a/packages/sycamorestand-decisions/tests/test_admission.py
+++ b/packages/sycamorestand-decisions/tests/test_admission.py
@@ -76,10 +76,11 @@
         assert answer.retry_after_s > 0
 
     def test_queue_of_a_customer_is_bounded(self) -> None:
-        """Guards against unbounded memory and checks of the queue.
+        """Guards against a queue that grows without bound.
 
-        A customer sends without pause while no request finishes. Its queue
-        stops growing at the limit, and all further requests are refused.
+        Its memory and the cost of each check would grow with it. A customer
+        sends without pause while no request finishes. Its queue stops growing
+        at the limit, and all further requests are refused.
         """
         admission = admission_of(1)
         for number in range(2 * MAX_WAITING_PER_CUSTOMER):
@@ -135,10 +136,10 @@
         admission.offer(ticket(60, expected_s=0.01), 0.0)
         for number in range(100, 140):
             admission.offer(ticket(number, "i", expected_s=0.01), 0.0)
-            late = ticket(
+            batch_ticket = ticket(
                 number + 1_000, "b", priority="batch", expected_s=0.01
             )
-            admission.offer(late, 0.0)
+            admission.offer(batch_ticket, 0.0)
         starts = self._drain(admission, 60, 20)
         assert sum(t.priority == "batch" for t in starts) <= 4
 
@@ -170,10 +171,10 @@
         admission.offer(ticket(0), 0.0)
         for number in range(1, 101):
             admission.offer(ticket(number, "i", expected_s=0.01), 0.0)
-            late = ticket(
+            batch_ticket = ticket(
                 number + 1_000, "b", priority="batch", expected_s=0.01
             )
-            admission.offer(late, 0.0)
+            admission.offer(batch_ticket, 0.0)
         starts = self._drain(admission, 0, 50)
         assert 3 <= sum(t.priority == "batch" for t in starts) <= 8
 
--- a/packages/sycamorestand-decisions/tests/test_arrivals.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals.py
@@ -131,8 +131,8 @@
         for _ in range(40):
             budget.record_first_arrival(SERVICE, 12.0)
         share = budget.share(SERVICE, ENTRIES, 12.0)
-        under_way = given + second.asked[SERVICE]
-        assert share.left == pytest.approx(share.most - under_way)
+        in_transit = given + second.asked[SERVICE]
+        assert share.left == pytest.approx(share.most - in_transit)
         budget.close_trade(second.number, {})
         for _ in range(40):
             budget.record_first_arrival(SERVICE, 23.0)
--- a/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
+++ b/packages/sycamorestand-decisions/tests/test_arrivals_machine.py
@@ -39,9 +39,9 @@
         super().__init__()
         self.now_s = 100.0
         self.budgets = [ArrivalBudget(ALLOWANCE) for _ in range(ENTRIES)]
-        self.told = [ENTRIES] * ENTRIES
+        self.known_entries = [ENTRIES] * ENTRIES
         self.pools = [ArrivalPool(ALLOWANCE, self.now_s) for _ in range(POOLS)]
-        self.on_their_way: list[Trade] = []
+        self.sent_trades: list[Trade] = []
         self.answers: list[tuple[int, int, dict[str, float]]] = []
         self.firsts: list[float] = []
         self.further: list[float] = []
@@ -54,35 +54,35 @@
 
     @rule(entry=ENTRY, most=sampled_from([1, 300]))
     def servers_refuse(self, entry: int, most: int) -> None:
-        budget, told = self.budgets[entry], self.told[entry]
+        budget, known_entries = self.budgets[entry], self.known_entries[entry]
         for _ in range(most):
-            if not budget.try_spend(SERVICE, told, self.now_s):
+            if not budget.try_spend(SERVICE, known_entries, self.now_s):
                 return
             self.further.append(self.now_s)
 
     @rule(entry=ENTRY)
     def is_killed(self, entry: int) -> None:
         self.budgets[entry] = ArrivalBudget(ALLOWANCE)
-        self.told[entry] = 0
+        self.known_entries[entry] = 0
 
     @rule(entry=ENTRY, pool=POOL)
     def trades(self, entry: int, pool: int) -> None:
         trade = self._open(entry)
         if trade is not None:
-            lent = self._reaches(trade, pool)
+            lent = self._deliver(trade, pool)
             self.budgets[entry].close_trade(trade.number, lent)
 
     @rule(entry=ENTRY)
     def sends_a_trade(self, entry: int) -> None:
         trade = self._open(entry)
         if trade is not None:
-            self.on_their_way.append(trade)
+            self.sent_trades.append(trade)
 
     @rule(entry=ENTRY, pool=POOL)
     def a_trade_arrives(self, entry: int, pool: int) -> None:
-        if self.on_their_way:
-            trade = self.on_their_way.pop(0)
-            lent = self._reaches(trade, pool)
+        if self.sent_trades:
+            trade = self.sent_trades.pop(0)
+            lent = self._deliver(trade, pool)
             self.answers.append((entry, trade.number, lent))
 
     @rule()
@@ -97,10 +97,10 @@
 
     def _open(self, entry: int) -> Trade | None:
         return self.budgets[entry].open_trade(
-            self.told[entry], self.now_s, SERVICE
+            self.known_entries[entry], self.now_s, SERVICE
         )
 
-    def _reaches(self, trade: Trade, pool: int) -> dict[str, float]:
+    def _deliver(self, trade: Trade, pool: int) -> dict[str, float]:
         return self.pools[pool].trade(
             trade.given, trade.asked, POOLS, self.now_s
         )
@@ -127,7 +127,7 @@
 
     @rule(entry=ENTRY)
     def hears_from_control(self, entry: int) -> None:
-        self.told[entry] = ENTRIES
+        self.known_entries[entry] = ENTRIES
 
     @rule(seconds=floats(0.1, 6.0))
     def time_passes(self, seconds: float) -> None:
--- a/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
+++ b/packages/sycamorestand-decisions/tests/test_attempt_timeouts.py
@@ -119,12 +119,12 @@
 
 
 class TestFirstEvent:
-    @pytest.mark.parametrize("aim_s", [0.5, 4.0])
+    @pytest.mark.parametrize("target_s", [0.5, 4.0])
     @pytest.mark.parametrize("left_s", [1.0, 20.0])
     def test_the_timeout_when_overtaken_is_the_shorter_one(
-        self, aim_s: float, left_s: float
+        self, target_s: float, left_s: float
     ) -> None:
-        overtaken_s, otherwise_s = first_event_limits_s(aim_s, left_s)
+        overtaken_s, otherwise_s = first_event_limits_s(target_s, left_s)
         assert 0 < overtaken_s <= otherwise_s
 
     def test_a_long_prompt_is_not_abandoned_during_its_prefill(self) -> None:
@@ -132,8 +132,8 @@
 
         A prompt of 37,000 tokens takes 2.9 s to read on a large model. It was
         abandoned after 2.4 s of a target of 4 s, and the next server started
-        over and took another 2.9 s. The caller got the first event after 6.1
-        s, and other requests waited at both servers.
+        over and took another 2.9 s. The caller got the first event after
+        6.1 s, and other requests waited at both servers.
         """
         limits_s = first_event_limits_s(4.0, 19.3, 37_000)
         assert min(limits_s) > 2.9
--- a/packages/sycamorestand-decisions/tests/test_prefill.py
+++ b/packages/sycamorestand-decisions/tests/test_prefill.py
@@ -93,8 +93,8 @@
     def test_a_request_that_is_late_anyway_gets_the_last_rank(self) -> None:
         """After a burst, some requests have waited beyond their target.
 
-        With a prefill before others, they would make requests late that can
-        still be in time.
+        If they were prefilled before others, they would make requests late
+        that can still be in time.
         """
         assert engine_rank(0.05, 0, left_s=0.04) == RANKS - 1
         assert engine_rank(0.05, 0, left_s=-3.0) == RANKS - 1
--- a/packages/sycamorestand-decisions/tests/test_selection.py
+++ b/packages/sycamorestand-decisions/tests/test_selection.py
@@ -157,7 +157,7 @@
         selector.record_start("s0", later_s)
         assert selector.choose(only, later_s) is None
 
-    def test_a_good_probe_starts_slowly(self) -> None:
+    def test_a_server_starts_slowly_after_a_good_probe(self) -> None:
         selector = selector_of()
         for candidate in NINE:
             record_attempt(selector, candidate.name, 0.0)
--- a/packages/sycamorestand-decisions/tests/test_stopping.py
+++ b/packages/sycamorestand-decisions/tests/test_stopping.py
@@ -26,7 +26,9 @@
     spread: float
 
 
-class Played(NamedTuple):
+class StopCounts(NamedTuple):
+    """Requests that stopping processes accept, cut off and refuse."""
+
     taken: int
     cut: int
     sent_elsewhere: int
@@ -36,7 +38,7 @@
 SHORT: Final = Kind("tags", 0.5, 0.6)
 
 
-def simulate(kind: Kind, seed: int, check: bool) -> Played:
+def simulate(kind: Kind, seed: int, check: bool) -> StopCounts:
     """Simulate planned stops, each with callers that still arrive."""
     random = Random(seed)
     accepted = cut = refused = 0
@@ -53,7 +55,7 @@
             continue
         accepted += 1
         cut += _time_s(kind, random) > ends_in_s
-    return Played(accepted, cut, refused)
+    return StopCounts(accepted, cut, refused)
 
 
 def _time_s(kind: Kind, random: Random) -> float:
@@ -65,16 +67,16 @@
         """A stop cut off streams that arrived after it had begun."""
         for seed in range(5):
             without = simulate(LONG, seed, check=False)
-            played = simulate(LONG, seed, check=True)
+            counts = simulate(LONG, seed, check=True)
             assert without.cut > 0.2 * STOPS
-            assert played.cut < without.cut / 5
+            assert counts.cut < without.cut / 5
 
     def test_accepts_short_answers(self) -> None:
         """A refused caller uses up its only retry."""
         for seed in range(5):
-            played = simulate(SHORT, seed, check=True)
-            assert played.sent_elsewhere <= 0.01 * STOPS
-            assert played.cut <= 0.01 * STOPS
+            counts = simulate(SHORT, seed, check=True)
+            assert counts.sent_elsewhere <= 0.01 * STOPS
+            assert counts.cut <= 0.01 * STOPS
 
     def test_refuses_while_durations_are_unknown(self) -> None:
         """A newly started entry accepted streams that its stop cut off."""
--- a/packages/sycamorestand-decisions/tests/test_version_fallback.py
+++ b/packages/sycamorestand-decisions/tests/test_version_fallback.py
@@ -13,7 +13,7 @@
 
 
 class TestFallback:
-    def test_it_takes_over_from_a_quarantined_stable_version(self) -> None:
+    def test_the_fallback_replaces_a_quarantined_stable_version(self) -> None:
         """The stable version degrades in service and is quarantined.
 
         New work goes to the declared fallback immediately. Version 3, which is
@@ -23,14 +23,16 @@
         assert choose_version(model("1"), in_force, 0.5) == "nest@1"
         assert choose_version(model(), in_force, 0.5) is None
 
-    def test_it_is_not_used_while_the_stable_version_may_run(self) -> None:
+    def test_the_fallback_is_unused_while_the_stable_version_may_run(
+        self,
+    ) -> None:
         assert choose_version(model("1"), InForce(), 0.5) == "nest@2"
 
     def test_a_withdrawn_fallback_is_not_used(self) -> None:
         in_force = InForce(quarantined=("nest@2",), withdrawn=("nest@1",))
         assert choose_version(model("1"), in_force, 0.5) is None
 
-    def test_the_customer_must_be_allowed_to_use_it(self) -> None:
+    def test_the_customer_must_be_allowed_to_use_the_fallback(self) -> None:
         in_force = InForce(withdrawn=("nest@2",))
         allowed = {"nest@2", "nest@3"}
         assert choose_version(model("1"), in_force, 0.5, allowed) is None
