--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/choice.py
@@ -8,8 +8,8 @@
 class ControlChoice:
     """Select one address of a list of control processes, the nearest first.
 
-    ``start`` are the addresses in the entry's settings; they always stay in
-    the list.
+    ``initial`` are the addresses in the entry's settings; they always stay
+    in the list.
     """
 
     def __init__(self, initial: tuple[str, ...]) -> None:
@@ -24,7 +24,7 @@
         return self._addresses[self._current]
 
     def select_next(self) -> None:
-        """Select the next address, as the current one does not answer."""
+        """Select the next address, the first one after the last."""
         self._current = (self._current + 1) % len(self._addresses)
 
     def add(self, addresses: Iterable[str]) -> None:
@@ -36,10 +36,10 @@
         """Replace the voters; return whether the selection changed.
 
         The addresses from the settings follow the voters in the list: if
-        all known voters are lost, one of those may run again. A list of the
-        same voters in any order changes nothing. Otherwise an entry that
-        left the nearest voter because it was silent would return to it with
-        each list.
+        all known voters are lost, a control process at one of these
+        addresses may run again. A list of the same voters in any order
+        changes nothing. Otherwise an entry that left the nearest voter
+        because it was silent would return to it with each list.
         """
         if not voters or frozenset(voters) == self._voters:
             return False
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/link.py
@@ -148,8 +148,10 @@
     def addresses(self) -> tuple[EntryAddress, ...]:
         """Return the entries for callers, ranked for this data centre.
 
-        After a move to another control process, that is the list which this
-        process sent before the move: it sends a list only after a change.
+        The list is the last one of the control process in use. After a move
+        it may date from before the move, because a control process sends
+        its list only after a change. If this control process has sent none
+        yet, the former list stays.
         """
         latest = self._addresses_by_control.get(self.control_address())
         if latest is not None:
@@ -346,7 +348,8 @@
 
         Only the list of the process in use is returned to callers. A control
         process that the entry left may be cut off: it loses all entries and
-        still sends an empty list for some seconds.
+        still sends an empty list for some seconds, which would leave callers
+        without any address.
         """
         if len(self._addresses_by_control) >= MAX_ADDRESS_LISTS:
             self._addresses_by_control.clear()
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/sample_counts.py
@@ -18,8 +18,8 @@
 # An answer rated below this counts as failed; ratings range from 0 to 1.
 PASSING_RATING: Final = 0.5
 # Bounds the size of a report, and so the load on control, if callers invent
-# request classes. Samples of a version are not counted beyond this number
-# of classes.
+# request classes. Once a version has counts of this many classes, its further
+# samples are left out until the next report.
 MAX_CLASSES: Final = 16
 MAX_RATINGS: Final = 256
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/application.py
@@ -94,7 +94,7 @@
             send, self._context.stopping, extensions.get(WRITE_NOW)
         )
         log = DecisionLog()
-        # Kept if the task is cancelled because the process ends.
+        # This result stays if the task is cancelled because the process ends.
         result = "process_ended"
         detail: dict[str, Any] = {}
         try:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/call.py
@@ -99,8 +99,8 @@
     """Return the caller's headers that the entry forwards to a server.
 
     The API key is left out, as a server, or a reader of its logs, could
-    call with it. So are the headers that only the system may set, as a
-    caller could pose as another customer. Headers that define the request
+    make calls with it. So are the headers that only the system may set, as
+    a caller could pose as another customer. Headers that define the request
     are kept even if ``Connection`` lists them: without its attempt or model
     it would be another request.
     """
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/decision_log.py
@@ -92,7 +92,7 @@
 
 
 class ArrivalDenied(NamedTuple):
-    """The entry's share of the arrival budget does not allow a retry.
+    """The entry's share of the arrival budget allows no further attempt.
 
     ``entries`` is the number of entries that the share was computed for,
     ``first`` the number of requests first sent to the service within the
@@ -132,7 +132,8 @@
 class FellBack(NamedTuple):
     """The request falls back to the model and server that answer soonest.
 
-    The caller had received nothing for ``silent_ms``.
+    The attempt at ``server`` was abandoned for that, after the caller had
+    received nothing for ``silent_ms``.
     """
 
     server: str
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/engine_wait.py
@@ -88,13 +88,13 @@
         return short_prefill_limit_s(self.target_latency_s, prefill_s, delay_s)
 
     def delay_ratio(self, target: str) -> float:
-        """Return the queue delay at the largest model per target latency.
+        """Return the queue delay at the largest model, relative to the target.
 
-        Short and long prefills have separate delays: engines schedule short
-        ones first, so that they wait little while long ones wait for
-        seconds. With a mean over both, long prompts still escalated under
-        overload, and 17 to 27 of 350 of the longest kind got no answer;
-        none is lost with separate delays.
+        The result is a multiple of the target latency. Short and long
+        prefills have separate delays: engines schedule short ones first, so
+        that they wait little while long ones wait for seconds. With a mean
+        over both, long prompts still escalated under overload, and of 350
+        of the longest kind 17 to 27 got no answer, instead of none.
         """
         largest = max(0, len(self._route.sizes) - 1)
         return self._queue_delay_s(target, largest) / self.target_latency_s
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/refusals.py
@@ -13,9 +13,9 @@
     from sycamorestand_entry.http_messages import Responder
 
 # A partition cuts several entries off together, and the caller's list of
-# addresses still names them for a second or two: an immediate retry would
-# reach another entry without a lease. Waiting for a share of the caller's
-# timeout leaves the rest of it for the answer.
+# addresses still names them for a second or two: the caller's only retry, if
+# made at once, would reach another entry without a lease. Waiting for a share
+# of the caller's timeout leaves the rest of it for the answer.
 LEASE_RETRY_SHARE: Final = 0.3
 MIN_LEASE_RETRY_S: Final = 0.1
 MAX_LEASE_RETRY_S: Final = 2.2
@@ -49,9 +49,10 @@
 
 
 def lease_retry_s(timeout_s: float) -> float:
-    """Return the seconds after which to retry without a lease.
+    """Return the retry-after time of a refusal for lack of a lease.
 
-    ``timeout_s`` is the timeout that the caller stated, 0 if it stated none.
+    The time is in seconds. ``timeout_s`` is the timeout that the caller
+    stated, 0 if it stated none.
     """
     after_s = max(MIN_LEASE_RETRY_S, timeout_s * LEASE_RETRY_SHARE)
     return min(MAX_LEASE_RETRY_S, after_s)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/streams.py
@@ -284,8 +284,8 @@
         )
         if size_index is not None and await self._attempts.may_escalate():
             model = self._sizes[size_index]
-            known_confidence = -1 if confidence is None else confidence
-            log.add(Climbed(model, known_confidence, round(delay_ratio, 2)))
+            logged_confidence = -1 if confidence is None else confidence
+            log.add(Climbed(model, logged_confidence, round(delay_ratio, 2)))
             raise _Escalation(size_index)
         calm_size = next_size(
             self._sizes, self._size_index, confidence, max(1, left)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -1,14 +1,14 @@
 """Select the service, or the version of it, that answers a routed request.
 
 A session keeps its version through a hash, not through stored state: its
-name is hashed to a place from 0 to 1, and requests below the roll-out's
-share go to the new version. As the share grows, sessions move to the new
-version and none moves back. Every entry computes the same place, so a
+name is hashed to a place from 0 to 1, and sessions with a place below the
+roll-out's share go to the new version. As the share grows, sessions move to
+the new version and none moves back. Every entry computes the same place, so a
 caller whose next connection reaches another entry gets the same version.
 
 Sessions that are active when a step of a roll-out begins stay with the
-version in use. Entries send their places to each other, since the next
-request of a session may reach any entry.
+version in use. Entries send the places of these sessions to each other,
+since the next request of a session may reach any entry.
 """
 
 from __future__ import annotations
--- a/packages/sycamorestand-entry/tests/routed/test_escalation.py
+++ b/packages/sycamorestand-entry/tests/routed/test_escalation.py
@@ -31,8 +31,8 @@
     async def test_poor_answer_is_forwarded_under_overload(self) -> None:
         """Streams wait for seconds at every server.
 
-        An escalation would delay them by a second prefill of its prompt,
-        and be late itself.
+        An escalation would delay these streams by a second prefill of the
+        prompt, and be late itself.
         """
         async with start_routed() as loopback:
             add_queue_delay(loopback, short_prefill=True)
@@ -80,7 +80,9 @@
         assert models == [b"small"]
         assert answer.count(b"id: ") == 2
 
-    async def test_retries_after_refusals_spend_it_too(self) -> None:
+    async def test_retries_after_refusals_spend_the_arrival_budget(
+        self,
+    ) -> None:
         """Every server refuses as full; the caller is refused at once."""
         allowance = Allowance(ratio=0.1, slack=0.0, window_s=60.0)
 
--- a/packages/sycamorestand-entry/tests/routed/test_fallback.py
+++ b/packages/sycamorestand-entry/tests/routed/test_fallback.py
@@ -81,8 +81,10 @@
         assert ranks[0] > 0
         assert ranks[1:] == [0]
 
-    async def test_after_all_attempts_it_returns_to_a_server(self) -> None:
-        """Three servers did not begin; a fourth may not be asked."""
+    async def test_fallback_returns_to_a_server_after_all_attempts(
+        self,
+    ) -> None:
+        """Three servers began no answer; a fourth may not be asked."""
         async with start_routed() as loopback:
             names = ("s-1", "s-2", "s-3", "s-4")
             received = await ask(
@@ -111,7 +113,9 @@
             models = [model_of(request) for _, request in loopback.requests]
         assert models == [b"small", b"middle", b"large"]
 
-    async def test_call_keeps_waiting_without_a_server_for_it(self) -> None:
+    async def test_call_keeps_waiting_without_a_server_to_fall_back_to(
+        self,
+    ) -> None:
         """The only server is no longer listed, and answers late."""
 
         async def answer_late(request: bytes, stream: SocketStream) -> None:
@@ -146,7 +150,7 @@
             )
         assert received.endswith(END)
 
-    async def test_escalations_leave_an_arrival_for_it(self) -> None:
+    async def test_escalations_leave_an_arrival_for_the_fallback(self) -> None:
         """Escalations of other requests had spent the arrival budget."""
         allowance = Allowance(ratio=0.9, slack=60.0, window_s=60.0)
         settings = SETTINGS._replace(allowance=allowance)
--- a/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
+++ b/packages/sycamorestand-entry/tests/routed/test_start_and_stop.py
@@ -238,7 +238,9 @@
 
 
 class TestStoppingEntry:
-    async def test_stream_that_it_would_cut_is_refused_at_once(self) -> None:
+    async def test_stream_that_the_stop_would_cut_is_refused_at_once(
+        self,
+    ) -> None:
         """The entry accepted streams after a stop had begun, and cut them."""
         async with start_routed(LIMITED) as loopback:
             await loopback.add_server("s-1", _answer)
--- a/packages/sycamorestand-entry/tests/routed/test_streams.py
+++ b/packages/sycamorestand-entry/tests/routed/test_streams.py
@@ -277,7 +277,7 @@
 
 
 class TestLostServer:
-    async def test_its_stream_ends_without_an_attempt_left(
+    async def test_stream_of_a_lost_server_ends_without_an_attempt_left(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A server loses power, and its stream may not be retried.
--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -185,7 +185,7 @@
 class TestActiveSessions:
     NAMES = tuple(f"s-{number}" for number in range(100))
 
-    def test_they_stay_at_the_first_step(self) -> None:
+    def test_active_sessions_stay_at_the_first_step(self) -> None:
         """Four sessions changed their version when a roll-out began."""
         here, elsewhere = EntryScene(), EntryScene()
         for scene in (here, elsewhere):
@@ -212,7 +212,9 @@
         other.receive_from(scene)
         assert {other.serve(name) for name in self.NAMES} == {OLD}
 
-    def test_they_move_once_the_new_version_has_nearly_all_work(self) -> None:
+    def test_sessions_move_once_the_new_version_has_nearly_all_work(
+        self,
+    ) -> None:
         scene = EntryScene()
         for share in (0.0, 0.13):
             scene.set_share(share)
