--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -1,14 +1,14 @@
 """Select the service, or the version of it, that answers a routed request.
 
 A session keeps its version through a hash, not through stored state: its
-name is hashed to a place from 0 to 1, and requests below the roll-out's
-share go to the new version. As the share grows, sessions move to the new
-version and none moves back. Every entry computes the same place, so a
+name is hashed to a place from 0 to 1, and sessions with a place below the
+roll-out's share go to the new version. As the share grows, sessions move to
+the new version and none moves back. Every entry computes the same place, so a
 caller whose next connection reaches another entry gets the same version.
 
 Sessions that are active when a step of a roll-out begins stay with the
-version in use. Entries send their places to each other, since the next
-request of a session may reach any entry.
+version in use. Entries send the places of these sessions to each other,
+since the next request of a session may reach any entry.
 """
 
 from __future__ import annotations
@@ -103,13 +103,15 @@
     if not call.session or (stable and target != stable):
         return
     place = _session_place(call, service)
-    context.staying.record_served(service, place, time.monotonic())
+    context.retained_sessions.record_served(service, place, time.monotonic())
     step = _current_step(context, service)
     if (
         step is not None
         and place < _rollout_share(context, service) * PLACE_COUNT
     ):
-        _send_retained(context, step, context.staying.retain(step, (place,)))
+        _send_retained(
+            context, step, context.retained_sessions.retain(step, (place,))
+        )
 
 
 def _is_retained(
@@ -119,12 +121,14 @@
     step = _current_step(context, service)
     if step is None or not call.session:
         return False
-    staying = context.staying
+    retained_sessions = context.retained_sessions
     share = _rollout_share(context, service)
     _send_retained(
-        context, step, staying.begin_step(step, share, time.monotonic())
+        context,
+        step,
+        retained_sessions.begin_step(step, share, time.monotonic()),
     )
-    return staying.is_retained(step, _session_place(call, service))
+    return retained_sessions.is_retained(step, _session_place(call, service))
 
 
 def _current_step(context: EntryContext, service: str) -> Step | None:
