--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claimed_call.py
@@ -83,7 +83,7 @@
         self._abandoned = False
 
     def abandon(self) -> None:
-        """Mark the call as past its deadline, so that it is not written."""
+        """Mark the call as past its deadline; it is not written after that."""
         self._abandoned = True
 
     async def run(self) -> None:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/errors.py
@@ -102,7 +102,7 @@
 
 
 class RequestTimeout(RequestError):
-    """The caller did not send the rest of its request."""
+    """The caller did not send the rest of its request in time."""
 
     status = 408
     code = "request_timeout"
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/event_reader.py
@@ -90,8 +90,8 @@
             for event in split_events(events):
                 self._read_event(event, plain)
         except MalformedStream as error:
-            # The valid events before it are counted already, so they must
-            # be returned before the run is resumed after them.
+            # The events before the malformed one are counted already, so
+            # they must be returned before the run is resumed after them.
             self._failure = error
             if not plain:
                 raise
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_protocol.py
@@ -24,11 +24,13 @@
 from sycamorestand_entry.http_messages import error_content
 from sycamorestand_peer.http_server import HttpProtocol
 
+# Extensions in the ASGI scope of a request. `WRITE_NOW` is a function that
+# writes a part of the body at once and returns whether that was possible.
 WRITE_NOW: Final = "sycamorestand.write_now"
-# The request's path and query, exactly as sent.
+# `TARGET` is the request's path and query, exactly as sent.
 TARGET: Final = "sycamorestand.target"
-# Closes the connection without ending the answer, so that a truncated
-# answer does not look complete.
+# `ABORT` is a function that closes the connection without ending the answer,
+# so that a truncated answer does not look complete.
 ABORT: Final = "sycamorestand.abort"
 # More than `read_headers` accepts, because this limit also counts the
 # request line and separators, and exceeding it closes the connection.
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
@@ -58,7 +58,7 @@
         except CallFailed as failure:
             error = failure
             may_have_run = True
-            if not _may_retry(context, call):
+            if not _spend_retry(context, call):
                 break
         except RequestError as refusal:
             raise correct_run_state(refusal, may_have_run) from None
@@ -91,7 +91,7 @@
     return answer
 
 
-def _may_retry(context: EntryContext, call: ServiceCall) -> bool:
+def _spend_retry(context: EntryContext, call: ServiceCall) -> bool:
     granted = context.retries.may_retry(
         call.customer, time.monotonic(), "error"
     )
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/listings.py
@@ -81,7 +81,7 @@
 async def answer_readiness(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Answer whether this entry accepts new work, else with status 503."""
+    """Answer whether this entry accepts new work, with status 200 or 503."""
     lease_s = context.control.lease_remaining_s()
     ready = lease_s > 0 and not context.stopping
     content = {
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/loans.py
@@ -1,4 +1,4 @@
-"""Exchange of budgeted further arrivals with the control process's pool."""
+"""Exchange of arrival budget with the pool of the control process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class Loans:
-    """Lends the entry's unused budget to the pool and borrows from it."""
+    """Gives the pool budget that the entry would lose, and borrows from it.
+
+    The budget counts further arrivals, those after a request's first one.
+    """
 
     def __init__(
         self,
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/ports.py
@@ -43,7 +43,7 @@
     def entry_count(self) -> int:
         """Return the number of entries, 0 while it is not known.
 
-        `addresses` holds only those that are handed out to callers.
+        `addresses` holds only the entries that callers are sent to.
         """
         ...
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/rating.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/rating.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from sycamorestand_entry.metrics import Metrics
 
-# More concurrent requests mean that the rating service does not keep up.
-# The wait for a connection counts towards the timeout of the rating.
+# More concurrent requests mean that the rating service does not keep up. A
+# request that waits for a connection until its timeout gets no rating.
 MAX_CONNECTIONS: Final = 32
 MAX_REPLY_BYTES: Final = 4096
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/samples.py
@@ -70,7 +70,7 @@
 ) -> None:
     """Report a run to the cascade's learner and the control process.
 
-    The learner ignores failed runs.
+    The learner does not get failed runs.
     """
     if not summary.failed:
         context.cascade.observe(
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/servers.py
@@ -121,7 +121,7 @@
         return self._control.backend_servers().get(name)
 
     def candidate_count(self, target: str) -> int:
-        """Return the number of candidates at the last selection."""
+        """Return the number of candidates when they were last listed."""
         return self._counts.get(target, 0)
 
     def in_flight(self, target: str, name: str) -> int:
@@ -183,7 +183,7 @@
         }
 
     def _rollout_share(self, target: str) -> float:
-        """Return the version's roll-out share, 1.0 without a roll-out."""
+        """Return the version's roll-out share, 1.0 if it has none or 0."""
         model, _, version = target.partition(VERSION_SEPARATOR)
         rollout = self._control.in_force().shares.get(model)
         if rollout is None or rollout.version != version:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
@@ -33,9 +33,9 @@
 _LOG = logging.getLogger(__name__)
 TICK_S: Final = 0.25
 SERVER_RETRY_S: Final = 1.0
-# Expected duration of a call to a plain service, and below of the first
-# token and each further token of an answer. The admission learns the ratio
-# of real to expected duration within some hundred requests.
+# Expected durations of a call to a plain service, of the first token of an
+# answer and of each further token. The admission learns the ratio of real to
+# expected duration within some hundred requests.
 SERVICE_CALL_S: Final = 0.05
 FIRST_TOKEN_S: Final = 0.05
 TOKEN_S: Final = 0.005
@@ -108,9 +108,10 @@
         return self._admission.metrics()
 
     async def run_clock(self) -> None:
-        """Update capacities and expire queued requests until cancelled.
+        """Update capacities and the queues periodically until cancelled.
 
-        Requests expire that can no longer start or finish in time.
+        A queued request expires once it can no longer start or finish in
+        time.
         """
         while True:
             await anyio.sleep(TICK_S)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/sse.py
@@ -59,7 +59,7 @@
 
 
 def is_plain(events: bytes) -> bool:
-    """Return whether all are data events without usage, error or end."""
+    """Return whether all events are data without usage, error or end."""
     count = events.count(EVENT_END)
     if not events.startswith(DATA):
         return False
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/start_hold.py
@@ -37,7 +37,7 @@
     async def wait_until(
         self, ready: Callable[[], bool], left_s: float
     ) -> bool:
-        """Wait until ``ready()``, for the allowed time; return its result.
+        """Wait until ``ready()`` or the end of the hold; return ``ready()``.
 
         ``left_s`` is the time left until the caller's deadline.
         """
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/upstream.py
@@ -102,7 +102,7 @@
         self._head_bytes = 0
         self._complete = False
         self.reusable = False
-        # The body of an earlier answer that was complete but never read.
+        # Drop the body of an earlier answer that was complete but not read.
         # Its bytes would come before the answer to this request.
         self._body.clear()
         self._body_bytes = 0
@@ -191,8 +191,9 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # An answer that is not framed is complete only if the server closed
-        # the connection. After a reset or a close by the entry it is cut.
+        # An answer with neither Content-Length nor Transfer-Encoding is
+        # complete only if the server closed the connection. A reset or a
+        # close by the entry truncates it.
         complete = self._at_eof and exc is None and self._ends_at_eof()
         if complete and self._error is None:
             self._complete = True
--- a/packages/sycamorestand-entry/tests/test_bad_input.py
+++ b/packages/sycamorestand-entry/tests/test_bad_input.py
@@ -287,8 +287,9 @@
     ) -> None:
         """A server announces itself at an entry that is cut off from control.
 
-        Only this entry would know an acknowledged server, and may send it
-        no work. A leaving server would stop while others send it work.
+        If the entry acknowledged the announcement, only this entry would
+        know the server, and it may send no work. A leaving server would
+        stop while other entries still send it work.
         """
         loopback.control.lease_s = 0.0
         body = engine(leaving=True)
@@ -301,7 +302,8 @@
     ) -> None:
         """A server's announcements come late, twice and out of order.
 
-        The newest one stays, also if a later one is of an earlier start.
+        The newest one stays in force, also if one from an earlier start of
+        the server arrives after it.
         """
         for incarnation, sequence, leaving in (
             (2, 5, True),
--- a/packages/sycamorestand-entry/tests/test_chat.py
+++ b/packages/sycamorestand-entry/tests/test_chat.py
@@ -13,7 +13,7 @@
 
 
 class TestStreamedAnswer:
-    async def test_whole_answer_is_billed_and_told(self) -> None:
+    async def test_complete_answer_reports_its_charge(self) -> None:
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,))
             await loopback.add_engine(engine)
@@ -37,7 +37,7 @@
         monkeypatch.setenv("UV_USE_IO_URING", "0")
         return "asyncio", {"use_uvloop": True}
 
-    async def test_whole_answer(self) -> None:
+    async def test_complete_answer_is_streamed(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             answer = await loopback.chat(stream=True, Idempotency_Key="k-1")
@@ -45,7 +45,7 @@
 
 
 class TestPlainAnswer:
-    async def test_whole_answer_is_billed_and_told(self) -> None:
+    async def test_complete_answer_reports_its_charge(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             answer = await loopback.chat(Idempotency_Key="k-1")
--- a/packages/sycamorestand-entry/tests/test_connections.py
+++ b/packages/sycamorestand-entry/tests/test_connections.py
@@ -39,7 +39,7 @@
 
 
 async def add_silent(loopback: Loopback) -> SilentAfterOne:
-    """Add such a server to the service ``orders``."""
+    """Add a `SilentAfterOne` server to the service ``orders``."""
     server = SilentAfterOne()
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
--- a/packages/sycamorestand-entry/tests/test_event_reader.py
+++ b/packages/sycamorestand-entry/tests/test_event_reader.py
@@ -55,8 +55,8 @@
     ) -> None:
         """The stream breaks off at any byte.
 
-        The reader has returned whole events only, and counts as many. A
-        resume from that count neither loses nor repeats an event.
+        The reader has returned whole events only, and its count is their
+        number. A resume from that count neither loses nor repeats an event.
         """
         events = [token(word) for word in words]
         reader = EventReader()
--- a/packages/sycamorestand-entry/tests/test_loans.py
+++ b/packages/sycamorestand-entry/tests/test_loans.py
@@ -71,7 +71,7 @@
         share = entry.budget.share(SERVICE, ENTRIES, entry.now_s)
         assert share.left <= share.most
 
-    async def test_lends_nothing_while_control_does_not_answer(self) -> None:
+    async def test_gives_nothing_while_control_does_not_answer(self) -> None:
         """A control process that was cut off got all of the spare budget."""
         entry = Entry()
         for _ in range(10):
@@ -100,7 +100,7 @@
         assert share.left == pytest.approx(left + given)
 
     async def test_late_answer_is_ignored(self) -> None:
-        """The entry has requested the amount again; it would count twice."""
+        """The entry has requested the budget again; it would count twice."""
         entry = Entry()
         entry.request()
         entry.answer()
