--- a/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/mesh.py
@@ -292,13 +292,14 @@
         last = self._last_frames.get(frame.sender)
         if frame.echo_incarnation not in (0, self.incarnation):
             # The frame was sent before this process restarted, or the peer
-            # has not noticed the restart yet. The first frame on the link
-            # informs the peer; its later frames are accepted.
+            # has not noticed the restart yet. The first frame that this
+            # process sends informs the peer, and the peer's later frames
+            # are accepted.
             if last is None:
                 newest = (frame.incarnation, frame.sequence)
                 if frame.sender not in self._unconfirmed:
-                    # This informs the peer at once; the first heartbeat of
-                    # the link would follow half a second later.
+                    # This heartbeat informs the peer at once. The link would
+                    # send its own first one half a second later.
                     self.send(frame.sender, Heartbeat())
                 self._unconfirmed[frame.sender] = newest
             self._link(frame.sender)
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/messages.py
@@ -177,7 +177,8 @@
 
     An entry sends them to its control process, which forwards them to all
     others. ``step`` is a step of the roll-out of ``version`` of ``service``.
-    ``places`` are the places of the sessions, by which a step selects them.
+    ``places`` are checksums of the sessions' names, by which a step of the
+    roll-out selects sessions.
     """
 
     service: str
@@ -187,9 +188,10 @@
 
 
 class ArrivalTrade(NamedTuple):
-    """Arrivals that an entry gives to its control's pool, or asks from it.
+    """Arrival budget that an entry gives to a pool or requests from it.
 
-    Both are counted by service. The reply returns ``number``.
+    The pool is that of the entry's control process. ``given`` and ``asked``
+    hold arrivals by service. The reply returns ``number``.
     """
 
     number: int
--- a/packages/sycamorestand-peer/tests/test_tls.py
+++ b/packages/sycamorestand-peer/tests/test_tls.py
@@ -98,14 +98,14 @@
     return None
 
 
-def _other_name(ours: Authority, others: Authority) -> TlsIdentity:
+def _only_other_authority(ours: Authority, others: Authority) -> TlsIdentity:
     return others.identity("stranger")
 
 
 STRANGERS: dict[str, Callable[[Authority, Authority], TlsIdentity | None]] = {
     "certificate of another authority": _other_authority,
     "plain": _plain,
-    "another authority on both sides": _other_name,
+    "another authority on both sides": _only_other_authority,
 }
 
 
@@ -145,7 +145,7 @@
             tasks.cancel_scope.cancel()
 
     @pytest.mark.parametrize("kind", STRANGERS)
-    async def test_a_stranger_with_the_cluster_key_gets_nothing_through(
+    async def test_the_cluster_key_without_a_valid_certificate_is_refused(
         self, kind: str, ours: Authority, others: Authority, until: Any
     ) -> None:
         """The cluster key without a valid certificate must give no access.
