--- a/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/callers.py
@@ -31,7 +31,11 @@
 
 
 class CallerOptions(NamedTuple):
-    """Options from a request's headers; empty or 0 if the header is absent."""
+    """Options from a request's headers.
+
+    If a header is absent, the priority is ``interactive``, the deadline 0
+    and any other option empty.
+    """
 
     request_key: str
     session_name: str
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/claims.py
@@ -60,7 +60,7 @@
 ) -> RecordedAnswer | None:
     """Acquire the claim and return None, or return the recorded answer.
 
-    Raises a `RequestError` if the claim is refused and no answer recorded.
+    Raises a `RequestError` if the claim is refused and no answer is recorded.
     """
     # Until the ledger answers, an earlier call with the key may have run.
     # On "not_run" the caller would send the call under another key.
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/http_messages.py
@@ -147,8 +147,9 @@
 async def read_body(request: Request, limit_bytes: int) -> bytes:
     """Return the whole body.
 
-    Raises `BodyTooLarge` beyond the limit, and `RequestTimeout` if the body
-    is not complete in time.
+    Raises `BodyTooLarge` beyond the limit, `RequestTimeout` if the body is
+    not complete in time, `CallerGone` if the caller disconnects before, and
+    `BadRequest` if ``Content-Length`` is not a number.
     """
     declared = request.headers.get(b"content-length", b"0")
     if not declared.isdigit():
--- a/packages/sycamorestand-peer/src/sycamorestand_peer/health.py
+++ b/packages/sycamorestand-peer/src/sycamorestand_peer/health.py
@@ -45,7 +45,7 @@
         return now_s - self._last_sent_s >= HEARTBEAT_INTERVAL_S
 
     def is_silent(self, now_s: float) -> bool:
-        """Return whether a frame is unacknowledged for `SILENCE_BOUND_S`."""
+        """Return whether a frame has had no echo for `SILENCE_BOUND_S`."""
         if not self._unacknowledged:
             return False
         return now_s - self._unacknowledged[0][1] >= SILENCE_BOUND_S
--- a/packages/sycamorestand-peer/tests/test_key_file.py
+++ b/packages/sycamorestand-peer/tests/test_key_file.py
@@ -62,7 +62,7 @@
         caplog: pytest.LogCaptureFixture,
         content: bytes | None,
     ) -> None:
-        """A file that is missing or invalid must not make peers be refused.
+        """A missing or invalid file must not make the process refuse peers.
 
         The process keeps its last valid keys, counts each failed check and
         logs once. A repaired file is used from the next check on.
