--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
@@ -323,7 +323,7 @@
             return
         self._logged_state = current
         LOG.info(
-            "group %d, member %s: now %s in term %d, state %s",
+            "group %d, member %s: %s in term %d, disk and group %s",
             self._group,
             self._member_id,
             current[0],
