--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/files.py
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def storage_errors(path: Path) -> Iterator[None]:
-    """Raise ``DiskFull`` for lack of space, else ``StorageError``.
+    """Turn an ``OSError`` into ``DiskFull`` or ``StorageError``.
 
     Lack of space is temporary, a broken disk is not. After a failed fsync
     the kernel may have dropped the written pages and report success on
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/lease.py
@@ -82,9 +82,9 @@
 
     This member made its promise to a leader of its own term or of an
     earlier one. Leases of terms before ``ended_term`` had expired when
-    its leader claimed the first lease. If this member's term is later
-    than ``ended_term``, the candidate does not know about leases of that
-    term, so the promise stays.
+    the leader of ``ended_term`` claimed its first lease. If this member's
+    term is later than ``ended_term``, the candidate does not know about
+    leases of that later term, so the promise stays.
     """
     return request.ended_term >= max(1, state.term)
 
@@ -125,9 +125,9 @@
 
     Without the promise a deposed leader could vote for a successor at
     once, while leases that were granted under its own are still running.
-    The promise keeps the latest end that was claimed. A later result can
-    be earlier, since the majority of a larger membership may have
-    answered only earlier messages.
+    The promise keeps the latest end that was claimed. A later call can
+    return an earlier end, since the majority of a larger membership may
+    have answered only earlier messages.
     """
     until_s = lease_until_s(state)
     state.promise_until_s = max(state.promise_until_s, until_s)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/messages.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/messages.py
@@ -59,7 +59,7 @@
 
 
 class Stamp(NamedTuple):
-    """Send time and round of a leader's message; replies return it unread.
+    """Send time and round of a leader's message; replies return it as is.
 
     ``sent_s`` is a reading of the leader's clock, from which its lease
     counts. ``round`` counts read barriers, since two events can have the
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
@@ -18,7 +18,12 @@
 
 
 class Progress:
-    """Replication progress of one other member, kept by the leader."""
+    """Replication progress of one other member, kept by the leader.
+
+    ``acked_round`` and ``acked_sent_s`` are from the newest stamps that
+    the member has answered. In mode ``SNAPSHOT``, ``probe_sent`` says that
+    the chunk at ``offset_bytes`` may still be in flight.
+    """
 
     def __init__(self, next_index: int, now_s: float) -> None:
         """Start by probing whether the logs match before ``next_index``."""
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/raft_state.py
@@ -50,7 +50,14 @@
 
 
 class RaftState:
-    """State of one member; the protocol's rules are in other modules."""
+    """State of one member; the protocol's rules are in other modules.
+
+    ``stable_index`` is the last entry known to be synced. Entries up to
+    ``emitted_index`` were returned as committed or are in an installed
+    snapshot. ``epoch`` counts truncations and resets of the log; batches
+    of an earlier epoch do not advance ``stable_index``. ``open_sequence``
+    is the number of the batch that collects records.
+    """
 
     def __init__(
         self,
@@ -228,11 +235,11 @@
 
 def membership_at(state: RaftState, index: int) -> Membership:
     """Return the membership that was in effect at a committed index."""
-    found = state.memberships[0][1]
+    in_effect = state.memberships[0][1]
     for since, membership in state.memberships:
         if since <= index:
-            found = membership
-    return found
+            in_effect = membership
+    return in_effect
 
 
 def close_batch(state: RaftState) -> Batch | None:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/storage.py
@@ -55,7 +55,7 @@
     """Files of one group; the methods block, so call them in a thread."""
 
     def __init__(self, folder: Path, segment_bytes: int) -> None:
-        """Store the folder's path, which only ``open`` accesses."""
+        """Store the folder's path; ``open`` must be called first."""
         self._folder = folder
         self._segment_bytes = segment_bytes
         self._hard = HardState()
@@ -98,8 +98,8 @@
         be written again later.
         """
         with storage_errors(self._folder):
-            # This comes first: an error here after the records are on
-            # disk would make the caller write them twice.
+            # Old files are deleted first. An error here after the records
+            # are on disk would make the caller write them twice.
             if self._delete_due:
                 self._delete_covered()
             if self._size_bytes >= self._segment_bytes:
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
@@ -62,13 +62,13 @@
         The caller gets ``ProposalLost`` if its own entry was overwritten
         by one of another term.
         """
-        found = self._by_index.pop(entry.log_index, None)
-        if found is None:
+        proposal = self._by_index.pop(entry.log_index, None)
+        if proposal is None:
             return
-        if found.term == entry.term:
-            found.waiter.succeed(result)
+        if proposal.term == entry.term:
+            proposal.waiter.succeed(result)
         else:
-            found.waiter.fail(ProposalLost("another entry took the place"))
+            proposal.waiter.fail(ProposalLost("another entry took the place"))
 
     def fail_after(self, index: int, *, except_term: int) -> None:
         """Fail the waiters after ``index`` that are not of ``except_term``."""
@@ -94,7 +94,7 @@
 
 
 class PendingReads:
-    """Waiters of read barriers, unconfirmed by id, then by read index."""
+    """Waiters of read barriers, until confirmed and until applied."""
 
     def __init__(self) -> None:
         """Start without waiters."""
