--- a/packages/sycamorestand-state/bench/measure_ledger.py
+++ b/packages/sycamorestand-state/bench/measure_ledger.py
@@ -63,7 +63,7 @@
         for start in range(0, len(records), BATCH_RECORDS)
     ]
     machine = LedgerMachine(0)
-    begun_s = process_time()
+    started_s = process_time()
     encoded = [encode_batch(batch, NOW_S) for batch in batches]
     encoded_s = process_time()
     for index, command in enumerate(encoded, start=1):
@@ -77,7 +77,7 @@
     count = len(records)
     sys.stdout.write(
         f"{name}: {count} records\n"
-        f"  encode {(encoded_s - begun_s) / count * 1e6:.2f} us/record, "
+        f"  encode {(encoded_s - started_s) / count * 1e6:.2f} us/record, "
         f"apply {(applied_s - encoded_s) / count * 1e6:.2f} us/record, "
         f"log {size_bytes / count:.0f} bytes/record\n"
         f"  snapshot {len(snapshot) / count:.0f} bytes/record, "
--- a/packages/sycamorestand-state/bench/measure_state.py
+++ b/packages/sycamorestand-state/bench/measure_state.py
@@ -80,7 +80,7 @@
             f"{number}", "ann", number + 1, declared, "", float(number)
         )
         commands.append(encode_command(change))
-    begun_s = process_time()
+    started_s = process_time()
     for index, command in enumerate(commands, start=2):
         machine.apply(index, command)
     applied_s = process_time()
@@ -90,7 +90,7 @@
     sys.stdout.write(
         f"configuration {name}: {models} models, {customers} customers\n"
         f"  command {len(commands[0])} bytes, "
-        f"apply {(applied_s - begun_s) / CHANGES * 1e3:.2f} ms\n"
+        f"apply {(applied_s - started_s) / CHANGES * 1e3:.2f} ms\n"
         f"  after {CHANGES} changes: revision {machine.revision}, "
         f"snapshot {len(snapshot)} bytes, "
         f"written and read in {(restored_s - applied_s) * 1e3:.1f} ms\n"
@@ -104,7 +104,7 @@
     for announcement in servers:
         control.announce(announcement, 0.0)
     full = control.full()
-    begun_s = process_time()
+    started_s = process_time()
     entry.apply_delta(full, 0.0)
     full_s = process_time()
     for second in range(1, SECONDS + 1):
@@ -113,20 +113,20 @@
             control.announce(renewed, float(second))
         control.expire(float(second))
     renewed_s = process_time()
-    beat = control.delta_since(control.version)
-    assert beat is not None
-    beat_bytes = len(msgspec.msgpack.encode(beat))
-    entry.apply_delta(beat, 1.0)
-    beaten_s = process_time()
+    empty_delta = control.delta_since(control.version)
+    assert empty_delta is not None
+    empty_delta_bytes = len(msgspec.msgpack.encode(empty_delta))
+    entry.apply_delta(empty_delta, 1.0)
+    empty_applied_s = process_time()
     sys.stdout.write(
         f"directory: {SERVERS} servers\n"
         f"  full {len(msgspec.msgpack.encode(full))} bytes, "
-        f"taken in {(full_s - begun_s) * 1e3:.1f} ms\n"
+        f"applied in {(full_s - started_s) * 1e3:.1f} ms\n"
         f"  a second of renewals at their control process "
         f"{(renewed_s - full_s) / SECONDS * 1e3:.1f} ms, "
         f"version still {control.version}\n"
-        f"  empty delta {beat_bytes} bytes, "
-        f"taken in {(beaten_s - renewed_s) * 1e6:.0f} us\n"
+        f"  empty delta {empty_delta_bytes} bytes, "
+        f"applied in {(empty_applied_s - renewed_s) * 1e6:.0f} us\n"
     )
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/change_ids.py
@@ -32,7 +32,7 @@
 ) -> None:
     """Store an answer and evict the oldest ones beyond the bounds.
 
-    ``answers`` is changed in place and ordered as the log is.
+    ``answers`` is changed in place and is in the order of the log.
     """
     answers[change_id] = answer
     while len(answers) > MAX_CHANGE_IDS:
--- a/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/configuration.py
@@ -311,7 +311,7 @@
         outcome: Outcome = "applied" if decision.changed else "unchanged"
         if decision.finding:
             outcome = "refused"
-        # Orders that changed nothing are left out of the audit trail, as
+        # A resend that changed nothing is left out of the audit trail, as
         # each retry of the leader would add an entry.
         if outcome != "unchanged":
             self._append_audit_entry(
--- a/packages/sycamorestand-state/src/sycamorestand_state/leases.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/leases.py
@@ -16,8 +16,9 @@
 
 Entries renew every 0.4 s. A leader change of 1.5 s costs four renewals in
 the worst case and leaves 2.0 - 0.4 - 1.5 > 0 seconds of an entry's lease.
-The lease of a control process that is cut off expires after 2.4 s times
-the margin, below the 3 s in which a revision has to be in force everywhere.
+The lease of a control process that is cut off expires after 2.4 s, extended
+by `DRIFT_MARGIN`. This is below the 3 s in which a revision has to be in
+force everywhere.
 """
 
 from __future__ import annotations
@@ -112,7 +113,10 @@
         parent_remaining_s: float,
         held_revision: int | None = None,
     ) -> LeaseGrant | None:
-        """Grant or renew a lease; return None if the holder gets none.
+        """Grant or renew a lease, or return None.
+
+        None means that the holder is below the required revision, or that
+        the granter has too little of its own lease left.
 
         ``acked_revision`` is the revision that the holder and all holders
         below it have acknowledged. ``held_revision`` is the one that the
--- a/packages/sycamorestand-state/src/sycamorestand_state/loads.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/loads.py
@@ -98,7 +98,7 @@
 
     def _store_if_newer(self, load: ServerLoad, now_s: float) -> None:
         known = self._reports.get(load.name)
-        if known is None or _newer(load, known.load):
+        if known is None or _is_newer(load, known.load):
             self._reports[load.name] = _Kept(load, now_s)
 
 
@@ -122,7 +122,7 @@
     )
 
 
-def _newer(new: ServerLoad, old: ServerLoad) -> bool:
+def _is_newer(new: ServerLoad, old: ServerLoad) -> bool:
     return (new.incarnation, new.sequence) > (old.incarnation, old.sequence)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/registry.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/registry.py
@@ -4,13 +4,13 @@
 through its entries, and decides alone, on its own clock, when their leases
 expire. Renewals are not forwarded: other processes keep a record as long as
 they hear from its origin. Only membership changes are sent, as deltas of two
-streams: the own records go to other control processes, and the merged
-records of all origins go to entries.
+streams: a control process sends its own records to other control processes,
+and the merged records of all origins to entries.
 
 If several origins have a record of the same name, the one with the highest
-incarnation and sequence wins. When a leaving record is removed, its number
-is kept as a floor, so that an older record of another origin does not bring
-the announcer back.
+incarnation and sequence wins. The number of a leaving record is kept as a
+floor after the record is removed, so that an older record of another origin
+does not bring the announcer back.
 """
 
 from __future__ import annotations
@@ -116,7 +116,9 @@
         """Store a direct announcement; return False if it is old."""
         name = announcement.name
         heard = self._heard.get(name)
-        if heard is not None and not _newer(announcement, heard.announcement):
+        if heard is not None and not _is_newer(
+            announcement, heard.announcement
+        ):
             return False
         lease_s = min(announcement.lease_s, MAX_LEASE_S)
         self._heard[name] = _Heard(announcement, now_s + lease_s)
@@ -152,9 +154,10 @@
         return self._merged.full()
 
     def own_delta_since(self, version: int) -> MapDelta[A] | None:
-        """Return the own changes after a version, for a control process.
+        """Return changes to own records after a version.
 
-        Return None if the version is too old or unknown.
+        The delta is for another control process. Return None if the
+        version is too old or unknown.
         """
         return self._own.delta_since(version)
 
@@ -199,7 +202,7 @@
         # A renewal changes nothing, unless a newer record of another origin
         # or a floor overrides the record that is announced here.
         if name in self._own.records and merged is not None:
-            if not _newer(heard.announcement, merged):
+            if not _is_newer(heard.announcement, merged):
                 return
             if self._has_same_membership(heard.announcement, merged):
                 return
@@ -243,7 +246,7 @@
     return (announcement.incarnation, announcement.sequence)
 
 
-def _newer(new: Announced, old: Announced) -> bool:
+def _is_newer(new: Announced, old: Announced) -> bool:
     return _number(new) > _number(old)
 
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/rollouts.py
@@ -69,7 +69,7 @@
 
 
 def step_rollout(state: ConfigurationState, command: RolloutStep) -> Decision:
-    """Move a running roll-out one step forward, or back to any step."""
+    """Move a running roll-out a step forward, or to any earlier step."""
     rollout = state.rollouts.get(command.model)
     if rollout is None:
         return refused(state, f"rollouts.{command.model}: is not started")
--- a/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/tombstones.py
@@ -86,7 +86,7 @@
         generation.opened.add(key_hash)
         self._count += 1
         if len(generation.opened) >= MAX_OPEN_HASHES:
-            self._generations[number] = _closed(generation)
+            self._generations[number] = _close_generation(generation)
 
     def holds(self, customer: str, key: str) -> bool:
         """Return whether the key was used within the window."""
@@ -129,7 +129,7 @@
             self._count += len(generation.opened) + len(generation.closed)
 
 
-def _closed(generation: _Generation) -> _Generation:
+def _close_generation(generation: _Generation) -> _Generation:
     merged = sorted((*generation.closed, *sorted(generation.opened)))
     return _Generation(set(), array(_UNSIGNED_64, merged))
 
--- a/packages/sycamorestand-state/tests/test_codec.py
+++ b/packages/sycamorestand-state/tests/test_codec.py
@@ -35,9 +35,10 @@
         """Guards against large changes that fill links and memory.
 
         Each change goes as a whole to every voter, also in other data
-        centres. With 1,000 routes and without compression, a change has
-        half a megabyte; frequent changes then were most of the traffic
-        between data centres, and the log's tail kept hundreds in memory.
+        centres. With 1,000 routes and without compression, a change takes
+        half a megabyte. Frequent changes then make up most of the traffic
+        between data centres, and the log's tail in memory holds hundreds
+        of them.
         """
         command = large()
         data = encode_command(command)
--- a/packages/sycamorestand-state/tests/test_configuration.py
+++ b/packages/sycamorestand-state/tests/test_configuration.py
@@ -100,7 +100,7 @@
 
 class TestNumberedDocuments:
     @pytest.mark.parametrize(
-        ("document", "told"),
+        ("document", "message_part"),
         [
             (SourceDocument(), "number 0 is below 7"),
             (SourceDocument(6, b"six"), "number 6 is below 7"),
@@ -109,7 +109,7 @@
         ids=["without one", "older", "other content"],
     )
     def test_an_older_document_is_refused(
-        self, document: SourceDocument, told: str
+        self, document: SourceDocument, message_part: str
     ) -> None:
         """Guards against undoing a numbered document that is in force.
 
@@ -122,7 +122,7 @@
         assert cluster.declare(held).outcome == "applied"
         result = cluster.declare(declare(document=document))
         assert result.outcome == "refused"
-        assert told in result.message
+        assert message_part in result.message
         assert cluster.machine.in_force().declarations == held
 
     def test_the_same_document_is_applied_with_other_rollouts(self) -> None:
--- a/packages/sycamorestand-state/tests/test_directory.py
+++ b/packages/sycamorestand-state/tests/test_directory.py
@@ -151,9 +151,9 @@
         assert entry.apply_delta(second, 0.0) == "resync"
         assert entry.apply_delta(control.full(), 0.0) == "applied"
         restarted = BackendDirectory("c1", 2)
-        beat = restarted.delta_since(0)
-        assert beat is not None
-        assert entry.apply_delta(beat, 0.0) == "resync"
+        empty_delta = restarted.delta_since(0)
+        assert empty_delta is not None
+        assert entry.apply_delta(empty_delta, 0.0) == "resync"
         assert entry.apply_delta(restarted.full(), 0.0) == "applied"
         assert entry.apply_delta(second, 0.0) == "stale"
         assert entry.servers() == {}
@@ -163,11 +163,11 @@
     ) -> None:
         control.announce(server("b1"), 0.0)
         entry.apply_delta(control.full(), 0.0)
-        beat = control.delta_since(1)
-        assert beat is not None
-        damaged = beat._replace(digest=beat.digest ^ 1)
+        empty_delta = control.delta_since(1)
+        assert empty_delta is not None
+        damaged = empty_delta._replace(digest=empty_delta.digest ^ 1)
         assert entry.apply_delta(damaged, 0.0) == "resync"
-        assert entry.apply_delta(beat, 0.0) == "resync"
+        assert entry.apply_delta(empty_delta, 0.0) == "resync"
         assert entry.apply_delta(control.full(), 0.0) == "applied"
 
     def test_an_unknown_version_has_no_delta(
@@ -217,12 +217,12 @@
         assert entry.load("b0", 90.0) is None
 
     @pytest.mark.parametrize(
-        ("count", "told"), [(0, 0), (3, 3), (9, 8), (13, 12), (27, 24)]
+        ("count", "rounded"), [(0, 0), (3, 3), (9, 8), (13, 12), (27, 24)]
     )
     def test_counts_are_rounded_down_by_about_a_quarter(
-        self, count: int, told: int
+        self, count: int, rounded: int
     ) -> None:
-        assert coarse_count(count) == told
+        assert coarse_count(count) == rounded
 
 
 class TestSubset:
--- a/packages/sycamorestand-state/tests/test_leases.py
+++ b/packages/sycamorestand-state/tests/test_leases.py
@@ -32,7 +32,7 @@
 
 
 class TestLeaseTable:
-    def test_in_force_once_all_holders_acknowledge(
+    def test_a_revision_is_in_force_once_all_holders_acknowledge(
         self, leader: LeaseTable
     ) -> None:
         leader.grant("a", 1, 0.0, 1.0)
@@ -203,7 +203,7 @@
 class LeaseRules(RuleBasedStateMachine):
     """Leader changes, restarts and delays, with clocks of different rates.
 
-    Whatever is delivered when, no entry accepts new work under a revision
+    In any order of delivery, no entry accepts new work under a revision
     below one that was reported as in force.
     """
 
@@ -274,14 +274,14 @@
         granter = request.granter
         now_s = self._clock_s(granter)
         if granter in CONTROLS:
-            backing_s = self.leases[granter].remaining_s(now_s)
+            parent_remaining_s = self.leases[granter].remaining_s(now_s)
         else:
-            backing_s = 1.0 if granter == self.leader else 0.0
+            parent_remaining_s = 1.0 if granter == self.leader else 0.0
         return self.tables[granter].grant(
             request.holder,
             request.acked_revision,
             now_s,
-            backing_s,
+            parent_remaining_s,
             request.held_revision,
         )
 
--- a/packages/sycamorestand-state/tests/test_rollouts.py
+++ b/packages/sycamorestand-state/tests/test_rollouts.py
@@ -141,7 +141,7 @@
         step(cluster, started, 1, 2)
         return cluster
 
-    def test_it_is_kept_until_the_version_is_stable(
+    def test_a_completed_rollout_is_kept_until_it_is_stable(
         self, completed: Cluster
     ) -> None:
         completed.declare(declare(rollouts={}))
@@ -149,7 +149,7 @@
         completed.declare(declare("2", rollouts={}))
         assert completed.machine.in_force().shares == {}
 
-    def test_the_next_rollout_is_refused_before_that(
+    def test_the_next_rollout_is_refused_until_the_last_is_stable(
         self, completed: Cluster
     ) -> None:
         """Guards against new work that silently returns to version 1.
