--- a/packages/sycamorestand-entry/tests/routed/test_targets.py
+++ b/packages/sycamorestand-entry/tests/routed/test_targets.py
@@ -50,7 +50,7 @@
                     name, "service", name, "hall", 1, 1, ("nest", version)
                 )
         self.context: Any = SimpleNamespace(control=self.control)
-        self.context.staying = RetainedSessions(IDLE_S)
+        self.context.retained_sessions = RetainedSessions(IDLE_S)
         self.context.servers = Servers(self.control, None)  # type: ignore[arg-type]
 
     def set_share(self, share: float) -> None:
@@ -71,7 +71,7 @@
     def receive_from(self, other: EntryScene) -> None:
         for message in other.control.sent_messages:
             step = Step(message.service, message.version, message.step)
-            self.context.staying.retain(step, message.places)
+            self.context.retained_sessions.retain(step, message.places)
 
 
 def make_call(session: str) -> RoutedCall:
@@ -185,7 +185,7 @@
 class TestActiveSessions:
     NAMES = tuple(f"s-{number}" for number in range(100))
 
-    def test_they_stay_at_the_first_step(self) -> None:
+    def test_active_sessions_stay_at_the_first_step(self) -> None:
         """Four sessions changed their version when a roll-out began."""
         here, elsewhere = EntryScene(), EntryScene()
         for scene in (here, elsewhere):
@@ -212,7 +212,9 @@
         other.receive_from(scene)
         assert {other.serve(name) for name in self.NAMES} == {OLD}
 
-    def test_they_move_once_the_new_version_has_nearly_all_work(self) -> None:
+    def test_sessions_move_once_the_new_version_has_nearly_all_work(
+        self,
+    ) -> None:
         scene = EntryScene()
         for share in (0.0, 0.13):
             scene.set_share(share)
