--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -21,8 +21,8 @@
 from sycamorestand_bench.quickstart.world import DATA_CENTRES
 from sycamorestand_bench.quickstart.world import STRONG
 from sycamorestand_bench.quickstart.world import World
-from sycamorestand_model.declarations import customer_allows
 from sycamorestand_model.declarations import Declarations
+from sycamorestand_model.declarations import is_version_allowed
 from sycamorestand_model.declarations import version_id
 from sycamorestand_model.keys import hash_key
 from sycamorestand_model.load import load_folder
@@ -132,7 +132,9 @@
         for version in model.versions
     ]
     return {
-        name: frozenset(i for i in identities if customer_allows(customer, i))
+        name: frozenset(
+            i for i in identities if is_version_allowed(customer, i)
+        )
         for name, customer in declared.customers.items()
     }
 
@@ -151,7 +153,7 @@
     _say(f"backend server {LEAVING} leaves")
     world.leave(LEAVING)
     await anyio.sleep(LEAVING_BOUND_S)
-    runs_at_leaving = world.runs_at(LEAVING)
+    runs_at_leaving = world.runs_on_server(LEAVING)
     _say("killing entry-3")
     cluster.kill("entry-3")
     entries.pop("entry-3")
@@ -164,7 +166,7 @@
     entries["entry-3"] = f"127.0.0.1:{node.port}"
     _say("withdrawing nest-small 4")
     await operator.run("withdraw", ROLLED_OUT, "--wait")
-    runs_at_withdrawal = world.runs_of(ROLLED_OUT)
+    runs_at_withdrawal = world.runs_on_version(ROLLED_OUT)
     _say("stopping entry-2 as planned")
     stopped = entries.pop("entry-2")
     status = await anyio.to_thread.run_sync(cluster.stop, "entry-2")
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/waiters.py
@@ -1,4 +1,4 @@
-"""Callers that wait for an entry to be applied or a read to be confirmed."""
+"""Callers that wait for an applied entry or a confirmed read."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Waiter:
-    """One caller, and what it will be told."""
+    """One caller that waits for a result or an error."""
 
     def __init__(self) -> None:
-        """Begin without an outcome."""
+        """Start without a result or error."""
         self._done = anyio.Event()
         self._result: object = None
         self._error: Exception | None = None
@@ -43,11 +43,11 @@
     waiter: Waiter
 
 
-class Proposals:
-    """Waiters by the index of the entry that they proposed."""
+class PendingProposals:
+    """Waiters by the log index of the entry that they proposed."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Start without waiters."""
         self._by_index: dict[int, _Proposal] = {}
 
     def add(self, index: int, term: int) -> Waiter:
@@ -56,40 +56,48 @@
         self._by_index[index] = _Proposal(term, waiter)
         return waiter
 
-    def applied(self, entry: Entry, result: object) -> None:
-        """Tell the caller, if the entry is still the one it proposed."""
-        found = self._by_index.pop(entry.log_index, None)
-        if found is None:
+    def resolve(self, entry: Entry, result: object) -> None:
+        """Pass the result to the caller that proposed the entry.
+
+        The caller gets ``ProposalLost`` if its own entry was overwritten
+        by one of another term.
+        """
+        proposal = self._by_index.pop(entry.log_index, None)
+        if proposal is None:
             return
-        if found.term == entry.term:
-            found.waiter.succeed(result)
+        if proposal.term == entry.term:
+            proposal.waiter.succeed(result)
         else:
-            found.waiter.fail(ProposalLost("another entry took the place"))
+            proposal.waiter.fail(ProposalLost("another entry took the place"))
 
-    def drop_after(self, index: int, *, but_term: int) -> None:
-        """Give up those after ``index`` that are not of ``but_term``."""
+    def fail_after(self, index: int, *, except_term: int) -> None:
+        """Fail the waiters after ``index`` that are not of ``except_term``."""
         lost = [
-            found
-            for found, proposal in self._by_index.items()
-            if found > index and proposal.term != but_term
+            entry_index
+            for entry_index, proposal in self._by_index.items()
+            if entry_index > index and proposal.term != except_term
         ]
-        for position in lost:
-            proposal = self._by_index.pop(position)
+        for lost_index in lost:
+            proposal = self._by_index.pop(lost_index)
             proposal.waiter.fail(ProposalLost("leadership was lost"))
 
-    def drop_through(self, index: int) -> None:
-        """Give up those that a snapshot has passed over."""
-        passed = [found for found in self._by_index if found <= index]
-        for position in passed:
-            proposal = self._by_index.pop(position)
+    def fail_through(self, index: int) -> None:
+        """Fail the waiters up to ``index``, which a snapshot covers."""
+        covered = [
+            entry_index
+            for entry_index in self._by_index
+            if entry_index <= index
+        ]
+        for covered_index in covered:
+            proposal = self._by_index.pop(covered_index)
             proposal.waiter.fail(ProposalLost("a snapshot hides the outcome"))
 
 
-class Reads:
-    """Read barriers by number, then by the index that they wait for."""
+class PendingReads:
+    """Waiters of read barriers, until confirmed and until applied."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Start without waiters."""
         self._unconfirmed: dict[int, Waiter] = {}
         self._confirmed: list[tuple[int, Waiter]] = []
 
@@ -100,35 +108,35 @@
         return waiter
 
     def confirm(self, barrier_id: int, index: int) -> None:
-        """Note that a read is safe once ``index`` is applied."""
+        """Let a read proceed once ``index`` is applied."""
         waiter = self._unconfirmed.pop(barrier_id, None)
         if waiter is not None:
             self._confirmed.append((index, waiter))
 
-    def applied(self, index: int) -> None:
-        """Wake the callers whose index is applied."""
+    def complete_through(self, index: int) -> None:
+        """Wake the callers whose read index is at most ``index``."""
         if not self._confirmed:
             return
         waiting = []
-        for wanted, waiter in self._confirmed:
-            if wanted <= index:
+        for read_index, waiter in self._confirmed:
+            if read_index <= index:
                 waiter.succeed(None)
             else:
-                waiting.append((wanted, waiter))
+                waiting.append((read_index, waiter))
         self._confirmed = waiting
 
-    def drop_unconfirmed(self, leader_id: str) -> None:
-        """Tell the callers that this member no longer leads."""
+    def fail_unconfirmed(self, leader_id: str) -> None:
+        """Fail the unconfirmed reads, as this member does not lead."""
         for waiter in self._unconfirmed.values():
             waiter.fail(NotLeader(leader_id))
         self._unconfirmed.clear()
 
-    def drop_all(self) -> None:
-        """Tell all callers that this member stops."""
-        self.drop_unconfirmed("")
+    def fail_all(self) -> None:
+        """Fail all reads, as this member stops."""
+        self.fail_unconfirmed("")
         for _, waiter in self._confirmed:
             waiter.fail(NotLeader(""))
         self._confirmed.clear()
 
 
-__all__ = ["Proposals", "Reads", "Waiter"]
+__all__ = ["PendingProposals", "PendingReads", "Waiter"]
--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -1,4 +1,4 @@
-"""Both levels of configuration leases, as one control process runs them."""
+"""Grant and hold configuration leases in a control process."""
 
 from __future__ import annotations
 
@@ -29,20 +29,22 @@
     from sycamorestand_state.leases import LeaseTable
 
 LOG: Final = logging.getLogger(__name__)
-ASK_S: Final = 0.05
-FORGET_AFTER_ROUNDS: Final = 25
+RETRY_INTERVAL_S: Final = 0.05
+# Expired leases of entries are dropped once in this many rounds of `run`.
+FORGET_EVERY_ROUNDS: Final = 25
 
 
-class _Term(NamedTuple):
+class _LeaderTerm(NamedTuple):
     number: int
     table: LeaseTable
 
 
 class LeaseService:
-    """Holds this process's lease and grants those of entries under it.
+    """Holds this process's lease and grants leases to its entries.
 
+    An entry's lease ends before the lease of the process that granted it.
     While the process leads, it also grants the leases of all control
-    processes, its own included.
+    processes, including its own.
     """
 
     def __init__(
@@ -53,62 +55,69 @@
         self._revision = revision
         self._held = HeldLease()
         self._entries = control_table(boottime_s())
-        self._term: _Term | None = None
-        self._kicked = anyio.Event()
-        self._acked_sent = -1
+        self._term: _LeaderTerm | None = None
+        self._renew_now = anyio.Event()
+        self._reported_revision = -1
         self._was_held = False
 
     def remaining_s(self) -> float:
-        """Return how long this process may still grant leases."""
+        """Return how many seconds this process may still grant leases."""
         return self._held.remaining_s(boottime_s())
 
     def revision_applied(self) -> None:
-        """Ask of holders the revision that was just applied."""
+        """Require the newly applied revision of every lease holder."""
         revision = self._revision()
         self._entries.require(revision)
         if self._term is not None:
             self._term.table.require(revision)
-        self._kicked.set()
+        self._renew_now.set()
 
     def grant_entry(
         self, holder: str, acked_revision: int
     ) -> LeaseGrant | None:
-        """Grant or renew the lease of an entry, None where it may not be."""
+        """Grant or renew an entry's lease, or return None to deny it."""
         grant = self._entries.grant(
             holder, acked_revision, boottime_s(), self.remaining_s()
         )
-        if self._acked() > self._acked_sent:
-            # An operator waits for this acknowledgement; the next renewal
-            # would bring it up to an interval later.
-            self._kicked.set()
+        if self._acked_revision() > self._reported_revision:
+            # An operator waits for this acknowledgement, and the next renewal
+            # would send it up to `RENEW_INTERVAL_S` later.
+            self._renew_now.set()
         return grant
 
     def live_entries(self) -> tuple[str, ...]:
-        """Return the entries whose lease may still run."""
+        """Return the entries whose lease may not have expired yet."""
         return self._entries.live_holders(boottime_s())
 
     def in_force(self, revision: int) -> InForceStatus | None:
-        """Return the leader's answer, None while this process is none."""
+        """Return whether a revision is in force, as the leader knows it.
+
+        Returns None if this process does not lead or has not applied the
+        revision yet.
+        """
         table = self._leading_table()
         if table is None or self._revision() < revision:
             return None
         return table.in_force(revision, boottime_s())
 
     def live_controls(self) -> tuple[str, ...]:
-        """Return the control processes whose lease may still run."""
+        """Return the control processes whose lease may not have expired.
+
+        Only the leader knows them; other processes return none.
+        """
         table = self._leading_table()
         return () if table is None else table.live_holders(boottime_s())
 
-    def request_received(
+    def handle_request(
         self, sender: str, message: ControlLeaseRequest
     ) -> None:
-        """Grant a control process's lease, where this process leads."""
+        """Grant a control process's lease if this process leads."""
         granted = self._grant_control(message)
         if granted is not None:
             self._mesh.send(sender, granted)
 
     def granted(self, message: ControlLeaseGranted) -> None:
-        """Take a lease from the leader."""
+        """Store the lease that the leader has granted to this process."""
         grant = LeaseGrant(message.length_s, message.revision)
         self._held.renew(message.sent_at_s, grant)
 
@@ -116,23 +125,27 @@
         """Renew this process's own lease until cancelled."""
         rounds = 0
         while True:
-            self._kicked = anyio.Event()
-            await self._follow_term()
+            self._renew_now = anyio.Event()
+            await self._sync_term()
             self._renew()
-            self._log_change()
+            self._log_lease_change()
             rounds += 1
-            if rounds % FORGET_AFTER_ROUNDS == 0:
+            if rounds % FORGET_EVERY_ROUNDS == 0:
                 self._entries.forget_expired(boottime_s())
-            # Without a lease it asks often: a process that has started
-            # waits for the leader to be known and for nothing else.
-            pause_s = RENEW_INTERVAL_S if self.remaining_s() > 0 else ASK_S
+            # Without a lease the process asks more often: after a start it
+            # only waits until the leader is known.
+            pause_s = (
+                RENEW_INTERVAL_S
+                if self.remaining_s() > 0
+                else RETRY_INTERVAL_S
+            )
             with anyio.move_on_after(pause_s):
-                await self._kicked.wait()
+                await self._renew_now.wait()
 
     def _renew(self) -> None:
-        acked = self._acked()
+        acked_revision = self._acked_revision()
         request = ControlLeaseRequest(
-            self._mesh.address, boottime_s(), acked, self._revision()
+            self._mesh.address, boottime_s(), acked_revision, self._revision()
         )
         if self._leading_table() is not None:
             granted = self._grant_control(request)
@@ -142,21 +155,21 @@
             address = self._groups.leader_address(CONFIGURATION_GROUP)
             if address and address != self._mesh.address:
                 self._mesh.send(address, request)
-        self._acked_sent = acked
+        self._reported_revision = acked_revision
 
-    def _log_change(self) -> None:
-        """Log when the lease is lost, or held again.
+    def _log_lease_change(self) -> None:
+        """Log when the lease is lost or held again.
 
-        Without one the process may be cut off, and what is told to it
-        reaches nobody.
+        A process without a lease may be cut off, so messages to it may
+        reach no other process.
         """
-        held = self.remaining_s() > 0
-        if held == self._was_held:
+        is_held = self.remaining_s() > 0
+        if is_held == self._was_held:
             return
-        self._was_held = held
-        LOG.info("control lease held" if held else "control lease lost")
+        self._was_held = is_held
+        LOG.info("control lease held" if is_held else "control lease lost")
 
-    def _acked(self) -> int:
+    def _acked_revision(self) -> int:
         return self._entries.revision_to_acknowledge(
             self._revision(), boottime_s()
         )
@@ -168,8 +181,8 @@
         if table is None:
             return None
         replica = self._groups.replicas[CONFIGURATION_GROUP]
-        # Read after the request came: a quorum that was there before says
-        # nothing about a leader that has been cut off since.
+        # The leader's lease is read after the request arrived: an earlier
+        # quorum does not show that the leader has not been cut off since.
         grant = table.grant(
             message.control,
             message.acked_revision,
@@ -189,11 +202,11 @@
             return None
         return self._term.table if self._term.number == status.term else None
 
-    async def _follow_term(self) -> None:
-        """Start a table when this process has become the leader.
+    async def _sync_term(self) -> None:
+        """Create a new lease table when this process becomes the leader.
 
-        Only after the barrier does it hold every revision that an earlier
-        leader may have reported in force.
+        Only after the read barrier has this process applied every revision
+        that an earlier leader may have reported as in force.
         """
         replica = self._groups.replicas[CONFIGURATION_GROUP]
         status = replica.status()
@@ -208,7 +221,7 @@
         except ConsensusError:
             return
         table = leader_table(became_leader_s, self._revision())
-        self._term = _Term(status.term, table)
+        self._term = _LeaderTerm(status.term, table)
         LOG.info("leads", extra={"term": status.term})
 
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -1,4 +1,4 @@
-"""The leader's side of membership: who becomes a voter, and for whom."""
+"""Admission and replacement of voters, as the leader of a log does it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sycamorestand_consensus.errors import ConsensusError
 from sycamorestand_consensus.errors import MembershipRefused
 from sycamorestand_control.groups import CONFIGURATION_GROUP
-from sycamorestand_control.joining import BELONGS
+from sycamorestand_control.joining import IN_CLUSTER
 from sycamorestand_control.joining import is_voter
 from sycamorestand_control.voter_repair import next_change
 from sycamorestand_control.voter_repair import ObservedMember
@@ -32,30 +32,33 @@
 
 LOG: Final = logging.getLogger(__name__)
 ADMIT_INTERVAL_S: Final = 0.2
-# A process that asked to join and then fell silent is not waited for.
+# A process that has not asked to join for this long counts as gone.
 JOINER_SILENCE_S: Final = 5.0
-# A learner that lags longer keeps the operator waiting for nothing, and
-# would stay a member that no quorum can count on.
+# A learner that has not caught up by then is removed. Otherwise the
+# operator's command would wait without a result, and the group would keep a
+# member that cannot vote.
 CATCH_UP_S: Final = 20.0
-# A commit takes milliseconds; on a busy machine, or beside an election, it
-# may take seconds. Without a quorum it never comes.
+# A commit takes milliseconds, or seconds on a busy machine or during an
+# election. Without a quorum it never completes.
 CHANGE_WAIT_S: Final = 5.0
-# A leader's loop that pauses this long was suspended or starved.
-PAUSED_S: Final = 1.0
-# A request that another process passed on expects no reply.
-PASSED_ON: Final = 0
-
-
-class Admissions:
-    """The leader's side: who asked to join, and who is to replace whom.
-
-    A voter whose disk was lost comes back under a new id and asks like
-    any stranger. It is admitted by itself only while the group has fewer
-    voters than wanted, which is the formation of a new cluster; later a
-    lost voter still counts, so its replacement waits for an operator, or
-    with ``replace_lost`` for the rules of `voter_repair`. Without that, a
-    wiped voter would vote again in a term in which its old self had voted,
-    and two leaders could commit different entries.
+# A loop whose round takes this long was suspended or got no processor time.
+SUSPENDED_AFTER_S: Final = 1.0
+# The call id of a join request that another process has forwarded; such a
+# request gets no reply.
+FORWARDED: Final = 0
+
+
+class MembershipManager:
+    """Records which processes ask to join, and changes the voters.
+
+    A voter whose disk was lost restarts under a new id and asks to join
+    like any unknown process. A joiner is admitted without an operator only
+    while the group has fewer voters than wanted, that is, while a new
+    cluster forms. Later the lost voter still counts, so its replacement
+    waits for an operator or, with ``replace_lost``, for the rules of
+    `voter_repair`. Without these rules a wiped voter could vote a second
+    time in a term in which it had voted under its old id, and two leaders
+    could commit different entries.
     """
 
     def __init__(
@@ -69,64 +72,74 @@
         self._groups = groups
         self._voters_wanted = voters_wanted
         self._replace_lost = replace_lost
-        self._leads_since_s: dict[int, float] = {}
+        self._leading_since_s: dict[int, float] = {}
         self._joiners: dict[str, JoinRequest] = {}
-        self._asked_s: dict[str, float] = {}
+        self._last_asked_s: dict[str, float] = {}
 
-    def waiting(self) -> tuple[JoinRequest, ...]:
-        """Return processes that ask to join and are no members yet."""
-        members = _member_ids(self._configuration())
+    def waiting_joiners(self) -> tuple[JoinRequest, ...]:
+        """Return the processes that ask to join and are not members yet."""
+        members = _member_ids(self._configuration_replica())
         return tuple(
             joiner
             for joiner in self._joiners.values()
-            if joiner.member_id not in members and self._is_alive(joiner)
+            if joiner.member_id not in members and self._is_asking(joiner)
         )
 
     def receive(self, sender: str, request: JoinRequest) -> None:
-        """Note a joiner and tell it that it was heard."""
-        # One process listens at an address, so an earlier id there was
-        # lost with its disk: as a learner it would never catch up.
+        """Record a joiner, forward its request to the leaders, and reply.
+
+        The reply says whether this process belongs to a cluster.
+        """
+        # Only one process listens at an address, so an earlier id there was
+        # lost with its disk. As a learner it would never catch up.
         for member_id, earlier in list(self._joiners.items()):
             if earlier.address == request.address:
                 del self._joiners[member_id]
         self._joiners[request.member_id] = request
-        self._asked_s[request.member_id] = boottime_s()
-        if request.call_id == PASSED_ON:
+        self._last_asked_s[request.member_id] = boottime_s()
+        if request.call_id == FORWARDED:
             return
-        self._pass_on(request)
-        status = self._configuration().status()
-        belongs = BELONGS if status.members else b""
-        self._mesh.send(sender, CallReply(request.call_id, "", belongs))
+        self._forward(request)
+        status = self._configuration_replica().status()
+        in_cluster = IN_CLUSTER if status.members else b""
+        self._mesh.send(sender, CallReply(request.call_id, "", in_cluster))
 
     async def run(self) -> None:
-        """Admit learners and promote them, while this process leads."""
-        looked_s = boottime_s()
+        """Admit or replace voters of the logs that this process leads.
+
+        Runs until cancelled and makes at most one change of each log every
+        `ADMIT_INTERVAL_S`.
+        """
+        last_round_s = boottime_s()
         while True:
             await anyio.sleep(ADMIT_INTERVAL_S)
             now_s = boottime_s()
-            if now_s - looked_s > PAUSED_S:
-                # Whoever was paused has heard nobody meanwhile.
-                self._leads_since_s.clear()
-            looked_s = now_s
+            if now_s - last_round_s > SUSPENDED_AFTER_S:
+                # While suspended, this process received nothing, so the
+                # silence of the members must be counted anew.
+                self._leading_since_s.clear()
+            last_round_s = now_s
             for group, replica in self._groups.replicas.items():
                 if replica.status().role != "leader":
-                    self._leads_since_s.pop(group, None)
+                    self._leading_since_s.pop(group, None)
                     continue
-                since_s = self._leads_since_s.setdefault(group, now_s)
+                since_s = self._leading_since_s.setdefault(group, now_s)
                 try:
                     if self._replace_lost:
-                        await self._repair_one(replica, since_s)
+                        await self._repair_voters(replica, since_s)
                     else:
                         await self._admit_one(replica)
                 except ConsensusError as error:
                     LOG.debug("not admitted", extra={"reason": str(error)})
 
-    async def replace(self, group: int, old_id: str, new_id: str) -> None:
+    async def replace_voter(
+        self, group: int, old_id: str, new_id: str
+    ) -> None:
         """Make a joiner a voter of a log, then remove the old voter.
 
-        The new voter is a learner until it has caught up and synced, so
-        that at no moment a quorum rests on a disk without the entries.
-        Safe to repeat; raises `ConsensusError` where the log refuses or
+        The joiner remains a learner until it has caught up and synced, so
+        that no quorum ever includes a disk without the entries. The call is
+        idempotent. Raises `ConsensusError` if the log refuses a change or
         this process does not lead it.
         """
         if old_id == new_id:
@@ -141,47 +154,52 @@
             if old_id in _member_ids(replica):
                 await replica.remove(old_id)
 
-        await _when_committed(add)
+        await _retry_while_under_way(add)
         if not is_voter(replica, new_id):
             await _promote_when_ready(replica, new_id)
-        await _when_committed(remove)
+        await _retry_while_under_way(remove)
 
     async def _add_learner(self, replica: Replica, member_id: str) -> None:
         joiner = self._joiners.get(member_id)
-        if joiner is None or not self._is_alive(joiner):
+        if joiner is None or not self._is_asking(joiner):
             raise MembershipRefused(
                 f"{member_id} does not ask to join; see the alarms of"
                 " sycactl status for who does"
             )
         await replica.add_learner(member_id, joiner.address)
 
-    def _configuration(self) -> Replica:
+    def _configuration_replica(self) -> Replica:
         return self._groups.replicas[CONFIGURATION_GROUP]
 
-    def _is_alive(self, joiner: JoinRequest) -> bool:
-        """Tell whether the joiner itself still asks.
+    def _is_asking(self, joiner: JoinRequest) -> bool:
+        """Return whether the joiner's own id still asks to join.
 
-        Its address may answer all the same: a VM that was started on an
-        empty folder and then on its old disk is there, the id of the
-        empty folder is not.
+        Its address may answer even if the id is gone: a VM that started on
+        an empty folder and then on its original disk answers under the
+        original id.
         """
-        asked_s = self._asked_s[joiner.member_id]
+        asked_s = self._last_asked_s[joiner.member_id]
         return boottime_s() - asked_s < JOINER_SILENCE_S
 
-    def _pass_on(self, request: JoinRequest) -> None:
-        """Tell the leaders: a newcomer knows them not, and few others.
+    def _forward(self, request: JoinRequest) -> None:
+        """Forward a join request to the leader of each log.
 
-        The addresses that it was given may be old, and none the leader's.
+        A joining process does not know the leaders. The addresses in its
+        settings may be outdated and include no leader.
         """
         for group in self._groups.replicas:
             leader = self._groups.leader_address(group)
             if leader and leader != self._mesh.address:
-                self._mesh.send(leader, request._replace(call_id=PASSED_ON))
+                self._mesh.send(leader, request._replace(call_id=FORWARDED))
+
+    async def _repair_voters(self, replica: Replica, since_s: float) -> None:
+        """Make the change that `voter_repair` chooses, if any.
 
-    async def _repair_one(self, replica: Replica, since_s: float) -> None:
+        ``since_s`` is when this process became the leader of the log.
+        """
         members = replica.status().members
         own_id = replica.member_id
-        seen = [
+        observed = [
             ObservedMember(
                 member.member_id,
                 member.address,
@@ -192,25 +210,25 @@
             )
             for member in members
         ]
-        asking = [
+        joiners = [
             ObservedMember(
-                joiner.member_id, joiner.address, self._unasked_s(joiner)
+                joiner.member_id, joiner.address, self._since_asked_s(joiner)
             )
             for joiner in self._joiners.values()
-            if self._is_alive(joiner)
+            if self._is_asking(joiner)
         ]
-        step = next_change(own_id, seen, asking, self._voters_wanted)
-        if step is None:
+        change = next_change(own_id, observed, joiners, self._voters_wanted)
+        if change is None:
             return
-        if step.kind == "add":
-            await replica.add_learner(step.member_id, step.address)
-        elif step.kind == "promote":
-            await replica.promote(step.member_id)
+        if change.kind == "add":
+            await replica.add_learner(change.member_id, change.address)
+        elif change.kind == "promote":
+            await replica.promote(change.member_id)
         else:
-            await replica.remove(step.member_id)
+            await replica.remove(change.member_id)
         LOG.info(
             "voters changed",
-            extra={"step": step.kind, "member": step.member_id},
+            extra={"step": change.kind, "member": change.member_id},
         )
 
     def _silent_s(
@@ -219,23 +237,23 @@
         members: Sequence[MemberStatus],
         since_s: float,
     ) -> float:
-        """Return how long a member was silent, at most since we lead.
+        """Return a member's silence in seconds since this process leads.
 
-        A follower answers nobody but the leader, so silence from before
-        tells nothing.
+        A follower answers only the leader, so its silence towards this
+        process before that means nothing.
         """
         heard_s = max(
             self._groups.heard_s(member.member_id),
-            self._asked_s.get(member.member_id, 0.0),
+            self._last_asked_s.get(member.member_id, 0.0),
             since_s,
         )
         silent_s = boottime_s() - heard_s
-        if self._shares_address(member, members):
+        if self._has_shared_address(member, members):
             return silent_s
-        # A log whose disk stalls is silent; its process is not lost.
-        return min(silent_s, self._mesh.unheard_s(member.address))
+        # A stalled disk silences a log while its process is still alive.
+        return min(silent_s, self._mesh.silence_s(member.address))
 
-    def _shares_address(
+    def _has_shared_address(
         self, member: MemberStatus, members: Sequence[MemberStatus]
     ) -> bool:
         others: list[JoinRequest | MemberStatus] = [*members]
@@ -246,10 +264,15 @@
             for other in others
         )
 
-    def _unasked_s(self, joiner: JoinRequest) -> float:
-        return boottime_s() - self._asked_s[joiner.member_id]
+    def _since_asked_s(self, joiner: JoinRequest) -> float:
+        return boottime_s() - self._last_asked_s[joiner.member_id]
 
     async def _admit_one(self, replica: Replica) -> None:
+        """Make the first change that applies, without replacing lost voters.
+
+        These are, in order: promote a learner, continue a replacement that
+        an operator has started, and add a learner if voters are missing.
+        """
         members = replica.status().members
         voters = [member for member in members if member.voter]
         learners = [member for member in members if not member.voter]
@@ -257,81 +280,92 @@
             await replica.promote(learners[0].member_id)
             LOG.info("voter admitted", extra={"member": learners[0].member_id})
             return
-        if await self._follow_configuration(replica, voters):
+        if await self._continue_replacement(replica, voters):
             return
         if len(voters) >= self._voters_wanted:
             return
         known = {member.member_id for member in members}
         for joiner in self._joiners.values():
-            if joiner.member_id not in known and self._is_alive(joiner):
+            if joiner.member_id not in known and self._is_asking(joiner):
                 await replica.add_learner(joiner.member_id, joiner.address)
                 LOG.info("learner added", extra={"member": joiner.member_id})
                 return
 
-    async def _follow_configuration(
+    async def _continue_replacement(
         self, replica: Replica, voters: Sequence[MemberStatus]
     ) -> bool:
-        """Take one step towards what was replaced in the first log.
-
-        `replace` goes through the logs in turn, and stops where a leader
-        changes. The voter then shows as replaced and misses a log: nobody
-        is told, and entries that are attached to it get no order through.
-        An operator has approved it for the first log, so that no stranger
-        gets in this way, and both are at one address, so that no sound
-        voter is removed. Returns whether a step was taken.
+        """Make one change towards the voters of the configuration log.
+
+        An operator's command calls `replace_voter` for one log after the
+        other and stops if a leader changes in between. The new voter then
+        lacks a log while the status shows it as a voter, and the ledger
+        batches of the entries attached to it fail. Continuing is safe: an
+        operator has approved the new voter for the configuration log, and
+        both ids have the same address, so no healthy voter is removed.
+        Returns whether a change was made.
         """
-        if replica is self._configuration():
+        if replica is self._configuration_replica():
             return False
         approved = {
             member.address: member.member_id
-            for member in self._configuration().status().members
+            for member in self._configuration_replica().status().members
             if member.voter
         }
-        present = {voter.member_id for voter in voters}
+        voter_ids = {voter.member_id for voter in voters}
         for voter in voters:
             successor = approved.get(voter.address, voter.member_id)
             if successor == voter.member_id:
                 continue
-            if successor in present:
+            if successor in voter_ids:
                 await replica.remove(voter.member_id)
             else:
                 await self._add_learner(replica, successor)
-            LOG.info("replacement goes on", extra={"member": successor})
+            LOG.info("replacement continued", extra={"member": successor})
             return True
         return False
 
 
-async def _when_committed(change: Callable[[], Awaitable[None]]) -> None:
-    """Make a change once an earlier one is committed, if there is one.
+async def _retry_while_under_way(
+    change: Callable[[], Awaitable[None]],
+) -> None:
+    """Make a change, and retry while an earlier change is under way.
 
-    The leader's own round makes changes too; the operator's command was
-    refused for one that its own system had under way.
+    The leader's own loop makes changes too. Without the retry, one of them
+    would cause an operator's command to be refused. Raises `ChangeUnderWay`
+    after `CHANGE_WAIT_S`.
     """
-    until_s = boottime_s() + CHANGE_WAIT_S
+    deadline_s = boottime_s() + CHANGE_WAIT_S
     while True:
         try:
             await change()
             return
         except ChangeUnderWay:
-            if boottime_s() >= until_s:
+            if boottime_s() >= deadline_s:
                 raise
         await anyio.sleep(ADMIT_INTERVAL_S)
 
 
 async def _promote_when_ready(replica: Replica, member_id: str) -> None:
-    until_s = boottime_s() + CATCH_UP_S
-    # The leader's own round may promote it first. Asked for once more, a
-    # promotion is refused, and taken for a learner that lags the new voter
-    # was removed again after 20 s, the other logs never reached.
+    """Promote a learner once it has caught up, or remove it.
+
+    Raises `MembershipRefused` if it has not caught up in `CATCH_UP_S`, and
+    `ConsensusError` if this process loses the leadership.
+    """
+    deadline_s = boottime_s() + CATCH_UP_S
+    # The leader's own loop may promote the learner first, and a second
+    # promotion is refused. Without this check, the new voter was taken for a
+    # lagging learner and removed after 20 s, before the other logs were
+    # changed.
     while not is_voter(replica, member_id):
         try:
             await replica.promote(member_id)
             return
         except ConsensusError:
-            # Not caught up yet, or leadership moved: the latter ends it.
+            # Either the learner has not caught up yet, or this process no
+            # longer leads; only the latter ends the wait.
             if replica.status().role != "leader":
                 raise
-        if boottime_s() > until_s:
+        if boottime_s() > deadline_s:
             await replica.remove(member_id)
             raise MembershipRefused(
                 f"{member_id} did not catch up in {CATCH_UP_S:.0f} s and was"
@@ -344,4 +378,4 @@
     return {member.member_id for member in replica.status().members}
 
 
-__all__ = ["Admissions"]
+__all__ = ["MembershipManager"]
--- a/packages/sycamorestand-decisions/tests/test_placement.py
+++ b/packages/sycamorestand-decisions/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 from sycamorestand_decisions.placement import Demand
 from sycamorestand_decisions.placement import Limits
-from sycamorestand_decisions.placement import MIN_STAY_S
+from sycamorestand_decisions.placement import MIN_REPLICA_AGE_S
 from sycamorestand_decisions.placement import Order
 from sycamorestand_decisions.placement import plan_orders
 from sycamorestand_decisions.placement import ServerSlots
@@ -20,7 +20,7 @@
 
 
 class TestPlanOrders:
-    def test_loads_where_there_is_room(self) -> None:
+    def test_loads_on_a_server_with_free_capacity(self) -> None:
         servers = [server("a", "x@1"), server("b", "x@1", "y@1")]
         demand = {"x@1": Demand(1, 8), "y@1": Demand(7.5, 8)}
         orders = plan_orders(servers, demand, (), (), NOW_S)
@@ -41,7 +41,7 @@
         """Demand jumps right after four changes were made.
 
         Without the limit the pool would spend its time loading. The next
-        change waits until the window has passed.
+        change must wait until the window has passed.
         """
         servers = [server("a"), server("b")]
         demand = {"x@1": Demand(4, 8)}
@@ -50,10 +50,10 @@
         assert plan_orders(servers, demand, (), recent, NOW_S + 600.0)
 
     def test_withdrawn_versions_are_unloaded_last(self) -> None:
-        """A version is needed; an unused and a withdrawn one take room.
+        """A version needs capacity that an idle and a withdrawn one hold.
 
-        The unused one goes first: the withdrawn one may still have
-        sessions, and its withdrawal may be taken back.
+        The idle one is unloaded first: the withdrawn one may still have
+        sessions, and its withdrawal may be reverted.
         """
         servers = [server("a", "bad@1", "idle@1")]
         demand = {"new@1": Demand(4, 8)}
@@ -69,8 +69,10 @@
         ]
         assert not plan_orders(servers, {"new@1": Demand(4, 8)}, (), (), NOW_S)
 
-    def test_a_fresh_replica_stays(self) -> None:
-        servers = [ServerSlots("a", 1, {"idle@1": NOW_S - MIN_STAY_S / 2})]
+    def test_a_recent_replica_is_not_unloaded(self) -> None:
+        servers = [
+            ServerSlots("a", 1, {"idle@1": NOW_S - MIN_REPLICA_AGE_S / 2})
+        ]
         assert not plan_orders(servers, {"new@1": Demand(4, 8)}, (), (), NOW_S)
 
     def test_withdrawn_versions_are_never_loaded(self) -> None:
@@ -85,11 +87,11 @@
 
 
 class TestWantedReplicas:
-    def test_hysteresis_between_the_marks(self) -> None:
+    def test_hysteresis_between_the_watermarks(self) -> None:
         assert wanted_replicas(Demand(12.0, 8), 2) == 2
         assert wanted_replicas(Demand(14.5, 8), 2) == 3
         assert wanted_replicas(Demand(9.0, 8), 3) == 3
         assert wanted_replicas(Demand(2.0, 8), 3) == 1
 
-    def test_pins_are_the_least(self) -> None:
+    def test_pins_are_the_least_number_of_replicas(self) -> None:
         assert wanted_replicas(Demand(0.0, 8, 2), 2) == 2
--- a/packages/sycamorestand-decisions/tests/test_rollout.py
+++ b/packages/sycamorestand-decisions/tests/test_rollout.py
@@ -41,7 +41,7 @@
     return counted
 
 
-class TestJudge:
+class TestEvaluateRollout:
     @pytest.mark.parametrize(
         ("worse", "signal"),
         [
@@ -50,7 +50,7 @@
             (stats(2, 300, latency_ms=1_500.0), "latency"),
         ],
     )
-    def test_stops_what_is_worse(
+    def test_stops_a_worse_version(
         self, worse: VersionStats, signal: str
     ) -> None:
         verdict = evaluate_rollout(stats(1, 5_000), worse, ROLLOUT, 100.0)
@@ -58,11 +58,11 @@
         assert signal in verdict.reason
         assert verdict.evidence
 
-    def test_stops_what_is_bad_for_one_class_only(self) -> None:
-        """One class of ten in a hundred requests gets wrong answers.
+    def test_stops_a_version_that_is_bad_for_one_class_only(self) -> None:
+        """One class, ten in a hundred requests, gets wrong answers.
 
-        Overall ratings fall by two points, which is no harm in itself;
-        the class's own ratings show it.
+        Overall ratings fall by two percentage points, which is within the
+        margin; only the ratings of the class show the fault.
         """
         old = merge((stats(1, 9_000), stats(2, 1_000, request_class="review")))
         new = merge(
@@ -93,19 +93,19 @@
     def test_holds_while_the_rating_service_is_down(self) -> None:
         """The rating service goes down in the middle of a roll-out.
 
-        Nothing shows harm and nothing shows health. The roll-out neither
-        stops nor goes on until ratings come again.
+        There is evidence of neither harm nor health. The roll-out must neither
+        stop nor advance until ratings arrive again.
         """
         new = stats(2, 2_000, rated=False)
         verdict = evaluate_rollout(stats(1, 5_000), new, ROLLOUT, 9_999.0)
         assert isinstance(verdict, Continue)
         assert "ratings" in verdict.reason
 
-    def test_a_biased_rating_service_stops_nothing(self) -> None:
-        """Half-way through, the rating service rates all answers lower.
+    def test_a_biased_rating_service_stops_no_rollout(self) -> None:
+        """Halfway through, the rating service rates all answers lower.
 
         The new version has most of its requests in the bad hour, the old
-        one before it. Compared block by block they are the same.
+        version before it. Compared block by block, both versions are equal.
         """
         old = merge(
             (stats(1, 9_000), stats(2, 1_000, passes=0.6, now_s=7_200.0))
@@ -116,12 +116,12 @@
         verdict = evaluate_rollout(old, new, ROLLOUT, 7_300.0)
         assert not isinstance(verdict, Stop)
 
-    def test_without_an_old_version_beside_nothing_is_judged(self) -> None:
+    def test_blocks_without_the_old_version_are_not_compared(self) -> None:
         """At full use no request goes to the old version any more.
 
-        In these blocks the rating service rates lower. Compared with the
-        old version's earlier hours this looks like a worse version; there
-        is nothing beside it, so nothing is stopped.
+        In these blocks the rating service rates lower. Compared with earlier
+        blocks of the old version, the new one would look worse and be stopped
+        by mistake.
         """
         old = stats(1, 5_000)
         new = merge((stats(2, 300), stats(3, 900, passes=0.6, now_s=7_200.0)))
@@ -129,10 +129,10 @@
         assert not isinstance(verdict, Stop)
 
     def test_full_use_waits_for_ratings_of_each_class(self) -> None:
-        """A class has 150 ratings when the step before full use is done.
+        """A class has 150 ratings when the step before full use ends.
 
-        A version bad for that class could still look healthy by chance,
-        and at full use there is nothing left to compare with.
+        A version that is bad for this class could still look healthy by
+        chance, and at full use there is no old version left to compare with.
         """
         old = merge((stats(1, 5_000), stats(2, 900, request_class="review")))
         new = merge((stats(3, 800), stats(4, 150, request_class="review")))
@@ -153,8 +153,8 @@
     def test_resumes_at_the_committed_step(self) -> None:
         """The leader is lost during the third step.
 
-        The next one begins with that step's share and no counts: it waits
-        for new evidence, and skips no step.
+        The next leader begins with that step's share and without counts. It
+        must wait for new evidence and skip no step.
         """
         monitor = RolloutMonitor(ROLLOUT, 500.0, step=2)
         assert monitor.share == ROLLOUT.shares[2]
@@ -183,20 +183,20 @@
         assert isinstance(verdicts["nest@1"], Stop)
         assert "portal@1" not in verdicts
 
-    def test_a_biased_rating_service_withdraws_nothing(self) -> None:
-        """All versions' ratings fall in the same minutes.
+    def test_a_biased_rating_service_withdraws_no_version(self) -> None:
+        """The ratings of all versions fall in the same minutes.
 
-        Withdrawing them all would leave the callers without any answer,
-        because of a fault in the rating service.
+        Withdrawing all versions because of a fault in the rating service would
+        leave the callers without any answer.
         """
         verdicts = self._watch(0.6, 0.6)
         assert not any(isinstance(v, Stop) for v in verdicts.values())
 
-    def test_alone_it_tells_operators_and_withdraws_nothing(self) -> None:
-        """One version is in use, and its ratings fall.
+    def test_a_single_version_is_reported_but_not_withdrawn(self) -> None:
+        """The only version in use gets lower ratings.
 
-        Nothing tells whether it or the rating service changed. Operators
-        get the reason; new work goes on.
+        Whether the version or the rating service changed cannot be told apart.
+        Operators get the reason, and new work continues.
         """
         watch = VersionWatch()
         self._history(watch, "nest@1")
@@ -205,7 +205,7 @@
         assert isinstance(verdict, Continue)
         assert "rating service" in verdict.reason
 
-    def test_a_forgotten_version_is_not_judged(self) -> None:
+    def test_a_forgotten_version_gets_no_verdict(self) -> None:
         watch = VersionWatch()
         self._history(watch, "nest@1")
         watch.forget("nest@1")
@@ -233,18 +233,20 @@
         small = log_evidence(15, 100, 0.1)
         assert log_evidence(40, 100, 0.1) > small
 
-    def test_no_count_is_no_evidence(self) -> None:
+    def test_without_counts_there_is_no_evidence(self) -> None:
         assert log_evidence(0, 0, 0.1) == 0.0
 
 
 class TestTimeLimit:
-    """A roll-out that has to end within a time."""
+    """A roll-out that must end within a time limit."""
 
     LIMITED = Rollout(
         "nest", "2", (0.1, 1.0), 50, steps_s=(8.0, 2.0), patience_s=1.0
     )
 
-    def judged(self, errors: int, now_s: float, requests: int = 9) -> object:
+    def verdict_for(
+        self, errors: int, now_s: float, requests: int = 9
+    ) -> object:
         new = empty_stats()
         for number in range(requests):
             add_sample(new, "chat", 0.0, number < errors, 500.0, None)
@@ -253,30 +255,32 @@
         )
 
     def test_each_step_has_its_own_time(self) -> None:
-        assert isinstance(self.judged(0, 7.9, 60), Continue)
-        assert isinstance(self.judged(0, 8.0, 60), Advance)
+        assert isinstance(self.verdict_for(0, 7.9, 60), Continue)
+        assert isinstance(self.verdict_for(0, 8.0, 60), Advance)
 
     def test_a_suspect_version_is_stopped_at_the_limit(self) -> None:
-        """Half of nine answers fail, too few for proof.
+        """Three of nine answers fail, too few to stop before the limit.
 
-        Without the limit the roll-out held until its time was over, and
-        the bad version kept its share of the callers.
+        Without the check at the limit, the roll-out waited until its time was
+        over, and the bad version kept its share of the callers.
         """
-        assert isinstance(self.judged(3, 8.5), Continue)
-        assert isinstance(self.judged(3, 9.0), Stop)
+        assert isinstance(self.verdict_for(3, 8.5), Continue)
+        assert isinstance(self.verdict_for(3, 9.0), Stop)
 
-    def test_a_sound_one_goes_on_at_the_limit_with_few_requests(self) -> None:
-        assert isinstance(self.judged(0, 8.5), Continue)
-        assert isinstance(self.judged(0, 9.0), Advance)
+    def test_a_healthy_version_advances_at_the_limit_with_few_requests(
+        self,
+    ) -> None:
+        assert isinstance(self.verdict_for(0, 8.5), Continue)
+        assert isinstance(self.verdict_for(0, 9.0), Advance)
 
-    def test_without_any_request_it_holds(self) -> None:
-        assert isinstance(self.judged(0, 9.0, 0), Continue)
+    def test_without_any_request_the_rollout_waits(self) -> None:
+        assert isinstance(self.verdict_for(0, 9.0, 0), Continue)
 
-    def test_a_class_that_fails_anyway_is_no_doubt(self) -> None:
-        """Requests of one route time out by themselves, a third of them.
+    def test_a_class_with_a_high_expected_rate_raises_no_doubt(self) -> None:
+        """A third of one route's requests time out with either version.
 
-        Eight of eleven do by chance on the new version, and no other class
-        fails; the sound version was stopped at the limit.
+        By chance, eight of eleven do on the new version, while no other class
+        fails. The healthy version was stopped at the limit.
         """
         old, new = empty_stats(), empty_stats()
         for number in range(60):
@@ -291,21 +295,23 @@
     def test_a_slow_version_among_wide_spread_answers_is_stopped(
         self,
     ) -> None:
-        """Queues spread the old version's answers; the new one has none.
+        """Queues spread the old version's latencies; the new one has no queue.
 
         All of its answers take longer than the median and none longer than
-        nine of ten: it was let on to all work.
+        nine of ten, so the version was advanced to all work.
         """
-        assert isinstance(self.judged_among_spread(seed=1, least=0.6), Stop)
+        assert isinstance(self.verdict_among_spread(seed=1, least=0.6), Stop)
 
-    def test_a_sound_version_among_wide_spread_answers_goes_on(self) -> None:
+    def test_a_healthy_version_among_wide_spread_answers_advances(
+        self,
+    ) -> None:
         verdicts = [
-            self.judged_among_spread(seed, least=0.0) for seed in range(100)
+            self.verdict_among_spread(seed, least=0.0) for seed in range(100)
         ]
         assert all(isinstance(verdict, Advance) for verdict in verdicts)
 
-    def judged_among_spread(self, seed: int, least: float) -> object:
-        """Judge twelve answers; the fastest are slower by ``least``."""
+    def verdict_among_spread(self, seed: int, least: float) -> object:
+        """Return the verdict on 12 answers; ``least`` delays the fastest."""
         random = Random(seed)
         old, new = empty_stats(), empty_stats()
         for _ in range(300):
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/announcements.py
@@ -1,4 +1,4 @@
-"""``POST /backend/v1/announce``: backend servers tell of themselves."""
+"""Handler of ``POST /backend/v1/announce``: registers backend servers."""
 
 from __future__ import annotations
 
@@ -35,14 +35,15 @@
 async def answer_announcement(
     context: EntryContext, request: Request, responder: Responder
 ) -> None:
-    """Check an announcement and hand it to the control process."""
+    """Validate an announcement and pass it to the control process."""
     check_backend_key(context, request)
     body = await read_body(request, MAX_ANNOUNCEMENT_BYTES)
     announcement = decode_announcement(body)
     await context.control.announce(announcement)
     if context.control.lease_remaining_s() <= 0:
-        # Noted here, and heard by nobody else if this entry is cut off; the
-        # server would count itself known, and get no work.
+        # The announcement is stored here, but if this entry is partitioned
+        # from control, no other process learns of it. With a success answer
+        # the server would consider itself announced and get no work.
         context.metrics.announcements.inc({"result": NoLease.code})
         raise NoLease("announce at another entry, this one may be cut off")
     context.metrics.announcements.inc({"result": "ok"})
@@ -51,11 +52,11 @@
 
 
 def check_backend_key(context: EntryContext, request: Request) -> None:
-    """Refuse whoever does not hold the key of backend servers."""
+    """Raise `Unauthorised` unless the key is one of backend servers."""
     settings = context.settings
     key = bearer_key(request.headers)
     if not (
-        _is_one_of(key, settings.backend_keys())
+        _matches_any(key, settings.backend_keys())
         or key_matches(key.decode("latin-1"), settings.backend_key_hash)
     ):
         context.metrics.announcements.inc({"result": "unauthorised"})
@@ -63,7 +64,10 @@
 
 
 def decode_announcement(body: bytes) -> Announcement:
-    """Return the announcement; raises with all findings together."""
+    """Return the announcement.
+
+    Raises `BadRequest` with all findings if it is not valid.
+    """
     try:
         content = msgspec.json.decode(body, type=dict[str, Any])
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -80,7 +84,7 @@
     return announcement
 
 
-def _is_one_of(key: bytes, keys: tuple[bytes, ...]) -> bool:
+def _matches_any(key: bytes, keys: tuple[bytes, ...]) -> bool:
     matches = [hmac.compare_digest(key, valid) for valid in keys]
     return any(matches)
 
@@ -103,10 +107,10 @@
 
 def _as_rows(content: dict[str, Any]) -> list[Any]:
     row = _as_row(content, Announcement)
-    place = Announcement._fields.index("load")
-    load = row[place]
+    load_index = Announcement._fields.index("load")
+    load = row[load_index]
     if isinstance(load, dict):
-        row[place] = _as_row(load, LoadReport)
+        row[load_index] = _as_row(load, LoadReport)
     elif "load" in content:
         raise msgspec.ValidationError("'load' must be an object")
     return row
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/targets.py
@@ -1,12 +1,14 @@
-"""Which service or version of it answers a routed request.
-
-A session that a caller names keeps its version by being placed, not by
-being remembered: its name gives a place between 0 and 1, and while a
-roll-out's share grows, places below it move to the new version and none
-moves back. Every entry computes the same place, so a caller whose next
-connection leads to another entry meets the same version there. What is
-under way when a step of a roll-out begins stays with the version in use:
-entries tell each other of it, as its next request comes to any of them.
+"""Select the service, or the version of it, that answers a routed request.
+
+A session keeps its version through a hash, not through stored state: its
+name is hashed to a place from 0 to 1, and sessions with a place below the
+roll-out's share go to the new version. As the share grows, sessions move to
+the new version and none moves back. Every entry computes the same place, so a
+caller whose next connection reaches another entry gets the same version.
+
+Sessions that are active when a step of a roll-out begins stay with the
+version in use. Entries send the places of these sessions to each other,
+since the next request of a session may reach any entry.
 """
 
 from __future__ import annotations
@@ -33,37 +35,40 @@
     from sycamorestand_model.in_force import InForce
 
 VERSION_RETRY_S: Final = 1.0
-# From here on the version in use is on its way out: what stayed with it
-# would lose it a moment later.
-MAX_STAY_SHARE: Final = 0.5
+# Above this share the new version soon replaces the version in use. A
+# session that stayed would have to change its version shortly after.
+MAX_RETAINED_SHARE: Final = 0.5
 
 
 def choose_target(context: EntryContext, call: RoutedCall) -> str:
-    """Return the service, or the version of it, that is to answer."""
+    """Return the service, or the version of it, that shall answer.
+
+    Raises `NoVersion` if no version of the service may be used now.
+    """
     in_force = context.control.in_force()
-    service = _service_of(call)
+    service = _choose_service(call)
     model = in_force.declarations.models.get(service)
     if model is None:
-        return _undeclared(context, service)
-    place = _place(call, service)
+        return _undeclared_target(context, service)
+    place = _session_place(call, service)
     call.log.in_session = bool(call.session)
     call.log.place = place / PLACE_COUNT
-    unit = 1.0 if _stays(context, call, service) else place / PLACE_COUNT
-    chosen = choose_version(model, in_force, unit)
+    position = (
+        1.0 if _is_retained(context, call, service) else place / PLACE_COUNT
+    )
+    chosen = choose_version(model, in_force, position)
     if chosen is None:
         raise NoVersion("no version may be used now", VERSION_RETRY_S)
-    if _takes_work(context, chosen):
+    if _has_capacity(context, chosen):
         return chosen
-    return _other(context, model, in_force, chosen) or chosen
+    return _fallback_version(context, model, in_force, chosen) or chosen
 
 
-def current_target(
-    context: EntryContext, call: RoutedCall, target: str
-) -> str:
-    """Return where the next attempt goes: where the last one did.
+def next_target(context: EntryContext, call: RoutedCall, target: str) -> str:
+    """Return the target of the next attempt, usually that of the last one.
 
-    But for a version that was taken back since: its attempts would go on
-    for as long as callers wait.
+    If the version was rolled back or disallowed since, choose again.
+    Otherwise calls would retry at that version until their callers leave.
     """
     service, separator, version = target.partition(VERSION_SEPARATOR)
     if not separator:
@@ -83,59 +88,76 @@
     return target
 
 
-def note_session(context: EntryContext, call: RoutedCall, target: str) -> None:
-    """Note that the version in use serves the call's session.
+def record_session(
+    context: EntryContext, call: RoutedCall, target: str
+) -> None:
+    """Record that the version in use serves the call's session.
 
-    Also where it stands in for the new one: back and forth, the session
-    would change its version twice.
+    That includes sessions that it serves because the new version has no
+    servers. Without the record such a session would change its version once
+    those servers come up.
     """
     service = target.partition(VERSION_SEPARATOR)[0]
     model = context.control.in_force().declarations.models.get(service)
     stable = model and version_id(model.name, model.stable)
     if not call.session or (stable and target != stable):
         return
-    place = _place(call, service)
-    context.staying.record_served(service, place, time.monotonic())
-    step = _step(context, service)
-    if step is not None and place < _share(context, service) * PLACE_COUNT:
-        _tell(context, step, context.staying.retain(step, (place,)))
-
-
-def _stays(context: EntryContext, call: RoutedCall, service: str) -> bool:
-    """Tell whether the session goes on with the version in use."""
-    step = _step(context, service)
+    place = _session_place(call, service)
+    context.retained_sessions.record_served(service, place, time.monotonic())
+    step = _current_step(context, service)
+    if (
+        step is not None
+        and place < _rollout_share(context, service) * PLACE_COUNT
+    ):
+        _send_retained(
+            context, step, context.retained_sessions.retain(step, (place,))
+        )
+
+
+def _is_retained(
+    context: EntryContext, call: RoutedCall, service: str
+) -> bool:
+    """Return whether the session stays with the version in use."""
+    step = _current_step(context, service)
     if step is None or not call.session:
         return False
-    staying = context.staying
-    share = _share(context, service)
-    _tell(context, step, staying.begin_step(step, share, time.monotonic()))
-    return staying.is_retained(step, _place(call, service))
+    retained_sessions = context.retained_sessions
+    share = _rollout_share(context, service)
+    _send_retained(
+        context,
+        step,
+        retained_sessions.begin_step(step, share, time.monotonic()),
+    )
+    return retained_sessions.is_retained(step, _session_place(call, service))
 
 
-def _step(context: EntryContext, service: str) -> Step | None:
-    """Return the step in which sessions may stay, if one is under way."""
+def _current_step(context: EntryContext, service: str) -> Step | None:
+    """Return the current roll-out step if sessions may stay during it."""
     rollout = context.control.in_force().shares.get(service)
-    if rollout is None or not 0 < rollout.share <= MAX_STAY_SHARE:
+    if rollout is None or not 0 < rollout.share <= MAX_RETAINED_SHARE:
         return None
     return Step(service, rollout.version, rollout.step)
 
 
-def _share(context: EntryContext, service: str) -> float:
+def _rollout_share(context: EntryContext, service: str) -> float:
     return context.control.in_force().shares[service].share
 
 
-def _tell(context: EntryContext, step: Step, places: tuple[int, ...]) -> None:
+def _send_retained(
+    context: EntryContext, step: Step, places: tuple[int, ...]
+) -> None:
     if places:
         context.control.send(SessionsStay(*step, places))
 
 
-def _undeclared(context: EntryContext, service: str) -> str:
-    """Return a service whose versions nobody declared, or its main one.
+def _undeclared_target(context: EntryContext, service: str) -> str:
+    """Return the target for a service without declared versions.
 
-    Servers of the next version may announce themselves before the order
-    to roll it out is committed. Until then the version of most servers is
-    the one in use; without this the next one would get its whole share
-    before anybody compares.
+    That is the service itself, or its version with the most servers if
+    servers announce several versions. Servers of the next version may
+    announce themselves before its roll-out is committed; until then the
+    version of most servers is the one in use. Otherwise the next version
+    would get requests before its roll-out compares the versions.
     """
     counts: Counter[str] = Counter()
     for server in context.control.backend_servers().values():
@@ -146,36 +168,41 @@
     return max(sorted(counts), key=lambda name: counts[name])
 
 
-def _takes_work(context: EntryContext, target: str) -> bool:
-    """Tell whether a server of it is known that is not out."""
+def _has_capacity(context: EntryContext, target: str) -> bool:
+    """Return whether a server of the target is known and not ejected."""
     return context.servers.capacity(target, time.monotonic()) > 0
 
 
-def _other(
+def _fallback_version(
     context: EntryContext, model: Model, in_force: InForce, chosen: str
 ) -> str | None:
-    """Return the version that stands in for one without servers.
-
-    The new version's servers come up seconds after the order, and the few
-    of its first share may be lost together: what is placed there goes to
-    the old version. The other way round only what the share allows goes
-    to the new one. While an entry had heard of no old server, after its
-    restart or theirs, all its work went to a version that nobody had
-    judged yet; now that is refused, and a bad version cannot get more than
-    its share whatever is lost.
+    """Return the version that replaces a chosen one without servers.
+
+    Only the old version replaces the new one: the new version's servers
+    come up seconds after the roll-out is ordered, and the few servers of
+    its first share may fail together.
+
+    The new version never replaces the old one. An entry may know no server
+    of the old version, after a restart of the entry or of the servers. If
+    all requests then went to the new version, it would get more than its
+    share before it was evaluated. Such requests are refused instead.
     """
     stable = choose_version(model, in_force, 1.0)
     if stable is None or stable == chosen:
         return None
-    return stable if _takes_work(context, stable) else None
+    return stable if _has_capacity(context, stable) else None
 
 
-def _service_of(call: RoutedCall) -> str:
+def _choose_service(call: RoutedCall) -> str:
     targets = call.route.targets
     if len(targets) == 1:
         return targets[0].service
-    whole = sum(target.weight for target in targets)
-    place = crc32(call.session.encode() or call.attempt) / PLACE_COUNT * whole
+    total_weight = sum(target.weight for target in targets)
+    place = (
+        crc32(call.session.encode() or call.attempt)
+        / PLACE_COUNT
+        * total_weight
+    )
     for target in targets:
         place -= target.weight
         if place < 0:
@@ -183,9 +210,9 @@
     return targets[-1].service
 
 
-def _place(call: RoutedCall, service: str) -> int:
+def _session_place(call: RoutedCall, service: str) -> int:
     name = call.session or call.attempt.decode("latin-1")
     return crc32(f"{name}/{service}".encode())
 
 
-__all__ = ["choose_target", "current_target", "note_session"]
+__all__ = ["choose_target", "next_target", "record_session"]
--- a/packages/sycamorestand-entry/tests/test_chat.py
+++ b/packages/sycamorestand-entry/tests/test_chat.py
@@ -1,4 +1,4 @@
-"""Chat completions from a request to a billed answer."""
+"""Chat completions, streamed and plain, and their charges."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TestStreamedAnswer:
-    async def test_whole_answer_is_billed_and_told(self) -> None:
+    async def test_complete_answer_reports_its_charge(self) -> None:
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,))
             await loopback.add_engine(engine)
@@ -24,9 +24,9 @@
             *_, ending, done = answer.events()
             assert done == "[DONE]"
             charge = loopback.ledger.charges["guild", "k-1"]
-            told = ending["sycamorestand"]
-            assert told["cost_micros"] == charge.cost_micros > 0
-            assert told["request_key"] == "k-1"
+            details = ending["sycamorestand"]
+            assert details["cost_micros"] == charge.cost_micros > 0
+            assert details["request_key"] == "k-1"
 
 
 class TestOnUvloop:
@@ -37,7 +37,7 @@
         monkeypatch.setenv("UV_USE_IO_URING", "0")
         return "asyncio", {"use_uvloop": True}
 
-    async def test_whole_answer(self) -> None:
+    async def test_complete_answer_is_streamed(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             answer = await loopback.chat(stream=True, Idempotency_Key="k-1")
@@ -45,7 +45,7 @@
 
 
 class TestPlainAnswer:
-    async def test_whole_answer_is_billed_and_told(self) -> None:
+    async def test_complete_answer_reports_its_charge(self) -> None:
         async with start_loopback() as loopback:
             await loopback.add_engine(FakeEngine("engine-1", (LARGE,)))
             answer = await loopback.chat(Idempotency_Key="k-1")
--- a/packages/sycamorestand-model/src/sycamorestand_model/shapes_routes.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/route_schemas.py
@@ -1,4 +1,4 @@
-"""The fields of routes and of engines behind them, and their bounds."""
+"""Schemas: the fields of routes and engines and their limits."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from sycamorestand_model.readers import choice
 from sycamorestand_model.readers import Field
 from sycamorestand_model.readers import flag
+from sycamorestand_model.readers import integer
 from sycamorestand_model.readers import name
 from sycamorestand_model.readers import number
 from sycamorestand_model.readers import Reader
 from sycamorestand_model.readers import record
-from sycamorestand_model.readers import whole
 from sycamorestand_model.routes import EngineTraits
 from sycamorestand_model.routes import ModelSize
 from sycamorestand_model.routes import RouteTarget
@@ -31,11 +31,11 @@
 MAX_TARGETS: Final = 16
 MAX_COUNT: Final = 1_000_000_000
 MAX_COST: Final = 1_000_000.0
-_HOST: Final = re.compile(r"[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
+_HOST_PATTERN: Final = re.compile(r"[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
 
 
-def _host(raw: object, place: Place, findings: Findings) -> str | None:
-    if isinstance(raw, str) and _HOST.fullmatch(raw):
+def _read_host(raw: object, place: Place, findings: Findings) -> str | None:
+    if isinstance(raw, str) and _HOST_PATTERN.fullmatch(raw):
         return raw
     findings.error(
         place, "is no host name", "use lower case letters, digits, '.', '-'"
@@ -43,7 +43,9 @@
     return None
 
 
-def _prefix(raw: object, place: Place, findings: Findings) -> str | None:
+def _read_path_prefix(
+    raw: object, place: Place, findings: Findings
+) -> str | None:
     if not isinstance(raw, str) or len(raw) > MAX_PATH_CHARACTERS:
         findings.error(
             place,
@@ -61,15 +63,15 @@
     return raw
 
 
-_COUNT: Final[Reader] = whole(0, MAX_COUNT)
+_COUNT: Final[Reader] = integer(0, MAX_COUNT)
 _NAME: Final[Reader] = name(MAX_NAME_CHARACTERS)
-_MS: Final[Reader] = number(0.0, float(MAX_DEADLINE_MS))
+_DURATION_MS: Final[Reader] = number(0.0, float(MAX_DEADLINE_MS))
 
 _TARGET: Final[Reader] = record(
     RouteTarget,
     {
         "service": Field(_NAME, required=True),
-        "weight": Field(whole(0, 1_000_000)),
+        "weight": Field(integer(0, 1_000_000)),
     },
 )
 
@@ -81,41 +83,41 @@
     },
 )
 
-ENGINE: Final[Reader] = record(
+ENGINE_READER: Final[Reader] = record(
     EngineTraits,
     {
-        "slots": Field(whole(1, 100_000), required=True),
+        "slots": Field(integer(1, 100_000), required=True),
         "kv_tokens": Field(_COUNT, required=True),
         "kv_token_bytes": Field(number(0.0, float(MAX_COUNT))),
         "link_mbps": Field(number(0.0, float(MAX_COUNT))),
         "can_move": Field(flag),
         "can_back_up": Field(flag),
-        "event_tokens": Field(whole(1, 100_000)),
-        "max_event_calls": Field(whole(0, 100_000)),
-        "pin_ms": Field(_MS),
-        "hold_ms": Field(_MS),
+        "event_tokens": Field(integer(1, 100_000)),
+        "max_event_calls": Field(integer(0, 100_000)),
+        "pin_ms": Field(_DURATION_MS),
+        "hold_ms": Field(_DURATION_MS),
         "handle_s": Field(number(0.0, 3_600.0)),
         "sizes": Field(array(_SIZE, MAX_STEPS)),
     },
 )
 
 ROUTE_FIELDS: Final[dict[str, Field]] = {
-    "host": Field(_host, required=True),
-    "path_prefix": Field(_prefix, required=True),
+    "host": Field(_read_host, required=True),
+    "path_prefix": Field(_read_path_prefix, required=True),
     "targets": Field(array(_TARGET, MAX_TARGETS, 1), required=True),
     "kind": Field(choice("idempotent", "once", "stream"), required=True),
-    "timeout_ms": Field(whole(1, MAX_DEADLINE_MS), required=True),
-    "target_latency_ms": Field(whole(0, MAX_DEADLINE_MS)),
-    "priority": Field(whole(0, MAX_PRIORITY)),
-    "max_attempts": Field(whole(1, MAX_ATTEMPTS)),
+    "timeout_ms": Field(integer(1, MAX_DEADLINE_MS), required=True),
+    "target_latency_ms": Field(integer(0, MAX_DEADLINE_MS)),
+    "priority": Field(integer(0, MAX_PRIORITY)),
+    "max_attempts": Field(integer(1, MAX_ATTEMPTS)),
     "public": Field(flag),
     "sticky": Field(flag),
     "resumable": Field(flag),
-    "gap_target_ms": Field(whole(0, MAX_DEADLINE_MS)),
+    "gap_target_ms": Field(integer(0, MAX_DEADLINE_MS)),
     "sizes": Field(array(_NAME, min(MAX_STEPS, MAX_LIST_ITEMS))),
-    "silence_limit_ms": Field(whole(0, MAX_DEADLINE_MS)),
+    "silence_limit_ms": Field(integer(0, MAX_DEADLINE_MS)),
 }
 
 RouteValues = dict[str, Any]
 
-__all__ = ["ENGINE", "ROUTE_FIELDS", "RouteValues"]
+__all__ = ["ENGINE_READER", "ROUTE_FIELDS", "RouteValues"]
--- a/packages/sycamorestand-state/bench/measure_ledger.py
+++ b/packages/sycamorestand-state/bench/measure_ledger.py
@@ -1,9 +1,10 @@
-"""Measures CPU and bytes a record of one ledger shard, without a log.
+"""Measure CPU time and bytes per record of one ledger shard, without a log.
 
     .venv/bin/python packages/sycamorestand-state/bench/measure_ledger.py
 
-Three records a request, as a non-idempotent call makes them (claim,
-dispatch, then outcome and charge together), in batches of 32 records.
+The workloads are non-idempotent calls, each with a claim, a dispatch, an
+outcome and a charge; charges alone; and pins. All are in batches of 32
+records.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def main() -> None:
-    """Measure and write a line for each figure."""
+    """Run each workload and print its figures."""
     for name, records in _workloads():
         _measure(name, records)
 
@@ -62,7 +63,7 @@
         for start in range(0, len(records), BATCH_RECORDS)
     ]
     machine = LedgerMachine(0)
-    begun_s = process_time()
+    started_s = process_time()
     encoded = [encode_batch(batch, NOW_S) for batch in batches]
     encoded_s = process_time()
     for index, command in enumerate(encoded, start=1):
@@ -76,7 +77,7 @@
     count = len(records)
     sys.stdout.write(
         f"{name}: {count} records\n"
-        f"  encode {(encoded_s - begun_s) / count * 1e6:.2f} us/record, "
+        f"  encode {(encoded_s - started_s) / count * 1e6:.2f} us/record, "
         f"apply {(applied_s - encoded_s) / count * 1e6:.2f} us/record, "
         f"log {size_bytes / count:.0f} bytes/record\n"
         f"  snapshot {len(snapshot) / count:.0f} bytes/record, "
