--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/baseline_rules.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/baseline_rules.py
@@ -1,4 +1,4 @@
-"""Plain rules for the choice of a server, to compare with."""
+"""Baseline rules that choose a server, for comparison with the product."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def round_robin() -> Callable[[Sequence[Candidate]], str]:
-    """Return a rule that takes the servers in turn."""
+    """Return a rule that chooses the servers in turn."""
     turn = 0
 
     def choose(candidates: Sequence[Candidate]) -> str:
@@ -24,13 +24,19 @@
     return choose
 
 
-def at_random(random: Random) -> Callable[[Sequence[Candidate]], str]:
-    """Return a rule that draws a server."""
+def random_choice(random: Random) -> Callable[[Sequence[Candidate]], str]:
+    """Return a rule that chooses a server at random, all equally likely."""
     return lambda candidates: random.choice(candidates).name
 
 
-def least_reported(random: Random) -> Callable[[Sequence[Candidate]], str]:
-    """Return a rule that follows the last load report."""
+def least_reported_load(
+    random: Random,
+) -> Callable[[Sequence[Candidate]], str]:
+    """Return a rule that chooses the server with the least reported load.
+
+    The load is the number of running and queued requests in the server's
+    last load report. Ties are broken at random.
+    """
 
     def choose(candidates: Sequence[Candidate]) -> str:
         return min(
@@ -40,4 +46,4 @@
     return choose
 
 
-__all__ = ["at_random", "least_reported", "round_robin"]
+__all__ = ["random_choice", "least_reported_load", "round_robin"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/clock.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock with scheduled calls."""
+"""A virtual clock that runs scheduled calls."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 
 
 class VirtualClock:
-    """Runs calls in the order of their times; nothing waits."""
+    """Runs calls in the order of their times, without real waiting.
+
+    Calls with the same time run in the order in which they were added.
+    """
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
 
-    def at(self, when_s: float, call: Callable[[], None]) -> None:
-        """Run a call at a time, at once if that has passed."""
-        when_s = max(when_s, self.now_s)
-        heapq.heappush(self._calls, (when_s, next(self._order), call))
+    def call_at(self, time_s: float, call: Callable[[], None]) -> None:
+        """Schedule a call for a time; a past time means the current one."""
+        time_s = max(time_s, self.now_s)
+        heapq.heappush(self._calls, (time_s, next(self._order), call))
 
     def run(self, until_s: float) -> None:
-        """Run every call up to a time."""
+        """Run all calls due by a time and move the clock to it."""
         while self._calls and self._calls[0][0] <= until_s:
             self.now_s, _, call = heapq.heappop(self._calls)
             call()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/queue_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/queue_model.py
@@ -1,11 +1,10 @@
-"""A small model of a backend server that batches continuously.
-
-Running requests share the server: each goes on at the same pace, which
-falls a little with the size of the batch (decoding is bound by memory, so
-a full batch is `FULL_BATCH_SLOWDOWN` slower a token than a single
-request). What exceeds the capacity waits in the server, first come first
-served. A prefix that is cached saves most of the time before the first
-token.
+"""A queueing model of a backend server with continuous batching.
+
+All running requests progress at the same rate, which falls a little as the
+batch grows: decoding is bound by memory, so a token takes
+`FULL_BATCH_SLOWDOWN` times as long in a full batch as for a single request.
+Requests beyond the capacity wait in the server's queue, first come, first
+served. A cached prefix saves most of the time before the first token.
 """
 
 from __future__ import annotations
@@ -27,11 +26,11 @@
 PREFILL_TOKENS_PER_S: Final = 4_000.0
 CACHED_PREFILL_SHARE: Final = 0.1
 CACHED_PREFIXES: Final = 24
-LOST_AFTER_S: Final = 0.05
+FAILURE_DELAY_S: Final = 0.05
 
 
 class Work(NamedTuple):
-    """What one request asks of a server."""
+    """The work of one request, in tokens."""
 
     request_id: int
     input_tokens: int
@@ -40,14 +39,21 @@
 
 
 class Listener(NamedTuple):
-    """Who hears of one request's progress."""
+    """Callbacks for the progress of one request.
+
+    ``finished`` receives whether the request succeeded.
+    """
 
     first_byte: Callable[[], None]
     finished: Callable[[bool], None]
 
 
 class ModelServer:
-    """One backend server in virtual time."""
+    """One backend server on a virtual clock.
+
+    ``on_cache_event`` receives the server's name, a prefix, and whether the
+    prefix was stored or evicted.
+    """
 
     def __init__(
         self, clock: VirtualClock, name: str, capacity: int, speed: float = 1.0
@@ -72,20 +78,24 @@
 
     @property
     def running(self) -> int:
-        """How many requests are in the batch."""
+        """Number of requests in the batch."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """How many requests wait in the server."""
+        """Number of requests in the server's queue."""
         return len(self._queue)
 
     def submit(self, work: Work, listener: Listener) -> None:
-        """Take a request; a server that is down fails it."""
+        """Run or queue a request.
+
+        A server that is down, or whose `fails` returns true, fails the
+        request after `FAILURE_DELAY_S`.
+        """
         self.submitted += 1
         if not self.up or self.fails():
-            later_s = self._clock.now_s + LOST_AFTER_S
-            self._clock.at(later_s, lambda: listener.finished(False))
+            later_s = self._clock.now_s + FAILURE_DELAY_S
+            self._clock.call_at(later_s, lambda: listener.finished(False))
             return
         self._advance()
         if len(self._running) < self.capacity:
@@ -95,7 +105,7 @@
         self._schedule()
 
     def cancel(self, request_id: int) -> None:
-        """Forget a request; its place in the batch is free."""
+        """Drop a running or queued request and free its place."""
         self._advance()
         if self._running.pop(request_id, None) is None:
             kept = [q for q in self._queue if q[0].request_id != request_id]
@@ -103,8 +113,8 @@
         self._refill()
         self._schedule()
 
-    def lose(self) -> None:
-        """Go down: everything running or queued fails."""
+    def go_down(self) -> None:
+        """Take the server down; all running and queued requests fail."""
         self._advance()
         listeners = list(self._running.values())
         listeners += [listener for _, listener in self._queue]
@@ -117,15 +127,15 @@
         for listener in listeners:
             listener.finished(False)
 
-    def come_back(self) -> None:
-        """Serve again, with an empty cache."""
+    def come_up(self) -> None:
+        """Bring the server up again, with an empty cache."""
         self._advance()
         self.up = True
 
     def _run(self, work: Work, listener: Listener) -> None:
         self.served += 1
         prefill_s = work.input_tokens / PREFILL_TOKENS_PER_S
-        if work.prefix is not None and self._touch(work.prefix):
+        if work.prefix is not None and self._use_prefix(work.prefix):
             prefill_s *= CACHED_PREFILL_SHARE
         self._running[work.request_id] = listener
         first_s = self._progress_s + prefill_s + TOKEN_S
@@ -135,30 +145,30 @@
             self._events, (max(first_s, last_s), work.request_id, True)
         )
 
-    def _touch(self, prefix: str) -> bool:
+    def _use_prefix(self, prefix: str) -> bool:
         known = prefix in self._cache
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
         self.cache_hits += known
         if not known:
-            self._tell(prefix, True)
+            self._emit_cache_event(prefix, True)
         if len(self._cache) > CACHED_PREFIXES:
             evicted, _ = self._cache.popitem(last=False)
-            self._tell(evicted, False)
+            self._emit_cache_event(evicted, False)
         return known
 
-    def _tell(self, prefix: str, stored: bool) -> None:
+    def _emit_cache_event(self, prefix: str, stored: bool) -> None:
         if self.on_cache_event is not None:
             self.on_cache_event(self.name, prefix, stored)
 
-    def _pace(self) -> float:
+    def _progress_rate(self) -> float:
         batch = max(1, len(self._running))
         share = (batch - 1) / max(1, self.capacity - 1)
         return self.speed / (1.0 + (FULL_BATCH_SLOWDOWN - 1.0) * share)
 
     def _advance(self) -> None:
         elapsed_s = self._clock.now_s - self._changed_s
-        self._progress_s += elapsed_s * self._pace()
+        self._progress_s += elapsed_s * self._progress_rate()
         self._changed_s = self._clock.now_s
 
     def _schedule(self) -> None:
@@ -169,10 +179,10 @@
             return
         epoch = self._epoch
         ahead_s = max(0.0, self._events[0][0] - self._progress_s)
-        when_s = self._clock.now_s + ahead_s / self._pace()
-        self._clock.at(when_s, lambda: self._due(epoch))
+        when_s = self._clock.now_s + ahead_s / self._progress_rate()
+        self._clock.call_at(when_s, lambda: self._handle_next_event(epoch))
 
-    def _due(self, epoch: int) -> None:
+    def _handle_next_event(self, epoch: int) -> None:
         if epoch != self._epoch or not self._events:
             return
         self._advance()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -1,7 +1,7 @@
-"""Entries that route a workload to model servers in virtual time.
+"""Entries that route a workload to model servers on a virtual clock.
 
-`ProductEntry` runs the decisions of the product; `BaselineEntry` sends
-every request on at once to the server that a plain rule names.
+`ProductEntry` uses the product's decision code. `BaselineEntry` forwards
+every request immediately to the server that a baseline rule chooses.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 POOL: Final = "model@1"
 TICK_S: Final = 0.1
 MAX_ATTEMPTS: Final = 3
-FILLED: Final = 0.75
+FILL_SHARE: Final = 0.75
 
 
 class Result(NamedTuple):
-    """What the caller of one request got, and when."""
+    """The final outcome of one request, and the time of it."""
 
     request: Request
     outcome: str
@@ -46,12 +46,15 @@
 
     @property
     def latency_s(self) -> float:
-        """Time from arrival to the end."""
+        """Time from the arrival to the final outcome."""
         return self.ended_s - self.request.arrival_s
 
 
 class Pool(Protocol):
-    """What entries know of the servers: late reports."""
+    """The servers, and the candidates that entries see.
+
+    Candidates are built from load reports, which arrive late.
+    """
 
     servers: dict[str, ModelServer]
 
@@ -59,7 +62,11 @@
 
 
 class Attempt:
-    """One request on its way."""
+    """The state of one request in an entry.
+
+    ``tried`` names the servers that failed it, ``number`` counts its
+    attempts, and ``server`` and ``sent_s`` belong to the latest attempt.
+    """
 
     def __init__(self, request: Request) -> None:
         self.request = request
@@ -71,7 +78,7 @@
 
 
 class BaselineEntry:
-    """Sends each request at once to the server that the rule names."""
+    """Sends each request immediately to the server that a rule chooses."""
 
     def __init__(
         self,
@@ -87,20 +94,22 @@
 
     @property
     def waiting(self) -> int:
-        """Nothing waits in the entry."""
+        """Number of waiting requests; always zero, as none is queued."""
         return 0
 
     def arrive(self, request: Request) -> None:
-        """Send the request on."""
+        """Send a new request to a server."""
         attempt = Attempt(request)
-        self.clock.at(request.deadline_s, partial(self._give_up, attempt))
+        self.clock.call_at(
+            request.deadline_s, partial(self._time_out, attempt)
+        )
         self.send(attempt)
 
     def tick(self) -> None:
-        """Do nothing from time to time."""
+        """Do nothing; subclasses do their periodic work here."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start one attempt on the chosen server."""
+        """Start an attempt on the chosen server; without one, fail."""
         name = self.choose(attempt)
         if name is None:
             self.end(attempt, "failed")
@@ -125,24 +134,24 @@
         )
 
     def choose(self, attempt: Attempt) -> str | None:
-        """Return the server for an attempt."""
+        """Return the name of the server for an attempt, or None."""
         return self._choose(self.pool.candidates(self.clock.now_s))
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Hear of an attempt sent."""
+        """Handle the start of an attempt; does nothing here."""
 
     def on_first_byte(self, attempt: Attempt) -> None:
-        """Hear of a first byte."""
+        """Handle the first byte of an attempt; does nothing here."""
 
     def on_finished(self, attempt: Attempt, outcome: str) -> None:
-        """Hear of the end of an attempt."""
+        """Handle the end of an attempt; does nothing here."""
 
     def may_retry(self, attempt: Attempt) -> bool:
-        """Tell whether a failed attempt is followed by another."""
+        """Return whether a failed attempt may be retried; always true."""
         return True
 
     def end(self, attempt: Attempt, outcome: str) -> None:
-        """Give the caller its final answer."""
+        """Record the final outcome of a request."""
         attempt.ended = True
         self.results.append(Result(attempt.request, outcome, self.clock.now_s))
 
@@ -150,10 +159,12 @@
         if not attempt.ended and number == attempt.number:
             self.on_first_byte(attempt)
 
-    def _finished(self, attempt: Attempt, number: int, good: bool) -> None:
+    def _finished(
+        self, attempt: Attempt, number: int, succeeded: bool
+    ) -> None:
         if attempt.ended or number != attempt.number:
             return
-        if good:
+        if succeeded:
             self.on_finished(attempt, "ok")
             self.end(attempt, "ok")
             return
@@ -164,7 +175,7 @@
         else:
             self.end(attempt, "failed")
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _time_out(self, attempt: Attempt) -> None:
         if attempt.ended:
             return
         if attempt.number:
@@ -195,11 +206,11 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def arrive(self, request: Request) -> None:
-        """Offer the request to admission."""
+        """Offer a new request to admission control."""
         attempt = Attempt(request)
         ticket = Ticket(
             ticket_id=request.request_id,
@@ -214,14 +225,20 @@
         if isinstance(answer, Refused):
             self.end(attempt, "refused")
             return
-        self.clock.at(request.deadline_s, partial(self._give_up, attempt))
+        self.clock.call_at(
+            request.deadline_s, partial(self._time_out, attempt)
+        )
         if isinstance(answer, Started):
             self.send(attempt)
         else:
             self._waiting[request.request_id] = attempt
 
     def tick(self) -> None:
-        """Follow the limits, refuse the hopeless, start the ready."""
+        """Update the pool's capacity, refuse expired requests, start others.
+
+        Admission control decides which waiting requests cannot make their
+        deadline and which can start.
+        """
         now_s = self.clock.now_s
         candidates = self.pool.candidates(now_s)
         slots = self.selector.capacity(candidates, now_s)
@@ -232,7 +249,7 @@
         self._start_ready()
 
     def choose(self, attempt: Attempt) -> str | None:
-        """Ask the selector."""
+        """Return the selector's choice among the servers not yet tried."""
         now_s = self.clock.now_s
         return self.selector.choose(
             self.pool.candidates(now_s),
@@ -242,17 +259,17 @@
         )
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Count the attempt."""
+        """Record the start of the attempt in the selector."""
         self.selector.record_start(attempt.server, self.clock.now_s)
 
     def on_first_byte(self, attempt: Attempt) -> None:
-        """Learn from the first byte."""
+        """Record the latency of the first byte in the selector."""
         now_s = self.clock.now_s
         latency_s = now_s - attempt.sent_s
         self.selector.record_first_byte(attempt.server, now_s, latency_s)
 
     def on_finished(self, attempt: Attempt, outcome: str) -> None:
-        """Learn from the end of the attempt."""
+        """Record the outcome in the selector and the retry budget."""
         now_s = self.clock.now_s
         latency_s = now_s - attempt.sent_s
         self.selector.record_finish(
@@ -265,12 +282,12 @@
             self.retries.record_success(attempt.request.customer, now_s)
 
     def may_retry(self, attempt: Attempt) -> bool:
-        """Ask the retry budget."""
+        """Return whether the customer's retry budget allows a retry."""
         customer = attempt.request.customer
         return self.retries.may_retry(customer, self.clock.now_s, "error")
 
     def end(self, attempt: Attempt, outcome: str) -> None:
-        """Free the slot as well."""
+        """Record the final outcome and free the request's slot."""
         super().end(attempt, outcome)
         request_id = attempt.request.request_id
         if outcome == "refused":
@@ -291,22 +308,25 @@
 
 
 class ConcentratingEntry(ProductEntry):
-    """As the product, but fills one server before it uses the next.
+    """Product entry that fills one server before it uses the next.
 
-    The paper's advice (concentrate one model's traffic, section 9) as a
-    rule of choice, to compare with spreading.
+    This implements the advice of the paper's section 9, to concentrate the
+    traffic of one model, for comparison with spreading it.
     """
 
     def choose(self, attempt: Attempt) -> str | None:
-        """Take the first server that is not filled up."""
+        """Return the first server below its fill level.
+
+        When there is none, the selector chooses.
+        """
         now_s = self.clock.now_s
         known = self.selector.metrics(now_s)
         for candidate in self.pool.candidates(now_s):
             state = known.get(candidate.name)
             if candidate.name in attempt.tried:
                 continue
-            # The entries fill the same servers, each its part of them.
-            filled = FILLED * candidate.capacity / self._entries
+            # All entries fill the same servers, each entry an equal part.
+            filled = FILL_SHARE * candidate.capacity / self._entries
             if state is None or state.in_flight < filled:
                 return candidate.name
         return super().choose(attempt)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing_scenarios.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of admission, queueing and the choice of a server."""
+"""Scenarios for admission control, queueing and server selection."""
 
 from __future__ import annotations
 
@@ -42,12 +42,15 @@
 
 
 def steady(user: User, seed: int) -> Figures:
-    """Constant load at 0.6 of the capacity."""
+    """Send a constant load of 0.6 of the capacity."""
     return _compare(user, seed, Mix(0.6))
 
 
 def burst(user: User, seed: int) -> Figures:
-    """Load at 0.4, five times that for ten seconds."""
+    """Send a load of 0.4 of the capacity, and five times that for 10 s.
+
+    ``cleared_s`` is the time from the burst's start until few requests wait.
+    """
     mix = Mix(0.4, 60.0, profile=_burst_profile, peak=BURST)
     figures: Figures = {}
     for policy in BASELINES:
@@ -58,10 +61,10 @@
 
 
 def flood(user: User, seed: int) -> Figures:
-    """Two of ten customers send 90 % of 1.5 times the capacity.
+    """Send 1.5 times the capacity, 90 % of it from two of ten customers.
 
-    The figures are those of the eight others; ``p99_ratio`` is to their
-    own requests alone on the same servers.
+    The figures are those of the eight other customers; ``p99_ratio``
+    compares them with a run in which only these eight send requests.
     """
     mix = Mix(1.5, duration_s=90.0, flood_share=0.9)
     alone = simulate(
@@ -75,12 +78,15 @@
 
 
 def hot_keys(user: User, seed: int) -> Figures:
-    """Half of the requests carry one of three session keys."""
+    """Send half of the requests with one of three session keys."""
     return _compare(user, seed, Mix(0.6, hot_share=0.5, prefix_share=0.3))
 
 
 def slow_server(user: User, seed: int) -> Figures:
-    """One server is five times slower; ``p99_ratio`` to none slow."""
+    """Make one server five times slower.
+
+    ``p99_ratio`` compares with a run in which no server is slow.
+    """
     mix = Mix(0.5, duration_s=60.0)
     healthy = simulate(SIZES[user], mix, Faults(), "product", seed)
     healthy_p99_s = _figures(healthy, user, mix)["p99_s"]
@@ -91,40 +97,43 @@
 
 
 def long_among_short(user: User, seed: int) -> Figures:
-    """One of twenty requests is thirteen times longer; figures of others."""
+    """Make one of twenty requests thirteen times longer.
+
+    The figures are those of the other requests.
+    """
     return _compare(user, seed, Mix(0.7, long_share=0.05), _is_short)
 
 
 def saturation_1_5(user: User, seed: int) -> Figures:
-    """One and a half times the capacity."""
+    """Send one and a half times the capacity."""
     return _compare(user, seed, Mix(1.5))
 
 
 def saturation_3(user: User, seed: int) -> Figures:
-    """Three times the capacity."""
+    """Send three times the capacity."""
     return _compare(user, seed, Mix(3.0))
 
 
 def server_lost(user: User, seed: int) -> Figures:
-    """One server is lost at 15 s and back, cold, at 30 s."""
+    """Take one server down at 15 s; it is up again, cold, at 30 s."""
     faults = Faults(lost_from_s=15.0, lost_until_s=30.0)
     return _compare(user, seed, Mix(0.6), faults=faults)
 
 
 def error_storm(user: User, seed: int) -> Figures:
-    """Every server fails eight of ten requests for ten seconds."""
+    """Let every server fail eight of ten requests for ten seconds."""
     faults = Faults(failing=0.8, failing_from_s=15.0, failing_until_s=25.0)
     return _compare(user, seed, Mix(0.6), faults=faults)
 
 
 def late_reports(user: User, seed: int) -> Figures:
-    """Load reports two seconds late, three of ten lost."""
+    """Delay load reports by two seconds and lose three of ten."""
     faults = Faults(report_late_s=2.0, report_lost=0.3)
     return _compare(user, seed, Mix(0.7), faults=faults)
 
 
 def concentration(user: User, seed: int) -> Figures:
-    """Spreading against filling one server after the other."""
+    """Compare spreading requests with filling one server after the other."""
     mix = Mix(0.4, prefix_share=0.8, prefixes=100)
     return _compare(user, seed, mix, policies=CONCENTRATION)
 
@@ -167,7 +176,7 @@
         "refused": len(refused) / count,
         "refusal_p99_ms": percentile(refused, 0.99),
         "refused_at_once": _share_at_once(refused),
-        "useful": _useful(run, user, mix),
+        "useful": _useful_share(run, user, mix),
         "cache_hits": run.cache_hits / max(1, sum(run.served_by.values())),
         "attempts": run.attempts / max(1, len(run.results)),
         "servers_used": float(_servers_used(run)),
@@ -180,8 +189,8 @@
     return sum(ms <= AT_ONCE_MS for ms in refused_ms) / len(refused_ms)
 
 
-def _useful(run: Run, user: User, mix: Mix) -> float:
-    """Return work answered in time over what full batches can do."""
+def _useful_share(run: Run, user: User, mix: Mix) -> float:
+    """Return the work answered in time as a share of full batches' work."""
     done_s = sum(
         _work_s(result)
         for result in run.results
@@ -200,7 +209,7 @@
 
 
 def _servers_used(run: Run) -> int:
-    """Return how many servers did all but a hundredth of the requests."""
+    """Return the number of servers that served 99 % of the requests."""
     total = sum(run.served_by.values())
     done = used = 0
     for served in sorted(run.served_by.values(), reverse=True):
@@ -212,10 +221,13 @@
 
 
 def _cleared_s(run: Run, user: User) -> float:
-    """Return the time from the burst's start until little waits."""
+    """Return the time from the burst's start until few requests wait.
+
+    Few means at most 5 % of the slots; NaN when there were never more.
+    """
     slots = SIZES[user].servers * SERVER_CAPACITY
-    begun = [w for w in run.waiting if w[0] >= BURST_FROM_S]
-    busy = [when_s for when_s, count in begun if count > 0.05 * slots]
+    since_burst = [w for w in run.waiting if w[0] >= BURST_FROM_S]
+    busy = [when_s for when_s, count in since_burst if count > 0.05 * slots]
     return busy[-1] - BURST_FROM_S if busy else nan
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/simulation.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/simulation.py
@@ -1,4 +1,4 @@
-"""One run of a workload against a pool of model servers."""
+"""Simulates one workload on a pool of model servers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 from typing import TYPE_CHECKING
 
-from sycamorestand_bench.decisions.baseline_rules import at_random
-from sycamorestand_bench.decisions.baseline_rules import least_reported
+from sycamorestand_bench.decisions.baseline_rules import least_reported_load
+from sycamorestand_bench.decisions.baseline_rules import random_choice
 from sycamorestand_bench.decisions.baseline_rules import round_robin
 from sycamorestand_bench.decisions.clock import VirtualClock
 from sycamorestand_bench.decisions.queue_model import ModelServer
@@ -35,12 +35,16 @@
 REPORT_EVERY_S: Final = 1.0
 CACHE_EVENT_LATE_S: Final = 1.0
 CACHE_EVENT_LOST: Final = 0.2
-# Servers that are gone stay candidates until their lease has run out.
+# A lost server stays a candidate until its lease has expired.
 LEASE_S: Final = 2.0
 
 
 class Faults(NamedTuple):
-    """What is wrong with the servers in a scenario."""
+    """Faults of the servers and their load reports in a scenario.
+
+    ``slow_speed`` and the loss apply to the first server, the other faults
+    to all. ``report_lost`` and ``failing`` are shares from 0 to 1.
+    """
 
     slow_speed: float = 1.0
     lost_from_s: float = 0.0
@@ -53,7 +57,11 @@
 
 
 class Run(NamedTuple):
-    """What came of one run; ``waiting`` is sampled every `TICK_S`."""
+    """Result of one run.
+
+    ``waiting`` holds the time and the number of waiting requests, sampled
+    every `TICK_S`.
+    """
 
     results: list[Result]
     waiting: list[tuple[float, int]]
@@ -63,7 +71,7 @@
 
 
 class ReportedPool:
-    """The servers and the last report that arrived of each."""
+    """The servers, and the load report of each that arrived last."""
 
     def __init__(
         self, clock: VirtualClock, size: Size, faults: Faults, random: Random
@@ -82,20 +90,23 @@
             )
 
     def candidates(self, now_s: float) -> list[Candidate]:
-        """Return the candidates; ages are renewed every `TICK_S`."""
-        made_s, made = self._cached
-        if now_s - made_s < TICK_S and made:
-            return made
-        made = [
+        """Return the candidates, built anew at most every `TICK_S`."""
+        created_s, candidates = self._cached
+        if now_s - created_s < TICK_S and candidates:
+            return candidates
+        candidates = [
             self._candidate(server, now_s)
             for server in self.servers.values()
             if not self._is_known_lost(server, now_s)
         ]
-        self._cached = (now_s, made)
-        return made
+        self._cached = (now_s, candidates)
+        return candidates
 
     def report(self) -> None:
-        """Let every server send a report; it arrives late or never."""
+        """Send a load report from every server that is up.
+
+        A report arrives late, or is lost, as the faults say.
+        """
         for server in self.servers.values():
             if not server.up or self._random.random() < (
                 self._faults.report_lost
@@ -103,11 +114,13 @@
                 continue
             content = (server.running, server.queued, self._clock.now_s)
             arrival_s = self._clock.now_s + self._faults.report_late_s
-            self._clock.at(
-                arrival_s, partial(self._arrive, server.name, content)
+            self._clock.call_at(
+                arrival_s, partial(self._store_report, server.name, content)
             )
 
-    def _arrive(self, name: str, content: tuple[int, int, float]) -> None:
+    def _store_report(
+        self, name: str, content: tuple[int, int, float]
+    ) -> None:
         self._reports[name] = content
 
     def _candidate(self, server: ModelServer, now_s: float) -> Candidate:
@@ -125,19 +138,22 @@
 def simulate(
     size: Size, mix: Mix, faults: Faults, policy: Policy, seed: int
 ) -> Run:
-    """Run one workload under one policy; same seed, same workload."""
+    """Run one workload under one policy.
+
+    The same seed gives the same workload under every policy.
+    """
     clock = VirtualClock()
     requests = make_requests(size, mix, Random(seed))
     random = Random(seed + 1_000_003)
     pool = ReportedPool(clock, size, faults, random)
     results: list[Result] = []
     entries = [
-        _entry(policy, clock, pool, results, random, size)
+        _make_entry(policy, clock, pool, results, random, size)
         for _ in range(size.entries)
     ]
     waiting: list[tuple[float, int]] = []
-    _plan_faults(clock, pool, faults, random)
-    _plan_cache_events(clock, pool, entries, random)
+    _schedule_faults(clock, pool, faults, random)
+    _connect_cache_events(clock, pool, entries, random)
 
     def tick() -> None:
         for entry in entries:
@@ -145,17 +161,17 @@
         queued = sum(s.queued for s in pool.servers.values())
         held = sum(entry.waiting for entry in entries)
         waiting.append((clock.now_s, queued + held))
-        clock.at(clock.now_s + TICK_S, tick)
+        clock.call_at(clock.now_s + TICK_S, tick)
 
     def report() -> None:
         pool.report()
-        clock.at(clock.now_s + REPORT_EVERY_S, report)
+        clock.call_at(clock.now_s + REPORT_EVERY_S, report)
 
     for request in requests:
         entry = entries[random.randrange(len(entries))]
-        clock.at(request.arrival_s, partial(entry.arrive, request))
-    clock.at(0.0, tick)
-    clock.at(0.0, report)
+        clock.call_at(request.arrival_s, partial(entry.arrive, request))
+    clock.call_at(0.0, tick)
+    clock.call_at(0.0, report)
     clock.run(mix.duration_s + DRAIN_S)
     return Run(
         results=results,
@@ -166,7 +182,7 @@
     )
 
 
-def _entry(
+def _make_entry(
     policy: Policy,
     clock: VirtualClock,
     pool: ReportedPool,
@@ -180,13 +196,13 @@
         return ConcentratingEntry(clock, pool, results, random, size.entries)
     rules = {
         "round-robin": round_robin(),
-        "random": at_random(random),
-        "least-reported": least_reported(random),
+        "random": random_choice(random),
+        "least-reported": least_reported_load(random),
     }
     return BaselineEntry(clock, pool, results, rules[policy])
 
 
-def _plan_faults(
+def _schedule_faults(
     clock: VirtualClock, pool: ReportedPool, faults: Faults, random: Random
 ) -> None:
     if faults.failing:
@@ -201,11 +217,11 @@
             server.fails = fails
     if faults.lost_until_s > faults.lost_from_s:
         server = next(iter(pool.servers.values()))
-        clock.at(faults.lost_from_s, server.lose)
-        clock.at(faults.lost_until_s, server.come_back)
+        clock.call_at(faults.lost_from_s, server.go_down)
+        clock.call_at(faults.lost_until_s, server.come_up)
 
 
-def _plan_cache_events(
+def _connect_cache_events(
     clock: VirtualClock,
     pool: ReportedPool,
     entries: list[BaselineEntry],
@@ -217,14 +233,16 @@
                 continue
             if random.random() < CACHE_EVENT_LOST:
                 continue
-            hear = partial(_hear, entry, name, prefix, stored)
-            clock.at(clock.now_s + CACHE_EVENT_LATE_S, hear)
+            deliver = partial(_deliver_cache_event, entry, name, prefix, stored)
+            clock.call_at(clock.now_s + CACHE_EVENT_LATE_S, deliver)
 
     for server in pool.servers.values():
         server.on_cache_event = publish
 
 
-def _hear(entry: ProductEntry, name: str, prefix: str, stored: bool) -> None:
+def _deliver_cache_event(
+    entry: ProductEntry, name: str, prefix: str, stored: bool
+) -> None:
     entry.selector.cache_event(name, [prefix], stored, entry.clock.now_s)
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/workload.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/workload.py
@@ -1,4 +1,4 @@
-"""Requests over virtual time: who sends what, when and with which limits."""
+"""Workloads: the requests of a run with arrival times and deadlines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 MEAN_INPUT: Final = 800
 MEAN_OUTPUT: Final = 150
 SIGMA: Final = 0.6
-# Callers' estimates are off by this (standard deviation of the logarithm).
+# Standard deviation of the logarithm of the error in callers' estimates.
 ESTIMATE_SIGMA: Final = 0.4
 DEADLINE_S: Final = 12.0
 LONG_OUTPUT: Final = 2_000
@@ -31,7 +31,7 @@
 
 
 class Size(NamedTuple):
-    """The part of a user's sizes that the queue model needs."""
+    """The sizes of a user's deployment that the queue model needs."""
 
     servers: int
     customers: int
@@ -45,7 +45,11 @@
 
 
 class Request(NamedTuple):
-    """One request of the workload."""
+    """One request of the workload.
+
+    ``deadline_s`` is a time on the virtual clock, and ``expected_s`` the
+    caller's estimate of the duration.
+    """
 
     request_id: int
     arrival_s: float
@@ -60,11 +64,11 @@
 
 
 class Mix(NamedTuple):
-    """What the requests of a scenario look like.
+    """The mix of requests in a scenario.
 
-    ``load`` is offered work over capacity and ``profile`` scales it over
-    time. ``flood_share`` of the requests come from the first two of the
-    customers; ``only_small`` leaves these out.
+    ``load`` is the offered work as a share of the capacity; ``profile``
+    scales it over time, by ``peak`` at most. ``flood_share`` of the requests
+    come from the first two customers; ``only_small`` leaves these out.
     """
 
     load: float
@@ -81,13 +85,13 @@
 
 
 def capacity_rps(size: Size, mix: Mix) -> float:
-    """Return how many such requests a second the servers can finish."""
+    """Return the number of requests a second that the servers can finish."""
     work_s = mean_work_s(mix) * FULL_BATCH_SLOWDOWN
     return size.servers * SERVER_CAPACITY / work_s
 
 
 def mean_work_s(mix: Mix) -> float:
-    """Return a request's mean time alone on a server, nothing cached."""
+    """Return the mean time of a request alone on a server, uncached."""
     mean = MEAN_INPUT / PREFILL_TOKENS_PER_S + MEAN_OUTPUT * TOKEN_S
     with_prefix = mix.hot_share + (1 - mix.hot_share) * mix.prefix_share
     mean += with_prefix * PREFIX_TOKENS / PREFILL_TOKENS_PER_S
@@ -96,7 +100,11 @@
 
 
 def make_requests(size: Size, mix: Mix, random: Random) -> list[Request]:
-    """Return the requests in order of arrival (a thinned Poisson process)."""
+    """Return the requests in order of arrival.
+
+    The arrivals are a thinned Poisson process: candidates arrive at the
+    peak rate, and each is kept with the probability that the profile gives.
+    """
     rate = capacity_rps(size, mix) * mix.load
     requests: list[Request] = []
     now_s = 0.0
@@ -106,7 +114,7 @@
             return requests
         scale = 1.0 if mix.profile is None else mix.profile(now_s)
         keep = random.random() < scale / mix.peak
-        request = _request(len(requests), now_s, size, mix, random)
+        request = _draw_request(len(requests), now_s, size, mix, random)
         small = request.customer not in FLOODING
         if keep and (small or not mix.only_small):
             requests.append(request)
@@ -115,20 +123,20 @@
 FLOODING: Final = ("c0", "c1")
 
 
-def _request(
+def _draw_request(
     request_id: int, now_s: float, size: Size, mix: Mix, random: Random
 ) -> Request:
     is_long = random.random() < mix.long_share
-    output = LONG_OUTPUT if is_long else _tokens(MEAN_OUTPUT, random)
-    tokens = _tokens(MEAN_INPUT, random)
-    prefix = _prefix(mix, random)
+    output = LONG_OUTPUT if is_long else _draw_tokens(MEAN_OUTPUT, random)
+    tokens = _draw_tokens(MEAN_INPUT, random)
+    prefix = _draw_prefix(mix, random)
     tokens += PREFIX_TOKENS if prefix else 0
     work_s = tokens / PREFILL_TOKENS_PER_S + output * TOKEN_S
     deadline_s = LONG_DEADLINE_S if is_long else DEADLINE_S
     return Request(
         request_id=request_id,
         arrival_s=now_s,
-        customer=_customer(size, mix, random),
+        customer=_draw_customer(size, mix, random),
         input_tokens=tokens,
         output_tokens=output,
         deadline_s=now_s + deadline_s,
@@ -138,13 +146,13 @@
     )
 
 
-def _customer(size: Size, mix: Mix, random: Random) -> str:
+def _draw_customer(size: Size, mix: Mix, random: Random) -> str:
     if random.random() < mix.flood_share:
         return random.choice(FLOODING)
     return f"c{random.randrange(len(FLOODING), size.customers)}"
 
 
-def _prefix(mix: Mix, random: Random) -> str | None:
+def _draw_prefix(mix: Mix, random: Random) -> str | None:
     if random.random() < mix.hot_share:
         return f"hot{random.randrange(mix.hot_keys)}"
     if random.random() < mix.prefix_share:
@@ -152,8 +160,8 @@
     return None
 
 
-def _tokens(mean: float, random: Random) -> int:
-    # exp(gauss) has the mean exp(sigma^2 / 2).
+def _draw_tokens(mean: float, random: Random) -> int:
+    # exp(gauss) has the mean exp(sigma^2 / 2), which the scale cancels.
     scale = mean / exp(SIGMA**2 / 2)
     return max(8, int(scale * exp(random.gauss(0.0, SIGMA))))
 
--- a/packages/sycamorestand-bench/tests/decisions/test_bench.py
+++ b/packages/sycamorestand-bench/tests/decisions/test_bench.py
@@ -31,7 +31,7 @@
         assert (tmp_path / "report.md").exists()
         assert (tmp_path / "cascade-late-ratings.png").exists()
 
-    def test_unknown_scenario(self) -> None:
+    def test_unknown_scenario_gives_status_two(self) -> None:
         assert main(["--scenario", "nothing"]) == 2
 
 
@@ -40,14 +40,14 @@
         names = [scenario.name for scenario in SCENARIOS]
         assert len(names) == len(set(names))
 
-    def test_decision_cost_gives_its_slopes(self) -> None:
+    def test_decision_cost_includes_the_slopes(self) -> None:
         row = decision_cost("guild", 1)["product"]
         assert row["cpu_us"] > 0
         assert "per_candidate_us" in row
 
 
 class TestModelServer:
-    def test_a_full_batch_is_slower_and_the_rest_waits(self) -> None:
+    def test_full_batch_is_slower_and_excess_requests_wait(self) -> None:
         ends: dict[int, float] = {}
         clock = VirtualClock()
         server = ModelServer(clock, "s", capacity=2)
@@ -58,12 +58,12 @@
         assert ends[0] == pytest.approx(1.15, rel=0.02)
         assert ends[2] == pytest.approx(2.15, rel=0.02)
 
-    def test_a_lost_server_fails_what_it_had(self) -> None:
+    def test_going_down_fails_running_requests(self) -> None:
         ends: dict[int, float] = {}
         clock = VirtualClock()
         server = ModelServer(clock, "s", capacity=2)
         self._submit(server, clock, 1, ends)
-        server.lose()
+        server.go_down()
         assert ends == {1: -1.0}
 
     def _submit(
@@ -73,14 +73,14 @@
         number: int,
         ends: dict[int, float],
     ) -> None:
-        def finished(good: bool) -> None:
-            ends[number] = clock.now_s if good else -1.0
+        def finished(succeeded: bool) -> None:
+            ends[number] = clock.now_s if succeeded else -1.0
 
         listener = Listener(lambda: None, finished)
         server.submit(Work(number, 0, 100), listener)
 
 
 class TestSpread:
-    def test_median_least_and_most(self) -> None:
+    def test_spread_ignores_nan(self) -> None:
         found = spread([3.0, 1.0, float("nan"), 2.0])
         assert found == (2.0, 1.0, 3.0)
--- a/packages/sycamorestand-bench/tests/decisions/test_routing_scenarios.py
+++ b/packages/sycamorestand-bench/tests/decisions/test_routing_scenarios.py
@@ -22,7 +22,7 @@
 
 
 class TestSteady:
-    def test_everybody_is_answered(self) -> None:
+    def test_all_requests_are_answered(self) -> None:
         figures = steady("guild", SEED)
         assert figures["product"]["answered"] >= 0.998
         least = figures["least-reported"]["p99_s"]
@@ -31,11 +31,14 @@
 
 class TestBurst:
     @BOTH
-    def test_is_cleared_and_nobody_waits_in_vain(self, user: User) -> None:
+    def test_burst_clears_and_admitted_requests_finish(
+        self, user: User
+    ) -> None:
         """Five times the load arrives for ten seconds.
 
-        Callers wait some seconds or are told at once to come back; what
-        is let in is answered, and soon after the burst nothing waits.
+        Without admission control, requests queue past their deadlines.
+        Admitted requests must be answered in time, the others refused, and
+        the queue must be empty soon after the burst.
         """
         figures = burst(user, SEED)
         assert figures["product"]["cleared_s"] <= 20.0
@@ -46,11 +49,12 @@
 
 class TestFlood:
     @BOTH
-    def test_small_customers_hardly_notice(self, user: User) -> None:
+    def test_flood_does_not_delay_small_customers(self, user: User) -> None:
         """Two customers send 90 % of one and a half times the capacity.
 
-        The eight others get their answers, nearly as fast as alone. With
-        one queue for all, half of them would be too late.
+        The eight other customers must be answered nearly as fast as without
+        the flood. With one queue for all customers, half of their answers
+        would be late.
         """
         figures = flood(user, SEED)
         assert figures["product"]["answered"] >= 0.97
@@ -59,11 +63,12 @@
 
 
 class TestHotKeys:
-    def test_three_keys_with_half_of_the_load(self) -> None:
+    def test_hot_keys_do_not_overload_their_servers(self) -> None:
         """Half of all requests carry one of three session keys.
 
-        Their servers would be swamped; the bound on affinity lets others
-        help, and more requests than without affinity find their prefix.
+        Unbounded affinity would overload the servers of these keys. The
+        bound spreads the excess over other servers, and more requests must
+        still find their prefix cached than without affinity.
         """
         figures = hot_keys("guild", SEED)
         assert figures["product"]["answered"] >= 0.99
@@ -73,11 +78,12 @@
 
 class TestSlowServer:
     @BOTH
-    def test_one_slow_server_costs_little(self, user: User) -> None:
+    def test_slow_server_hardly_raises_the_latency(self, user: User) -> None:
         """One server answers five times slower than the others.
 
-        It gets few requests and is ejected; in turn, its requests would
-        miss their deadlines or set everybody's 99th percentile.
+        The selector must send it few requests and eject it. With round
+        robin, its requests miss their deadlines or determine the 99th
+        percentile.
         """
         figures = slow_server(user, SEED)
         assert figures["product"]["p99_ratio"] <= 1.6
@@ -86,11 +92,11 @@
 
 
 class TestLongAmongShort:
-    def test_short_requests_are_not_held_up(self) -> None:
+    def test_long_requests_do_not_delay_short_ones(self) -> None:
         """One of twenty requests is thirteen times longer.
 
-        Short ones must not queue behind it: their 99th percentile stays
-        under that of choosing by late reports.
+        Short requests must not queue behind long ones. Their 99th percentile
+        must be about as low as with selection by reported load, or lower.
         """
         figures = long_among_short("authority", SEED)
         assert figures["product"]["answered"] >= 0.99
@@ -100,11 +106,14 @@
 
 class TestSaturation:
     @BOTH
-    def test_three_times_the_capacity(self, user: User) -> None:
-        """Callers send three times what the servers can do.
-
-        Servers stay busy with work that is answered in time, and the rest
-        is refused when it comes. Sent on at once, nearly all would be late.
+    def test_three_times_the_capacity_keeps_work_useful(
+        self, user: User
+    ) -> None:
+        """Callers send three times the capacity of the servers.
+
+        The servers must stay busy with work that is answered in time, and
+        the excess must be refused on arrival. Without admission control,
+        nearly all answers would be late.
         """
         figures = saturation_3(user, SEED)
         assert figures["product"]["useful"] >= 0.9
@@ -112,7 +121,7 @@
         assert figures["product"]["late"] <= 0.01
         assert figures["round-robin"]["useful"] <= 0.4
 
-    def test_one_and_a_half_times_the_capacity(self) -> None:
+    def test_half_more_than_the_capacity_keeps_work_useful(self) -> None:
         figures = saturation_1_5("guild", SEED)
         assert figures["product"]["useful"] >= 0.9
         assert figures["product"]["late"] <= 0.01
@@ -120,11 +129,11 @@
 
 class TestServerLost:
     @BOTH
-    def test_lost_requests_are_tried_again(self, user: User) -> None:
-        """A server goes down with a full batch and comes back cold.
+    def test_requests_of_a_lost_server_are_retried(self, user: User) -> None:
+        """A server goes down with a full batch and comes up cold.
 
-        Its requests are tried on other servers under the retry budget;
-        callers see a later answer, no error.
+        Its requests must be retried on other servers within the retry
+        budget, so that callers get a later answer and no error.
         """
         figures = server_lost(user, SEED)
         assert figures["product"]["answered"] >= 0.99
@@ -136,8 +145,8 @@
     def test_retries_do_not_multiply_the_load(self, user: User) -> None:
         """Every server fails eight of ten requests for ten seconds.
 
-        Tried three times each, requests would more than double the load
-        on servers in trouble; under the budget it hardly grows.
+        With up to three attempts each, the requests would more than double
+        the load on the failing servers. The retry budget must prevent that.
         """
         figures = error_storm(user, SEED)
         assert figures["product"]["attempts"] <= 1.15
@@ -147,11 +156,11 @@
 
 class TestLateReports:
     @BOTH
-    def test_reports_late_and_with_gaps(self, user: User) -> None:
+    def test_late_reports_do_not_cause_herding(self, user: User) -> None:
         """Load reports are two seconds old and three of ten are lost.
 
-        Following them, all entries send to the same server until the next
-        report; own counts keep the load even.
+        Entries that use the reports alone all send to the same server until
+        the next report. The counts of each entry must keep the load even.
         """
         figures = late_reports(user, SEED)
         assert figures["product"]["answered"] >= 0.985
@@ -160,7 +169,7 @@
 
 
 class TestConcentration:
-    def test_spreading_measures_better_than_concentrating(self) -> None:
+    def test_spreading_is_faster_than_concentrating(self) -> None:
         figures: Figures = concentration("guild", SEED)
         spread, packed = figures["product"], figures["concentrate"]
         assert spread["p50_s"] < packed["p50_s"]
