--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/cascade_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/cascade_model.py
@@ -1,10 +1,10 @@
-"""Classes of requests with pass rates, to measure cascades against.
+"""Simulation of cascades over request classes with known pass rates.
 
-Answers are rated while the caller waits, later, or never. A request that
-the cheap version fails is harder for the strong one too. The oracle knows
-every rate and takes the cheapest plan that reaches the target in each
-class; the baselines begin always at the strong or always at the cheap
-step.
+An answer is rated while the caller waits, later, or never. A request that
+the cheap version fails is more likely to fail at the strong one as well.
+The oracle policy knows every pass rate and takes, in each class, the plan
+with the lowest penalty that reaches the quality target. Of the baselines,
+one always starts at the strong step, the other always at the cheap one.
 """
 
 from __future__ import annotations
@@ -36,14 +36,15 @@
 
 REQUESTS: Final = 16_000
 WARM_UP: Final = 6_000
-# How often a failure of the cheap version goes with one of the strong.
-SAME_CAUSE: Final = 0.4
-LATE_AFTER: Final = 500
+# Share of the requests whose difficulty is the same for both versions. For
+# the others the strong version passes or fails independently.
+SHARED_DIFFICULTY: Final = 0.4
+LATE_RATING_BATCH: Final = 500
 COST_SIGMA: Final = 0.5
 
 
 class Step(NamedTuple):
-    """One version of the model: cost and latency of its answers."""
+    """One version of the model, with its mean cost and latency."""
 
     version: str
     cost_micros: float
@@ -51,7 +52,7 @@
 
 
 class RequestKind(NamedTuple):
-    """A class of requests: its share and pass rates by step."""
+    """A request class: its share of the requests and pass rate per step."""
 
     name: str
     share: float
@@ -59,10 +60,11 @@
 
 
 class CascadeCase(NamedTuple):
-    """What one run plays.
+    """The requests and ratings of one run.
 
-    ``drifted`` replaces the kinds half-way; ``inline`` and ``late`` are
-    the shares of answers rated at once and later.
+    ``drifted`` replaces ``kinds`` halfway through the requests that follow
+    the warm-up. ``inline`` and ``late`` are the shares of answers that are
+    rated while the caller waits, and later.
     """
 
     kinds: tuple[RequestKind, ...]
@@ -72,7 +74,11 @@
 
 
 class CascadeFigures(NamedTuple):
-    """What one policy reached after the warm-up."""
+    """Results of one policy over the requests after the warm-up.
+
+    Cost and latency are means for each request; ``worst_class`` is the
+    lowest pass rate of any class.
+    """
 
     cost_micros: float
     quality: float
@@ -93,7 +99,7 @@
     RequestKind("nesting/l/chat", 0.10, (0.45, 0.94)),
     RequestKind("season/xl/chat", 0.05, (0.25, 0.93)),
 )
-# The mix moves to hard classes, and one easy class becomes hard.
+# The mix shifts to hard classes, "summary" becomes hard and "note" easy.
 DRIFTED: Final = (
     RequestKind("stock/s/single", 0.10, (0.985, 0.99)),
     RequestKind("status/s/single", 0.10, (0.97, 0.985)),
@@ -112,7 +118,11 @@
 
 
 def profile_of(user: User) -> Profile:
-    """Return the example profile of a user."""
+    """Return the example profile of a user.
+
+    The guild gives cost the higher weight, the authority latency and
+    exposure.
+    """
     objective = (
         Objective(cost_weight=3.0)
         if user == "guild"
@@ -129,36 +139,39 @@
 def run_cascade(
     case: CascadeCase, user: User, policy: CascadePolicy, seed: int
 ) -> CascadeFigures:
-    """Play every request under one policy; same seed, same requests."""
+    """Run all requests under one policy.
+
+    The same seed gives the same requests under every policy.
+    """
     random = Random(seed)
-    chooser = _Chooser(case, profile_of(user), policy, Random(seed + 1))
+    runner = _PolicyRunner(case, profile_of(user), policy, Random(seed + 1))
     cost = latency_ms = 0.0
-    passed_of: dict[str, list[int]] = {}
+    counts_by_class: dict[str, list[int]] = {}
     late: list[_Answer] = []
     for number in range(REQUESTS):
         kinds = case.kinds
         if case.drifted and number >= (REQUESTS + WARM_UP) // 2:
             kinds = case.drifted
-        request = _draw(kinds, random)
-        answers = chooser.answer(request, kinds)
+        request = _draw_request(kinds, random)
+        answers = runner.answer(request, kinds)
         late.extend(answers)
-        if len(late) >= LATE_AFTER:
+        if len(late) >= LATE_RATING_BATCH:
             for answer in late:
-                chooser.rate_late(answer)
+                runner.rate_late(answer)
             late.clear()
         if number < WARM_UP:
             continue
         cost += sum(a.cost_micros for a in answers)
         latency_ms += sum(a.latency_ms for a in answers)
-        counts = passed_of.setdefault(request.kind.name, [0, 0])
+        counts = counts_by_class.setdefault(request.kind.name, [0, 0])
         counts[0] += answers[-1].passed
         counts[1] += 1
     measured = REQUESTS - WARM_UP
     return CascadeFigures(
         cost_micros=cost / measured,
-        quality=sum(c[0] for c in passed_of.values()) / measured,
+        quality=sum(c[0] for c in counts_by_class.values()) / measured,
         latency_ms=latency_ms / measured,
-        worst_class=min(c[0] / c[1] for c in passed_of.values()),
+        worst_class=min(c[0] / c[1] for c in counts_by_class.values()),
     )
 
 
@@ -179,8 +192,8 @@
     rated_late: bool
 
 
-class _Chooser:
-    """Answers requests under one policy."""
+class _PolicyRunner:
+    """Runs the steps of requests as one policy decides."""
 
     def __init__(
         self,
@@ -200,20 +213,20 @@
     ) -> list[_Answer]:
         """Run the steps of one request until an answer is accepted."""
         answers: list[_Answer] = []
-        step, accepts = self._first(request.kind)
+        step, accepts = self._first_step(request.kind)
         failed_before = False
         while True:
-            answer = self._run(request, step, failed_before)
+            answer = self._run_step(request, step, failed_before)
             answers.append(answer)
             inline = request.rated[step] < self._case.inline
-            self._learn(answer, answer.passed if inline else None)
+            self._record(answer, answer.passed if inline else None)
             if self._accepts(answer, inline, accepts):
                 return answers
             failed_before = inline
             step += 1
 
     def rate_late(self, answer: _Answer) -> None:
-        """Let a late rating come."""
+        """Report the rating of an answer that is rated late, if it is."""
         if answer.rated_late and self._policy == "product":
             self._learner.observe(
                 self._profile.name,
@@ -225,7 +238,7 @@
                 answer.escalated,
             )
 
-    def _first(self, kind: RequestKind) -> tuple[int, bool]:
+    def _first_step(self, kind: RequestKind) -> tuple[int, bool]:
         if self._policy == "always-strong":
             return len(STEPS) - 1, True
         if self._policy == "cheap-first":
@@ -247,7 +260,9 @@
             return True
         return answer.passed if inline else accepts
 
-    def _run(self, request: _Request, step: int, escalated: bool) -> _Answer:
+    def _run_step(
+        self, request: _Request, step: int, escalated: bool
+    ) -> _Answer:
         rated = request.rated[step]
         inline, late = self._case.inline, self._case.late
         return _Answer(
@@ -260,7 +275,7 @@
             rated_late=inline <= rated < inline + late,
         )
 
-    def _learn(self, answer: _Answer, passed: bool | None) -> None:
+    def _record(self, answer: _Answer, passed: bool | None) -> None:
         if self._policy == "product":
             self._learner.observe(
                 self._profile.name,
@@ -276,42 +291,48 @@
 def oracle_plan(
     kind: RequestKind, inline: float, profile: Profile
 ) -> tuple[int, bool]:
-    """Return the first step and whether unrated answers are accepted."""
+    """Return the feasible plan with the lowest penalty.
+
+    A plan is its first step and whether it accepts unrated answers of that
+    step. Starting at the strong step is always feasible; a plan that starts
+    at the cheap step must be expected to reach the quality target.
+    """
     cheap, strong = kind.pass_rates
-    after = _pass_after_failure(cheap, strong)
+    strong_after_failure = _pass_after_failure(cheap, strong)
     plans = [
         (
-            cheap + inline * (1 - cheap) * after,
+            cheap + inline * (1 - cheap) * strong_after_failure,
             inline * (1 - cheap),
             (0, True),
         ),
         (
-            inline * (cheap + (1 - cheap) * after) + (1 - inline) * strong,
+            inline * (cheap + (1 - cheap) * strong_after_failure)
+            + (1 - inline) * strong,
             1 - inline * cheap,
             (0, False),
         ),
     ]
     direct = (penalty(profile.objective, 1.0, 1.0), (len(STEPS) - 1, True))
-    good = [direct]
-    for quality, sent_on, plan in plans:
+    feasible = [direct]
+    for quality, escalated, plan in plans:
         if quality >= TARGET:
-            cost = STEPS[0].cost_micros / STEPS[1].cost_micros + sent_on
-            latency = STEPS[0].latency_ms / STEPS[1].latency_ms + sent_on
-            good.append((penalty(profile.objective, cost, latency), plan))
-    return min(good)[1]
+            cost = STEPS[0].cost_micros / STEPS[1].cost_micros + escalated
+            latency = STEPS[0].latency_ms / STEPS[1].latency_ms + escalated
+            feasible.append((penalty(profile.objective, cost, latency), plan))
+    return min(feasible)[1]
 
 
 def _pass_after_failure(cheap: float, strong: float) -> float:
-    """Return the strong step's pass rate where the cheap one failed."""
-    same = max(0.0, strong - cheap) / (1 - cheap) if cheap < 1 else 0.0
-    return SAME_CAUSE * same + (1 - SAME_CAUSE) * strong
+    """Return the strong step's pass rate on requests the cheap one failed."""
+    shared = max(0.0, strong - cheap) / (1 - cheap) if cheap < 1 else 0.0
+    return SHARED_DIFFICULTY * shared + (1 - SHARED_DIFFICULTY) * strong
 
 
-def _draw(kinds: tuple[RequestKind, ...], random: Random) -> _Request:
+def _draw_request(kinds: tuple[RequestKind, ...], random: Random) -> _Request:
     kind = random.choices(kinds, [k.share for k in kinds])[0]
     difficulty = random.random()
-    own = random.random()
-    strong = difficulty if random.random() < SAME_CAUSE else own
+    independent = random.random()
+    strong = difficulty if random.random() < SHARED_DIFFICULTY else independent
     passes = (
         difficulty < kind.pass_rates[0],
         strong < kind.pass_rates[1],
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/placement_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/placement_model.py
@@ -1,8 +1,8 @@
-"""Demand of several versions over a day, to measure placement against.
+"""Simulation of placement over a day with changing demand.
 
-Each version's demand swings over the day and from minute to minute. A load
-takes `LOAD_S` and the weight store allows one at once. Demand that a
-version's loaded replicas cannot carry is unmet.
+The demand for each version varies over the day and from minute to minute.
+A load takes `LOAD_S`, and the weight store allows one load at a time.
+Demand beyond the capacity of a version's loaded replicas is unmet.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 MINUTE_S: Final = 60.0
 MINUTES: Final = 24 * 60
 LOAD_S: Final = 180.0
-ROOM: Final = 2
+MODEL_SLOTS: Final = 2
 VERSIONS: Final = ("small@1", "large@1", "vision@1")
 PEAK_SHARE: Final = (0.55, 0.45, 0.25)
 LIMITS: Final = Limits(loads_at_once=1)
-# What greedy may do: as much as the weight store loads, at any time.
+# Limits without hysteresis: only the weight store bounds the changes.
 UNLIMITED: Final = Limits(loads_at_once=1, max_changes=1_000)
 
 
@@ -49,36 +49,36 @@
 
 
 def placement(user: User, seed: int) -> Figures:
-    """Unmet demand and loads a day, against two baselines."""
+    """Measure unmet demand and loads a day, with two baselines."""
     return {policy: _run(user, seed, policy) for policy in POLICIES}
 
 
 def _run(user: User, seed: int, policy: PlacementPolicy) -> dict[str, float]:
     random = Random(seed)
-    day = _Day(SIZES[user].servers)
+    state = _PlacementState(SIZES[user].servers)
     noise = dict.fromkeys(VERSIONS, 0.0)
-    unmet = wanted = 0.0
+    unmet = total = 0.0
     for minute in range(MINUTES):
         now_s = minute * MINUTE_S
         for version in VERSIONS:
             noise[version] = 0.8 * noise[version] + random.gauss(0.0, 0.06)
         demand = _demand(minute, SIZES[user].servers, noise)
-        day.finish_loads(now_s)
+        state.finish_loads(now_s)
         for version, running in demand.items():
-            capacity = day.capacity(version)
-            wanted += running
+            capacity = state.capacity(version)
+            total += running
             unmet += max(0.0, running - capacity)
         if policy != "static":
-            day.order(demand, now_s, policy)
+            state.order(demand, now_s, policy)
     return {
-        "unmet": unmet / wanted,
-        "loads": float(day.loads),
-        "changes_an_hour": day.changes / 24.0,
+        "unmet": unmet / total,
+        "loads": float(state.loads),
+        "changes_an_hour": state.changes / 24.0,
     }
 
 
-class _Day:
-    """What is loaded where."""
+class _PlacementState:
+    """The versions that each server has loaded or is loading."""
 
     def __init__(self, servers: int) -> None:
         self.loaded: dict[str, dict[str, float]] = {}
@@ -91,7 +91,10 @@
         self.changes = 0
 
     def capacity(self, version: str) -> float:
-        """Return slots for a version: servers share theirs evenly."""
+        """Return the request slots for a version over all servers.
+
+        A server divides its slots evenly among its loaded versions.
+        """
         return sum(
             SERVER_CAPACITY / len(versions)
             for versions in self.loaded.values()
@@ -99,7 +102,7 @@
         )
 
     def finish_loads(self, now_s: float) -> None:
-        """Let loads end."""
+        """Mark the loads that are done by now as loaded."""
         for load in [x for x in self.loading if x.done_s <= now_s]:
             self.loading.remove(load)
             self.loaded[load.server][load.version] = now_s
@@ -107,25 +110,25 @@
     def order(
         self, demand: dict[str, float], now_s: float, policy: PlacementPolicy
     ) -> None:
-        """Ask for the policy's orders and begin them."""
+        """Compute the policy's orders and start them."""
         servers = [self._slots(name) for name in self.loaded]
         if policy == "product":
-            wants = {
-                version: Demand(running, SERVER_CAPACITY // ROOM, 1)
+            demands = {
+                version: Demand(running, SERVER_CAPACITY // MODEL_SLOTS, 1)
                 for version, running in demand.items()
             }
             orders = plan_orders(
-                servers, wants, (), self.changed_at_s, now_s, LIMITS
+                servers, demands, (), self.changed_at_s, now_s, LIMITS
             )
         else:
-            orders = _greedy(servers, demand)
+            orders = _plan_greedily(servers, demand)
         for order in orders:
             self._apply(order, now_s)
 
     def _slots(self, name: str) -> ServerSlots:
         loading = tuple(x.version for x in self.loading if x.server == name)
         return ServerSlots(
-            name, ROOM, dict(self.loaded[name]), loading=loading
+            name, MODEL_SLOTS, dict(self.loaded[name]), loading=loading
         )
 
     def _apply(self, order: Order, now_s: float) -> None:
@@ -139,31 +142,37 @@
         self.loading.append(_Loading(order.server, order.version, done_s))
 
 
-def _greedy(
+def _plan_greedily(
     servers: list[ServerSlots], demand: dict[str, float]
 ) -> list[Order]:
-    """Follow the demand each minute: most needed in, least needed out."""
+    """Load the version with the largest shortage of replicas.
+
+    The version with the largest surplus makes room where no slot is free.
+    There are no orders while a load runs.
+    """
     if any(server.loading for server in servers):
         return []
     gaps = {}
     for version, running in demand.items():
         replicas = sum(version in s.loaded_since_s for s in servers)
-        gaps[version] = ceil(running / (SERVER_CAPACITY / ROOM)) - replicas
+        gaps[version] = (
+            ceil(running / (SERVER_CAPACITY / MODEL_SLOTS)) - replicas
+        )
     needed = max(gaps, key=lambda version: gaps[version])
-    spare = min(gaps, key=lambda version: gaps[version])
+    surplus = min(gaps, key=lambda version: gaps[version])
     if gaps[needed] < 1:
         return []
     for server in servers:
-        has = server.loaded_since_s
-        if needed not in has and len(has) < ROOM:
+        loaded = server.loaded_since_s
+        if needed not in loaded and len(loaded) < MODEL_SLOTS:
             return [Order("load", server.name, needed, "greedy")]
-    if gaps[spare] >= 0:
+    if gaps[surplus] >= 0:
         return []
     for server in servers:
-        has = server.loaded_since_s
-        if needed not in has and spare in has:
+        loaded = server.loaded_since_s
+        if needed not in loaded and surplus in loaded:
             return [
-                Order("unload", server.name, spare, "greedy"),
+                Order("unload", server.name, surplus, "greedy"),
                 Order("load", server.name, needed, "greedy"),
             ]
     return []
@@ -172,7 +181,10 @@
 def _demand(
     minute: int, servers: int, noise: dict[str, float]
 ) -> dict[str, float]:
-    """Return mean running requests; the peaks are hours apart."""
+    """Return the mean running requests of each version.
+
+    The versions' peaks are spread evenly over the day.
+    """
     demand = {}
     for index, version in enumerate(VERSIONS):
         phase = 2 * pi * (minute / MINUTES + index / len(VERSIONS))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/rollout_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/rollout_model.py
@@ -1,9 +1,10 @@
-"""Requests of an old and a new version, to measure exposure against.
+"""Simulation of roll-outs, to measure how many requests a bad version gets.
 
-Each request draws its class, errors, latency and rating; the leader looks
-at the counts every `LOOK_S`. A day's requests are those that the user's
-pool serves in a day at `REQUESTS_PER_S`; exposure is the share of them
-that a bad version answered before new work left it.
+The class, error, latency and rating of each request are drawn at random;
+the leader checks the counts every `CHECK_INTERVAL_S`. A day's requests are
+those that the user's pool serves in a day at `REQUESTS_PER_S`. Exposure is
+the share of a day's requests that a bad version answers before it gets no
+more new requests.
 """
 
 from __future__ import annotations
@@ -42,10 +43,11 @@
 ]
 RolloutPolicy = Literal["product", "fixed-time"]
 
-# A fifth of what the queue model's servers could do: a day has nights.
+# A fifth of the capacity of the queue model's servers, as the load is low at
+# night.
 REQUESTS_PER_S: Final[dict[User, float]] = {"guild": 4.0, "authority": 2.0}
 DAY_S: Final = 86_400.0
-LOOK_S: Final = 30.0
+CHECK_INTERVAL_S: Final = 30.0
 CLASS_SHARES: Final = {"short": 0.5, "review": 0.3, "chat": 0.2}
 PASS_RATE: Final = {"short": 0.97, "review": 0.92, "chat": 0.9}
 MEDIAN_MS: Final = {"short": 500.0, "review": 2_000.0, "chat": 1_200.0}
@@ -53,11 +55,12 @@
 RATED_SHARE: Final = 0.5
 ERROR_RATE: Final = 0.003
 BAD_CLASS: Final = "chat"
-WORSE_RATING: Final = 0.2
+PASS_RATE_DROP: Final = 0.2
 BAD_ERROR_RATE: Final = 0.05
-SLOWER: Final = 2.0
+SLOWDOWN: Final = 2.0
 RATING_BIAS: Final = 0.3
-# Without a judge a person looks after this long: the baseline's best case.
+# The fixed-time baseline advances a step after this time, the shortest in
+# which a person would look at the counts if nothing checked them.
 FIXED_STEP_S: Final = 900.0
 MODEL: Final = "nest"
 OLD: Final = "nest@1"
@@ -66,7 +69,10 @@
 
 
 class Exposure(NamedTuple):
-    """What one roll-out or watch came to."""
+    """Result of one roll-out or watch.
+
+    ``exposed`` counts the requests that the fault can have affected.
+    """
 
     exposed: int
     stopped: bool
@@ -83,10 +89,11 @@
     interrupted: bool = False,
     scale: float = 1.0,
 ) -> Exposure:
-    """Roll out one new version, bad from its start or healthy.
+    """Roll out one new version that is healthy or bad from its start.
 
-    ``interrupted`` replaces the judge half-way through each step, as after
-    a change of leader: it begins with the committed step and no counts.
+    With ``interrupted``, a new monitor replaces the old one in the course of
+    each step, as after a change of leader: it starts with the committed step
+    and without counts. ``scale`` multiplies the request rate.
     """
     random = np.random.default_rng(seed)
     rollout = Rollout(MODEL, NEW)
@@ -94,20 +101,24 @@
     monitor = RolloutMonitor(rollout, 0.0, objective=objective)
     exposed = 0
     now_s = started_s = 0.0
-    was_cut = -1
+    interrupted_step = -1
     while now_s < hours * 3_600.0:
-        exposed += _play(
+        exposed += _serve_interval(
             monitor, now_s, REQUESTS_PER_S[user] * scale, fault, random
         )
-        now_s += LOOK_S
+        now_s += CHECK_INTERVAL_S
         if policy == "fixed-time":
             if now_s - started_s >= FIXED_STEP_S:
                 started_s = now_s
                 if not monitor.advance(now_s):
                     return Exposure(exposed, False, now_s, True)
             continue
-        if interrupted and was_cut < monitor.step and now_s > started_s + 120:
-            was_cut = monitor.step
+        if (
+            interrupted
+            and interrupted_step < monitor.step
+            and now_s > started_s + 120
+        ):
+            interrupted_step = monitor.step
             monitor = RolloutMonitor(rollout, now_s, monitor.step, objective)
             continue
         verdict = monitor.check(now_s)
@@ -127,21 +138,32 @@
     bad_after_s: float = 14_400.0,
     hours: float = 5.5,
 ) -> Exposure:
-    """Watch a version that turns bad long after its roll-out."""
+    """Watch a version that turns bad long after its roll-out.
+
+    The seconds of the result count from the time at which it turns bad.
+    """
     random = np.random.default_rng(seed)
     watch = VersionWatch()
     exposed = 0
     now_s = 0.0
     while now_s < hours * 3_600.0:
-        bad = now_s >= bad_after_s
-        now = fault if bad else "healthy"
+        is_bad = now_s >= bad_after_s
+        current_fault = fault if is_bad else "healthy"
         for version, share in ((OLD, 0.6), (OTHER, 0.4)):
-            own = now if version == OLD or _hits_all(now) else "healthy"
+            version_fault = (
+                current_fault
+                if version == OLD or _affects_all_versions(current_fault)
+                else "healthy"
+            )
             rate = REQUESTS_PER_S[user] * share
-            stats = _draw(own, rate, now_s, random)
-            exposed += _seen(stats, fault) if bad and version == OLD else 0
+            stats = _draw_stats(version_fault, rate, now_s, random)
+            exposed += (
+                _count_exposed(stats, fault)
+                if is_bad and version == OLD
+                else 0
+            )
             watch.add(version, stats)
-        now_s += LOOK_S
+        now_s += CHECK_INTERVAL_S
         verdicts = watch.check(now_s)
         if any(isinstance(verdict, Stop) for verdict in verdicts.values()):
             return Exposure(exposed, True, now_s - bad_after_s, False)
@@ -149,47 +171,47 @@
 
 
 def day_requests(user: User) -> float:
-    """Return the requests of a day."""
+    """Return the number of requests that a user's pool serves in a day."""
     return REQUESTS_PER_S[user] * DAY_S
 
 
-def _play(
+def _serve_interval(
     monitor: RolloutMonitor,
     now_s: float,
     rate: float,
     fault: Fault,
     random: np.random.Generator,
 ) -> int:
-    """Serve the requests up to the next look; return the exposed ones."""
-    # The fault of the rating service begins after ten minutes, in the
-    # middle of the roll-out, and hits both versions.
-    common = _hits_all(fault)
-    old: Fault = fault if common and now_s >= 600.0 else "healthy"
-    new: Fault = old if common else fault
-    new_stats = _draw(new, rate * monitor.share, now_s, random)
-    old_stats = _draw(old, rate * (1.0 - monitor.share), now_s, random)
+    """Serve requests until the next check; return how many are exposed."""
+    # A fault of the rating service begins after ten minutes, in the middle
+    # of the roll-out, and affects both versions.
+    affects_all = _affects_all_versions(fault)
+    old: Fault = fault if affects_all and now_s >= 600.0 else "healthy"
+    new: Fault = old if affects_all else fault
+    new_stats = _draw_stats(new, rate * monitor.share, now_s, random)
+    old_stats = _draw_stats(old, rate * (1.0 - monitor.share), now_s, random)
     monitor.add(old_stats, new_stats)
-    return _seen(new_stats, fault)
+    return _count_exposed(new_stats, fault)
 
 
-def _seen(stats: VersionStats, fault: Fault) -> int:
-    """Count the requests that the fault can have touched."""
+def _count_exposed(stats: VersionStats, fault: Fault) -> int:
+    """Count the requests that the fault can have affected."""
     if fault == "one-class":
         return select(stats, BAD_CLASS).requests
     return stats.requests
 
 
-def _hits_all(fault: Fault) -> bool:
+def _affects_all_versions(fault: Fault) -> bool:
     return fault in ("rating-biased", "rating-down")
 
 
-def _draw(
-    fault: Fault, per_s: float, now_s: float, random: np.random.Generator
+def _draw_stats(
+    fault: Fault, rate: float, now_s: float, random: np.random.Generator
 ) -> VersionStats:
-    """Draw the counts of one version up to the next look."""
+    """Draw the counts of one version until the next check."""
     strata: dict[Stratum, ClassStats] = {}
     for name, share in CLASS_SHARES.items():
-        requests = int(random.poisson(per_s * share * LOOK_S))
+        requests = int(random.poisson(rate * share * CHECK_INTERVAL_S))
         if not requests:
             continue
         error_rate = BAD_ERROR_RATE if fault == "errors" else ERROR_RATE
@@ -198,12 +220,12 @@
         rated_share = 0.0 if fault == "rating-down" else RATED_SHARE
         rated = int(random.binomial(answered, rated_share))
         passed = int(random.binomial(rated, _pass_rate(fault, name)))
-        median_ms = MEDIAN_MS[name] * (SLOWER if fault == "slow" else 1.0)
+        median_ms = MEDIAN_MS[name] * (SLOWDOWN if fault == "slow" else 1.0)
         latencies_ms = median_ms * np.exp(
             random.normal(0.0, LATENCY_SIGMA, answered)
         )
-        places = np.searchsorted(LATENCY_EDGES_MS, latencies_ms)
-        counts = np.bincount(places, minlength=len(LATENCY_EDGES_MS) + 1)
+        buckets = np.searchsorted(LATENCY_EDGES_MS, latencies_ms)
+        counts = np.bincount(buckets, minlength=len(LATENCY_EDGES_MS) + 1)
         strata[Stratum(name, int(now_s // BLOCK_S))] = ClassStats(
             requests=requests,
             errors=errors,
@@ -220,7 +242,7 @@
     if fault == "wrong" or (
         fault == "one-class" and request_class == BAD_CLASS
     ):
-        return rate - WORSE_RATING
+        return rate - PASS_RATE_DROP
     if fault == "rating-biased":
         return rate - RATING_BIAS
     return rate
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/scenario_table.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/scenario_table.py
@@ -1,4 +1,4 @@
-"""Every scenario by name, and the goals that its figures are held to."""
+"""The table of all scenarios with the goals for their figures."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from sycamorestand_bench.decisions.routing_scenarios import server_lost
 from sycamorestand_bench.decisions.routing_scenarios import slow_server
 from sycamorestand_bench.decisions.routing_scenarios import steady
-from sycamorestand_bench.decisions.version_scenarios import of_case
-from sycamorestand_bench.decisions.version_scenarios import of_fault
 from sycamorestand_bench.decisions.version_scenarios import rollout
 from sycamorestand_bench.decisions.version_scenarios import rollout_healthy
 from sycamorestand_bench.decisions.version_scenarios import rollout_interrupted
 from sycamorestand_bench.decisions.version_scenarios import rollout_rating
 from sycamorestand_bench.decisions.version_scenarios import turns_bad
+from sycamorestand_bench.decisions.version_scenarios import with_case
+from sycamorestand_bench.decisions.version_scenarios import with_fault
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,8 +39,8 @@
 class Goal(NamedTuple):
     """A bound on one figure of the product.
 
-    ``over`` names what of the seeds is held to it: the median, the worst
-    seed, or the sum of all.
+    ``over`` names the value over the seeds that must meet the bound: the
+    median, the worst seed, or the sum of all seeds.
     """
 
     name: str
@@ -51,7 +51,10 @@
 
 
 class Scenario(NamedTuple):
-    """What is measured for one user and seed, and shown in the table."""
+    """A measurement for one user and seed.
+
+    ``shown`` names the figures in the table and the plots.
+    """
 
     name: str
     measure: Callable[[User, int], Figures]
@@ -131,23 +134,23 @@
         concentration,
         (*ROUTING_SHOWN, "cache_hits", "servers_used"),
     ),
-    Scenario("cascade", of_case("cascade"), CASCADE_SHOWN, CASCADE_GOALS),
+    Scenario("cascade", with_case("cascade"), CASCADE_SHOWN, CASCADE_GOALS),
     Scenario(
         "cascade-drift",
-        of_case("cascade-drift"),
+        with_case("cascade-drift"),
         CASCADE_SHOWN,
         CASCADE_GOALS,
     ),
     Scenario(
         "cascade-late-ratings",
-        of_case("cascade-late-ratings"),
+        with_case("cascade-late-ratings"),
         CASCADE_SHOWN,
         CASCADE_GOALS[2:],
     ),
     *(
         Scenario(
             f"rollout-{fault}",
-            of_fault(rollout, fault),
+            with_fault(rollout, fault),
             EXPOSURE_SHOWN,
             (EXPOSED_GOAL, STOPPED_GOAL),
         )
@@ -155,7 +158,7 @@
     ),
     Scenario(
         "rollout-one-class",
-        of_fault(rollout, "one-class"),
+        with_fault(rollout, "one-class"),
         EXPOSURE_SHOWN,
         (EXPOSED_GOAL, STOPPED_GOAL),
     ),
@@ -168,7 +171,7 @@
     *(
         Scenario(
             f"rollout-{fault}",
-            of_fault(rollout_rating, fault),
+            with_fault(rollout_rating, fault),
             EXPOSURE_SHOWN,
             (NO_STOP_GOAL,),
         )
@@ -191,7 +194,7 @@
     *(
         Scenario(
             f"turns-bad-{fault}",
-            of_fault(turns_bad, fault),
+            with_fault(turns_bad, fault),
             EXPOSURE_SHOWN,
             (EXPOSED_GOAL, STOPPED_GOAL),
         )
@@ -200,7 +203,7 @@
     *(
         Scenario(
             f"turns-bad-{fault}",
-            of_fault(turns_bad, fault),
+            with_fault(turns_bad, fault),
             EXPOSURE_SHOWN,
             (NO_STOP_GOAL,),
         )
@@ -217,12 +220,15 @@
 
 
 def find_scenarios(name: str | None) -> tuple[Scenario, ...]:
-    """Return the scenarios of a name or of a name's beginning."""
+    """Return the scenarios with a name, or whose names extend it by a dash.
+
+    Without a name, return all scenarios.
+    """
     if name is None:
         return SCENARIOS
-    exact = tuple(s for s in SCENARIOS if s.name == name)
-    begun = tuple(s for s in SCENARIOS if s.name.startswith(f"{name}-"))
-    return exact + begun
+    by_name = tuple(s for s in SCENARIOS if s.name == name)
+    by_prefix = tuple(s for s in SCENARIOS if s.name.startswith(f"{name}-"))
+    return by_name + by_prefix
 
 
 __all__ = ["find_scenarios", "Goal", "Scenario", "SCENARIOS"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/version_scenarios.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/version_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of cascades, roll-outs and versions that turn bad."""
+"""Scenarios for cascades, roll-outs and versions that turn bad."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
     from sycamorestand_bench.decisions.workload import User
 
 HEALTHY_ROLLOUTS_A_SEED: Final = 100
-# Ten times the traffic: the same counts in a tenth of the time and looks.
+# Ten times the traffic gives the same counts in a tenth of the simulated
+# time, with a tenth of the checks.
 HEALTHY_SCALE: Final = 10.0
 DOWN_HOURS: Final = 6.0
 
 
 def cascade(case: str, user: User, seed: int) -> Figures:
-    """Cost, quality and latency of every policy after the warm-up."""
+    """Measure each policy's cost, quality and latency after the warm-up."""
     runs = {p: run_cascade(CASES[case], user, p, seed) for p in POLICIES}
     oracle = runs["oracle"].cost_micros
     strong = runs["always-strong"].cost_micros
@@ -48,7 +49,7 @@
 
 
 def rollout(fault: Fault, user: User, seed: int) -> Figures:
-    """A new version that is bad from its start."""
+    """Roll out a new version that is bad from its start."""
     product = run_rollout(user, fault, "product", seed)
     fixed = run_rollout(user, fault, "fixed-time", seed)
     return {
@@ -58,7 +59,7 @@
 
 
 def rollout_interrupted(user: User, seed: int) -> Figures:
-    """A change of leader in each step, healthy and wrong versions."""
+    """Change the leader in each step of a healthy and a wrong version."""
     healthy = run_rollout(user, "healthy", "product", seed, interrupted=True)
     wrong = run_rollout(user, "wrong", "product", seed, interrupted=True)
     figures = _exposure(wrong, user)
@@ -67,13 +68,16 @@
 
 
 def rollout_rating(fault: Fault, user: User, seed: int) -> Figures:
-    """A healthy version while the rating service is down or biased."""
+    """Roll out a healthy version while ratings are missing or biased."""
     run = run_rollout(user, fault, "product", seed, hours=DOWN_HOURS)
     return {"product": _exposure(run, user)}
 
 
 def rollout_healthy(user: User, seed: int) -> Figures:
-    """Many healthy roll-outs; false stops in a thousand."""
+    """Roll out many healthy versions and count the false stops.
+
+    Ten seeds together run a thousand roll-outs.
+    """
     runs = [
         run_rollout(
             user,
@@ -96,19 +100,19 @@
 
 
 def turns_bad(fault: Fault, user: User, seed: int) -> Figures:
-    """A version in full use turns bad four hours later."""
+    """Let a version in full use turn bad after four hours."""
     return {"product": _exposure(run_watch(user, fault, seed), user)}
 
 
-def of_fault(
+def with_fault(
     measure: Callable[[Fault, User, int], Figures], fault: Fault
 ) -> Callable[[User, int], Figures]:
-    """Return the scenario with its fault set."""
+    """Return the scenario that runs with a fault."""
     return partial(measure, fault)
 
 
-def of_case(case: str) -> Callable[[User, int], Figures]:
-    """Return the cascade scenario with its case set."""
+def with_case(case: str) -> Callable[[User, int], Figures]:
+    """Return the cascade scenario that runs with a case."""
     return partial(cascade, case)
 
 
@@ -122,8 +126,8 @@
 
 
 __all__ = [
-    "of_case",
-    "of_fault",
+    "with_case",
+    "with_fault",
     "rollout",
     "rollout_healthy",
     "rollout_interrupted",
--- a/packages/sycamorestand-bench/tests/decisions/test_version_scenarios.py
+++ b/packages/sycamorestand-bench/tests/decisions/test_version_scenarios.py
@@ -19,13 +19,14 @@
 class TestCascade:
     @BOTH
     @pytest.mark.parametrize("case", ["cascade", "cascade-drift"])
-    def test_near_the_oracle_and_at_the_target(
+    def test_cost_is_near_the_oracle_at_the_target(
         self, case: str, user: User
     ) -> None:
-        """Classes differ in what the cheap version can answer.
+        """The cheap version's pass rate differs between classes.
 
-        Callers get the quality target at a cost near that of somebody who
-        knows every pass rate. Always cheap first misses the target.
+        The product must reach the quality target at a cost near that of an
+        oracle that knows every pass rate. Starting always at the cheap step
+        misses the target.
         """
         figures = cascade(case, user, SEED)
         assert figures["product"]["over_oracle"] <= 1.2
@@ -35,9 +36,10 @@
         assert figures["cheap-first"]["over_target"] < 0.0
 
     def test_late_ratings_keep_the_target(self) -> None:
-        """No rating comes while a caller waits, and 30 % come later.
+        """No answer is rated while the caller waits; 30 % are rated later.
 
-        Learning takes longer and costs more, but the quality holds.
+        Learning takes longer and costs more, but the quality must still
+        reach the target.
         """
         figures = cascade("cascade-late-ratings", "guild", SEED)
         assert figures["product"]["over_target"] >= 0.0
@@ -52,23 +54,23 @@
     ) -> None:
         """The new version gives wrong answers, fails, or is slow.
 
-        Fewer than one in a hundred of a day's requests see it; by time
-        alone it would be rolled out to everybody within the hour.
+        At most one in a hundred of a day's requests may be exposed to it. A
+        roll-out by fixed times would complete within the hour.
         """
         figures = rollout(fault, user, SEED)
         assert figures["product"]["stopped"] == 1.0
         assert figures["product"]["exposed_share"] <= 0.01
         assert figures["fixed-time"]["completed"] == 1.0
 
-    def test_bad_for_one_class(self) -> None:
+    def test_a_version_bad_for_one_class_is_stopped(self) -> None:
         figures = rollout("one-class", "guild", SEED)
         assert figures["product"]["stopped"] == 1.0
 
-    def test_an_interruption_changes_nothing_but_time(self) -> None:
-        """The leader changes in the middle of each step.
+    def test_leader_changes_do_not_change_the_outcome(self) -> None:
+        """The leader changes during each step.
 
-        The next one begins with the committed step and no counts: a good
-        version is completed, a bad one stopped.
+        The next leader begins with the committed step and without counts. It
+        must still complete a healthy version and stop a bad one.
         """
         figures = rollout_interrupted("guild", SEED)
         assert figures["product"]["healthy_completed"] == 1.0
@@ -76,7 +78,7 @@
         assert figures["product"]["exposed_share"] <= 0.01
 
     @pytest.mark.parametrize("fault", ["rating-down", "rating-biased"])
-    def test_a_faulty_rating_service_stops_nothing(self, fault: Fault) -> None:
+    def test_a_rating_fault_stops_no_rollout(self, fault: Fault) -> None:
         figures = rollout_rating(fault, "authority", SEED)
         assert figures["product"]["stopped"] == 0.0
 
@@ -89,13 +91,14 @@
 class TestTurnsBad:
     @BOTH
     @pytest.mark.parametrize("fault", ["wrong", "errors"])
-    def test_is_found_long_after_the_roll_out(
+    def test_is_detected_long_after_the_roll_out(
         self, fault: Fault, user: User
     ) -> None:
-        """A version has served well for hours, then it turns bad.
+        """A version turns bad after hours of good service.
 
-        There is no old version to compare with; its own past and the
-        other versions show it before 1 % of a day's requests.
+        There is no old version to compare with. The comparison with its own
+        past and with other versions must detect the fault before 1 % of a
+        day's requests are exposed.
         """
         figures = turns_bad(fault, user, SEED)
         assert figures["product"]["stopped"] == 1.0
@@ -104,7 +107,7 @@
     @pytest.mark.parametrize(
         "fault", ["rating-down", "rating-biased", "healthy"]
     )
-    def test_nothing_is_withdrawn_for_other_causes(self, fault: Fault) -> None:
+    def test_a_rating_fault_withdraws_no_version(self, fault: Fault) -> None:
         figures = turns_bad(fault, "guild", SEED)
         assert figures["product"]["stopped"] == 0.0
 
@@ -112,10 +115,11 @@
 class TestPlacement:
     @BOTH
     def test_follows_demand_with_few_loads(self, user: User) -> None:
-        """Demand of three versions swings over a day.
+        """The demand for three versions varies over a day.
 
-        Static placement leaves an eighth of it unmet; following every
-        minute loads nearly twice as often as with hysteresis.
+        Static placement leaves an eighth of the demand unmet. Placement that
+        follows the demand every minute needs nearly twice as many loads as
+        placement with hysteresis.
         """
         figures = placement(user, SEED)
         product = figures["product"]
