--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual-clock models that the decisions are measured against."""
+"""Simulations on a virtual clock that compare the decisions with baselines."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
@@ -1,4 +1,4 @@
-"""CPU time of all decisions of one request, by candidates and customers."""
+"""CPU time of the decisions for one request, by candidates and customers."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 def decision_cost(user: User, seed: int) -> Figures:
-    """CPU microseconds a request, and the slope with each size."""
-    sixty = _cost_micros(user, 60, 10, seed)
-    row = {"cpu_us": sixty, "refusal_us": _refusal_micros(seed)}
+    """Measure CPU microseconds a request, and the slope with each size."""
+    base_micros = _cost_micros(user, 60, 10, seed)
+    row = {"cpu_us": base_micros, "refusal_us": _refusal_micros(seed)}
     for count in CANDIDATES:
         row[f"candidates_{count}"] = _cost_micros(user, count, 10, seed)
     for count in CUSTOMERS:
@@ -53,33 +53,33 @@
 def _cost_micros(
     user: User, candidates: int, customers: int, seed: int
 ) -> float:
-    """Run requests one after the other, some always in flight."""
+    """Return the CPU time a request, with `IN_FLIGHT` always in flight."""
     random = Random(seed)
-    state = _State(user, candidates, customers, random)
+    state = _DecisionState(user, candidates, customers, random)
     for number in range(IN_FLIGHT):
         state.begin(number, 0.0)
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for number in range(IN_FLIGHT, IN_FLIGHT + REQUESTS):
         now_s = number * 0.01
         state.begin(number, now_s)
         state.end(number - IN_FLIGHT, now_s)
-    return (time.process_time() - begun_s) / REQUESTS * 1e6
+    return (time.process_time() - started_s) / REQUESTS * 1e6
 
 
 def _refusal_micros(seed: int) -> float:
-    """Offer to a full pool: what a refused request costs."""
+    """Return the CPU time of an offer that a full pool refuses."""
     admission = Admission()
     admission.set_capacity("small@1", 1)
     for number in range(100):
         admission.offer(_ticket(number, "c0", 0.0), 0.0)
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for number in range(100, 100 + REQUESTS):
         admission.offer(_ticket(number, "c0", 0.0), 0.0)
-    return (time.process_time() - begun_s) / REQUESTS * 1e6
+    return (time.process_time() - started_s) / REQUESTS * 1e6
 
 
-class _State:
-    """Everything that decides, as one entry holds it."""
+class _DecisionState:
+    """The decision objects that one entry holds."""
 
     def __init__(
         self, user: User, candidates: int, customers: int, random: Random
@@ -100,7 +100,7 @@
         self.server: dict[int, str] = {}
 
     def begin(self, number: int, now_s: float) -> None:
-        """Decide on a request up to its dispatch."""
+        """Make all decisions for a request up to its dispatch."""
         features = RequestFeatures("review", 100 * (number % 50))
         kind = request_class(features)
         self.learner.first_step(self.profile, kind, PRICES, now_s, self.random)
@@ -114,7 +114,7 @@
             self.selector.record_start(name, now_s)
 
     def end(self, number: int, now_s: float) -> None:
-        """Learn from the end of a request."""
+        """Record that a request finished with success."""
         kind = request_class(RequestFeatures("review", 100 * (number % 50)))
         name = self.server.pop(number, None)
         if name is not None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/figures.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/figures.py
@@ -14,7 +14,7 @@
 
 
 class Spread(NamedTuple):
-    """Median, least and most over seeds."""
+    """The median, the smallest and the largest value over seeds."""
 
     median: float
     least: float
@@ -22,7 +22,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value that this share of the values is at or under."""
+    """Return the percentile for a share from 0 to 1; NaN without values."""
     if not values:
         return nan
     ordered = sorted(values)
@@ -30,7 +30,7 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return the spread of values, those not a number left out."""
+    """Return the spread of the values without NaNs; NaN if none is left."""
     known = [value for value in values if not isnan(value)]
     if not known:
         return Spread(nan, nan, nan)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/outcome.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/outcome.py
@@ -1,4 +1,4 @@
-"""Runs scenarios over users and seeds and holds them to their goals."""
+"""Runs scenarios over users and seeds and checks the goals."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 class Outcome(NamedTuple):
-    """All seeds of one scenario for one user: values by policy, figure."""
+    """Results of one scenario for one user.
+
+    ``values`` holds one value for each seed, by policy and figure.
+    """
 
     scenario: str
     user: User
@@ -33,7 +36,7 @@
 
 
 class GoalResult(NamedTuple):
-    """One goal, what was measured, and whether it is met."""
+    """One goal, the measured value, and whether it meets the goal."""
 
     scenario: str
     user: User
@@ -51,7 +54,7 @@
 def run_scenarios(
     scenarios: Sequence[Scenario], seeds: Sequence[int]
 ) -> list[Outcome]:
-    """Run every scenario for both users and all seeds."""
+    """Run every scenario for both users and all seeds, in processes."""
     jobs = [
         _Job(scenario.name, user, seed)
         for scenario in scenarios
@@ -59,22 +62,25 @@
         for seed in seeds
     ]
     with ProcessPoolExecutor(PROCESSES) as pool:
-        found = list(pool.map(_run, jobs, chunksize=4))
+        all_figures = list(pool.map(_run_job, jobs, chunksize=4))
     outcomes: dict[tuple[str, User], Outcome] = {}
-    for job, figures in zip(jobs, found, strict=True):
+    for job, figures in zip(jobs, all_figures, strict=True):
         key = (job.scenario, job.user)
         outcome = outcomes.setdefault(key, Outcome(*key, {}))
         _collect(outcome, figures)
     return list(outcomes.values())
 
 
-def judge_goals(outcomes: Sequence[Outcome]) -> list[GoalResult]:
-    """Return every goal of the scenarios with what was measured."""
+def evaluate_goals(outcomes: Sequence[Outcome]) -> list[GoalResult]:
+    """Compare the product's figures with every goal of the scenarios.
+
+    A goal whose figure has no value, or only NaNs, is not met.
+    """
     results = []
     for outcome in outcomes:
         for goal in find_scenarios(outcome.scenario)[0].goals:
             values = outcome.values["product"].get(goal.figure, [])
-            measured = _over(goal, values)
+            measured = _aggregate(goal, values)
             met = _is_met(goal, measured)
             results.append(
                 GoalResult(outcome.scenario, outcome.user, goal, measured, met)
@@ -82,7 +88,7 @@
     return results
 
 
-def _run(job: _Job) -> Figures:
+def _run_job(job: _Job) -> Figures:
     scenario = next(s for s in SCENARIOS if s.name == job.scenario)
     return scenario.measure(job.user, job.seed)
 
@@ -94,7 +100,7 @@
             known.setdefault(figure, []).append(value)
 
 
-def _over(goal: Goal, values: list[float]) -> float:
+def _aggregate(goal: Goal, values: list[float]) -> float:
     if goal.over == "sum":
         return sum(values)
     found = spread(values)
@@ -111,4 +117,4 @@
     return measured >= goal.bound
 
 
-__all__ = ["GoalResult", "judge_goals", "Outcome", "run_scenarios"]
+__all__ = ["GoalResult", "evaluate_goals", "Outcome", "run_scenarios"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
@@ -1,4 +1,4 @@
-"""The table, the plots, the report page and the line of JSON."""
+"""Output of the results: table, plots, report page and JSON line."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def table_lines(outcomes: Sequence[Outcome]) -> list[str]:
-    """Return one line for each figure with its spread over seeds."""
+    """Return a header and one line for each figure with its spread."""
     lines = [HEADER]
     for outcome in outcomes:
         shown = find_scenarios(outcome.scenario)[0].shown
@@ -35,17 +35,17 @@
                 found = spread(row[figure])
                 lines.append(
                     f"{outcome.scenario:22}{outcome.user:11}{policy:16}"
-                    f"{figure:18}{_text(found.median):>10}"
-                    f"{_text(found.least):>10}{_text(found.most):>10}"
+                    f"{figure:18}{_format_value(found.median):>10}"
+                    f"{_format_value(found.least):>10}{_format_value(found.most):>10}"
                 )
     return lines
 
 
 def goal_lines(results: Sequence[GoalResult]) -> list[str]:
-    """Return one line for each goal."""
+    """Return one line for each goal with its measured value and bound."""
     return [
         f"{'met' if r.met else 'NOT MET':8}{r.scenario:22}{r.user:11}"
-        f"{r.goal.name}: {r.goal.over} {_text(r.measured)}, "
+        f"{r.goal.name}: {r.goal.over} {_format_value(r.measured)}, "
         f"{r.goal.kind} {r.goal.bound:g}"
         for r in results
     ]
@@ -98,7 +98,7 @@
 
 
 def _plot(path: Path, name: str, outcomes: Sequence[Outcome]) -> None:
-    # Imported here: it takes a second, and most runs draw nothing.
+    # The import takes a second, and most runs draw no plot.
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -129,7 +129,7 @@
     pyplot.close(figure)
 
 
-def _text(value: float) -> str:
+def _format_value(value: float) -> str:
     return "-" if isnan(value) else f"{value:.4g}"
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/decisions.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/decisions.py
@@ -1,7 +1,7 @@
-"""``dev/bench decisions``: the decisions on a virtual clock.
+"""``dev/bench decisions``: simulate the decisions on a virtual clock.
 
-The code of the product runs against small models of servers, raters and
-versions, beside baselines on the same requests.
+The product's decision code runs on simple models of servers, raters and
+versions, and baselines run on the same requests.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import defopt
 
-from sycamorestand_bench.decisions.outcome import judge_goals
+from sycamorestand_bench.decisions.outcome import evaluate_goals
 from sycamorestand_bench.decisions.outcome import run_scenarios
 from sycamorestand_bench.decisions.report import goal_lines
 from sycamorestand_bench.decisions.report import json_line
@@ -24,7 +24,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the scenarios; return 0 where every goal is met."""
+    """Run the scenarios; return 0 if every goal is met, otherwise 1.
+
+    The status is 2 if no scenario has the given name.
+    """
     status: int = defopt.run(
         _bench, argv=arguments, cli_options="all", short={}
     )
@@ -37,10 +40,10 @@
     seed: int | None = None,
     report: Path | None = None,
 ) -> int:
-    """Measure the decisions against their baselines and goals.
+    """Compare the decisions with their baselines and goals.
 
-    :param scenario: one scenario, or the beginning of several names
-    :param seed: one seed in place of ten
+    :param scenario: name of one scenario, or the common start of several
+    :param seed: the only seed to run; ten seeds by default
     :param report: folder for the report page and the plots
     """
     chosen = find_scenarios(scenario)
@@ -49,7 +52,7 @@
         return 2
     seeds = range(1, SEEDS + 1) if seed is None else [seed]
     outcomes = run_scenarios(chosen, seeds)
-    results = judge_goals(outcomes)
+    results = evaluate_goals(outcomes)
     for line in table_lines(outcomes) + goal_lines(results):
         print(line)
     if report is not None:
