--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
@@ -35,8 +35,8 @@
                 found = spread(row[figure])
                 lines.append(
                     f"{outcome.scenario:22}{outcome.user:11}{policy:16}"
-                    f"{figure:18}{_format_value(found.median):>10}"
-                    f"{_format_value(found.least):>10}{_format_value(found.most):>10}"
+                    f"{figure:18}{_format(found.median):>10}"
+                    f"{_format(found.least):>10}{_format_value(found.most):>10}"
                 )
     return lines
 
@@ -45,7 +45,7 @@
     """Return one line for each goal with its measured value and bound."""
     return [
         f"{'met' if r.met else 'NOT MET':8}{r.scenario:22}{r.user:11}"
-        f"{r.goal.name}: {r.goal.over} {_format_value(r.measured)}, "
+        f"{r.goal.name}: {r.goal.over} {_format(r.measured)}, "
         f"{r.goal.kind} {r.goal.bound:g}"
         for r in results
     ]
@@ -129,7 +129,7 @@
     pyplot.close(figure)
 
 
-def _format_value(value: float) -> str:
+def _format(value: float) -> str:
     return "-" if isnan(value) else f"{value:.4g}"
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/simulation.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/simulation.py
@@ -233,7 +233,9 @@
                 continue
             if random.random() < CACHE_EVENT_LOST:
                 continue
-            deliver = partial(_deliver_cache_event, entry, name, prefix, stored)
+            deliver = partial(
+                _deliver_cache_event, entry, name, prefix, stored
+            )
             clock.call_at(clock.now_s + CACHE_EVENT_LATE_S, deliver)
 
     for server in pool.servers.values():
