--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/__init__.py
@@ -1,1 +1,1 @@
-"""Plays random faults against the agreement core, the same by seed."""
+"""Explorer that runs the consensus core under seeded random faults."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/actions.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/actions.py
@@ -1,4 +1,4 @@
-"""Faults and ordinary steps that an exploration draws from."""
+"""Faults and ordinary steps that an exploration chooses from at random."""
 
 from __future__ import annotations
 
@@ -9,62 +9,62 @@
 from sycamorestand_bench.explore.cluster import Cluster
 from sycamorestand_bench.explore.node import Node
 
-MOST_NODES: Final = 9
+MAX_NODES: Final = 9
 
 Action = Callable[[Cluster, random.Random], None]
 
 
-def _pick(cluster: Cluster, draw: random.Random) -> Node | None:
+def _random_node(cluster: Cluster, rng: random.Random) -> Node | None:
     running = cluster.running()
-    return draw.choice(running) if running else None
+    return rng.choice(running) if running else None
 
 
-def _leader(cluster: Cluster, draw: random.Random) -> Node | None:
+def _leader_or_any(cluster: Cluster, rng: random.Random) -> Node | None:
     leaders = cluster.leaders()
-    return draw.choice(leaders) if leaders else _pick(cluster, draw)
+    return rng.choice(leaders) if leaders else _random_node(cluster, rng)
 
 
-def _deliver(cluster: Cluster, draw: random.Random) -> None:
+def _deliver(cluster: Cluster, rng: random.Random) -> None:
     if cluster.messages:
         cluster.deliver(0)
 
 
-def _deliver_late(cluster: Cluster, draw: random.Random) -> None:
+def _deliver_late(cluster: Cluster, rng: random.Random) -> None:
     if cluster.messages:
-        cluster.deliver(draw.randrange(len(cluster.messages)))
+        cluster.deliver(rng.randrange(len(cluster.messages)))
 
 
-def _deliver_twice(cluster: Cluster, draw: random.Random) -> None:
+def _deliver_twice(cluster: Cluster, rng: random.Random) -> None:
     if cluster.messages:
-        position = draw.randrange(len(cluster.messages))
+        position = rng.randrange(len(cluster.messages))
         cluster.deliver(position, keep=True)
 
 
-def _lose(cluster: Cluster, draw: random.Random) -> None:
+def _lose(cluster: Cluster, rng: random.Random) -> None:
     if cluster.messages:
-        cluster.messages.pop(draw.randrange(len(cluster.messages)))
+        cluster.messages.pop(rng.randrange(len(cluster.messages)))
 
 
-def _advance(cluster: Cluster, draw: random.Random) -> None:
-    cluster.advance(draw.choice((0.001, 0.005, 0.02, 0.1)))
+def _advance(cluster: Cluster, rng: random.Random) -> None:
+    cluster.advance(rng.choice((0.001, 0.005, 0.02, 0.1)))
 
 
-def _advance_far(cluster: Cluster, draw: random.Random) -> None:
-    cluster.advance(draw.uniform(0.5, 3.0))
+def _advance_far(cluster: Cluster, rng: random.Random) -> None:
+    cluster.advance(rng.uniform(0.5, 3.0))
 
 
-def _exchange(cluster: Cluster, draw: random.Random) -> None:
-    # Without the syncs answers run ahead of the disks, which is when a
-    # crash loses most.
-    if draw.random() < 0.5:
+def _exchange(cluster: Cluster, rng: random.Random) -> None:
+    # Without the syncs, replies are sent before the disks have synced, and a
+    # crash then loses the most.
+    if rng.random() < 0.5:
         cluster.exchange()
     else:
         cluster.deliver_all()
 
 
-def _campaign(cluster: Cluster, draw: random.Random) -> None:
-    # Time moves to the first election timeout and no further: a longer
-    # step would make all members campaign at once and elect nobody.
+def _campaign(cluster: Cluster, rng: random.Random) -> None:
+    # The clock advances only to the first election timeout. After a longer
+    # step, all members would campaign at the same time and split the votes.
     due_s = [
         node.true_time_of(node.core.next_wake_s())
         for node in cluster.running()
@@ -74,62 +74,64 @@
         cluster.advance(max(0.0, min(due_s) - cluster.true_s) + 0.001)
 
 
-def _sync(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _sync(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
-        cluster.sync(node, draw.choice((1, 1, 100)))
+        cluster.sync(node, rng.choice((1, 1, 100)))
 
 
-def _crash(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _crash(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
-        cluster.crash(node, draw.choice((0, 0, 1)))
+        cluster.crash(node, rng.choice((0, 0, 1)))
 
 
-def _crash_leader(cluster: Cluster, draw: random.Random) -> None:
-    node = _leader(cluster, draw)
+def _crash_leader(cluster: Cluster, rng: random.Random) -> None:
+    node = _leader_or_any(cluster, rng)
     if node is not None:
-        cluster.crash(node, draw.choice((0, 0, 1)))
+        cluster.crash(node, rng.choice((0, 0, 1)))
 
 
-def _orphan(cluster: Cluster, draw: random.Random) -> None:
-    # The leader syncs an entry that nobody receives and stops: logs that
-    # part in this way are what the rule on earlier terms is about.
-    node = _leader(cluster, draw)
+def _orphan(cluster: Cluster, rng: random.Random) -> None:
+    # The leader syncs an entry that no other member receives, and crashes.
+    # The rule on committing entries of earlier terms exists for logs that
+    # diverge in this way.
+    node = _leader_or_any(cluster, rng)
     if node is None:
         return
     cluster.propose(node)
-    cluster.sync(node, draw.choice((0, 100)))
+    cluster.sync(node, rng.choice((0, 100)))
     cluster.messages[:] = [
         message for message in cluster.messages if message.sender != node.name
     ]
     cluster.crash(node, 0)
 
 
-def _take_turns(cluster: Cluster, draw: random.Random) -> None:
-    # Members lead in turn and stop before a majority has their entries.
-    # Drawn one by one these steps hardly ever follow each other.
+def _take_turns(cluster: Cluster, rng: random.Random) -> None:
+    # Members lead in turn and crash before a majority has their entries.
+    # As independent random actions, these steps would hardly ever occur in
+    # this order.
     down = [n for n in cluster.nodes if not n.up and not n.wiped]
-    _orphan(cluster, draw)
+    _orphan(cluster, rng)
     if down:
-        draw.choice(down).start()
-    _campaign(cluster, draw)
-    for _ in range(draw.randrange(6)):
+        rng.choice(down).start()
+    _campaign(cluster, rng)
+    for _ in range(rng.randrange(6)):
         cluster.exchange()
-    for _ in range(draw.randrange(12)):
-        draw.choice((_deliver, _sync))(cluster, draw)
+    for _ in range(rng.randrange(12)):
+        rng.choice((_deliver, _sync))(cluster, rng)
 
 
-def _bounce(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _bounce(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
-        cluster.crash(node, draw.choice((0, 1)))
+        cluster.crash(node, rng.choice((0, 1)))
         node.start()
         node.pump()
 
 
-def _bounce_disk(cluster: Cluster, draw: random.Random) -> None:
-    node = _leader(cluster, draw)
+def _bounce_disk(cluster: Cluster, rng: random.Random) -> None:
+    node = _leader_or_any(cluster, rng)
     if node is not None and not node.disk.full:
         node.set_disk_full(True)
         node.pump()
@@ -137,88 +139,89 @@
         node.pump()
 
 
-def _restart(cluster: Cluster, draw: random.Random) -> None:
+def _restart(cluster: Cluster, rng: random.Random) -> None:
     down = [n for n in cluster.nodes if not n.up and not n.wiped]
     if down:
-        node = draw.choice(down)
+        node = rng.choice(down)
         node.start()
         node.pump()
 
 
-def _propose(cluster: Cluster, draw: random.Random) -> None:
-    node = _leader(cluster, draw)
+def _propose(cluster: Cluster, rng: random.Random) -> None:
+    node = _leader_or_any(cluster, rng)
     if node is not None:
         cluster.propose(node)
 
 
-def _read(cluster: Cluster, draw: random.Random) -> None:
-    node = _leader(cluster, draw)
+def _read(cluster: Cluster, rng: random.Random) -> None:
+    node = _leader_or_any(cluster, rng)
     if node is not None:
         cluster.read(node)
 
 
-def _isolate(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _isolate(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
-        inward, outward = draw.choice(
+        inward, outward = rng.choice(
             ((True, True), (True, False), (False, True))
         )
         cluster.isolate(node, inward=inward, outward=outward)
 
 
-def _isolate_leader(cluster: Cluster, draw: random.Random) -> None:
-    node = _leader(cluster, draw)
+def _isolate_leader(cluster: Cluster, rng: random.Random) -> None:
+    node = _leader_or_any(cluster, rng)
     if node is not None:
         cluster.isolate(node, inward=True, outward=True)
 
 
-def _cut_pair(cluster: Cluster, draw: random.Random) -> None:
-    leader = _leader(cluster, draw)
-    other = _pick(cluster, draw)
+def _cut_pair(cluster: Cluster, rng: random.Random) -> None:
+    leader = _leader_or_any(cluster, rng)
+    other = _random_node(cluster, rng)
     if leader is not None and other is not None:
         cluster.cut.add((leader.name, other.name))
         cluster.cut.add((other.name, leader.name))
 
 
-def _cut_and_bounce(cluster: Cluster, draw: random.Random) -> None:
-    # One member loses its leader while another one, whose answers hold
-    # the leader's lease, restarts and may have forgotten them.
-    _cut_pair(cluster, draw)
-    for _ in range(draw.randrange(16)):
+def _cut_and_bounce(cluster: Cluster, rng: random.Random) -> None:
+    # One member loses its connection to the leader. Another member, whose
+    # replies the leader's lease depends on, restarts and may have lost its
+    # promise not to vote.
+    _cut_pair(cluster, rng)
+    for _ in range(rng.randrange(16)):
         cluster.advance(0.1)
         cluster.exchange()
-    _bounce(cluster, draw)
-    for _ in range(draw.randrange(8)):
+    _bounce(cluster, rng)
+    for _ in range(rng.randrange(8)):
         cluster.advance(0.1)
         cluster.exchange()
 
 
-def _heal(cluster: Cluster, draw: random.Random) -> None:
+def _heal(cluster: Cluster, rng: random.Random) -> None:
     cluster.cut.clear()
 
 
-def _fill_disk(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _fill_disk(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
         node.set_disk_full(not node.disk.full)
         node.pump()
 
 
-def _free_disks(cluster: Cluster, draw: random.Random) -> None:
+def _free_disks(cluster: Cluster, rng: random.Random) -> None:
     for node in cluster.running():
         node.set_disk_full(False)
 
 
-def _compact(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
+def _compact(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
     if node is not None:
         node.compact()
         node.pump()
 
 
-def _wipe(cluster: Cluster, draw: random.Random) -> None:
-    node = _pick(cluster, draw)
-    if node is None or len(cluster.nodes) >= MOST_NODES:
+def _wipe(cluster: Cluster, rng: random.Random) -> None:
+    node = _random_node(cluster, rng)
+    if node is None or len(cluster.nodes) >= MAX_NODES:
         return
     if node.core.is_blank:
         return
@@ -226,15 +229,15 @@
         cluster.add_node()
 
 
-def _admit(cluster: Cluster, draw: random.Random) -> None:
-    leader = _leader(cluster, draw)
+def _admit(cluster: Cluster, rng: random.Random) -> None:
+    leader = _leader_or_any(cluster, rng)
     alive = [n for n in cluster.nodes if not n.wiped]
     if leader is not None:
-        cluster.admit(leader, draw.choice(alive).name)
+        cluster.admit(leader, rng.choice(alive).name)
 
 
-def _promote(cluster: Cluster, draw: random.Random) -> None:
-    leader = _leader(cluster, draw)
+def _promote(cluster: Cluster, rng: random.Random) -> None:
+    leader = _leader_or_any(cluster, rng)
     if leader is not None:
         gone = {node.name for node in cluster.nodes if node.wiped}
         learners = [
@@ -243,22 +246,22 @@
             if not member.voter and member.member_id not in gone
         ]
         if learners:
-            cluster.promote(leader, draw.choice(learners))
+            cluster.promote(leader, rng.choice(learners))
 
 
-def _remove(cluster: Cluster, draw: random.Random) -> None:
-    leader = _leader(cluster, draw)
+def _remove(cluster: Cluster, rng: random.Random) -> None:
+    leader = _leader_or_any(cluster, rng)
     gone = [n for n in cluster.nodes if n.wiped]
     if leader is None:
         return
     candidates = gone or cluster.nodes
-    cluster.remove(leader, draw.choice(candidates).name)
+    cluster.remove(leader, rng.choice(candidates).name)
 
 
-def _transfer(cluster: Cluster, draw: random.Random) -> None:
-    leader = _leader(cluster, draw)
+def _transfer(cluster: Cluster, rng: random.Random) -> None:
+    leader = _leader_or_any(cluster, rng)
     if leader is not None:
-        target = draw.choice((None, draw.choice(cluster.nodes).name))
+        target = rng.choice((None, rng.choice(cluster.nodes).name))
         cluster.transfer(leader, target)
 
 
@@ -330,7 +333,8 @@
     "transfer": 0.2,
 }
 
-# Without these a run stands still and finds nothing.
+# Each run includes these actions; without them it would make no progress and
+# find nothing.
 ALWAYS: Final = frozenset(
     {
         "deliver",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after every step of an exploration."""
+"""Invariants that are checked after every step of an exploration."""
 
 from __future__ import annotations
 
@@ -17,45 +17,48 @@
 
 
 class FaultFound(Exception):
-    """A promise of the replicated log was broken."""
+    """An invariant of the replicated log was violated."""
 
 
 class HashMachine:
-    """A state machine whose state tells any two histories apart."""
+    """A state machine whose state is a digest of all applied commands.
+
+    Two different histories have different states.
+    """
 
     def __init__(self) -> None:
         """Begin with an empty history."""
         self._digest = b""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Chain the command onto the history."""
+        """Update the digest with a command and return it."""
         text = b"%s|%d|%s" % (self._digest, index, command)
         self._digest = hashlib.blake2b(text, digest_size=16).digest()
         return self._digest
 
     def snapshot(self) -> bytes:
-        """Return the digest of the history."""
+        """Return the digest."""
         return self._digest
 
     def restore(self, data: bytes) -> None:
-        """Take over another history."""
+        """Replace the digest with one from a snapshot."""
         self._digest = data
 
 
 class NodeView(Protocol):
-    """What the checks read of a simulated node."""
+    """The attributes of a simulated node that the checks read."""
 
     name: str
     core: Core
     applied_index: int
 
     def true_time_of(self, local_s: float) -> float:
-        """Convert a reading of the node's clock."""
+        """Convert a time of the node's clock to the true clock."""
         ...
 
 
 class Claim(NamedTuple):
-    """A lease that a node claimed, on the true clock."""
+    """A lease that a node claimed; its end is a time on the true clock."""
 
     name: str
     term: int
@@ -63,7 +66,10 @@
 
 
 class Checker:
-    """Remembers what was promised so far and compares."""
+    """Records commits, leaders and leases, and checks the invariants.
+
+    All methods raise `FaultFound` when an invariant is violated.
+    """
 
     def __init__(self, make_machine: MachineFactory) -> None:
         """Begin before the first commit."""
@@ -73,42 +79,60 @@
         self._claims: dict[str, Claim] = {}
         self.committed: list[Entry] = []
 
-    def note_committed(self, node: NodeView, entry: Entry) -> None:
-        """Compare an entry that a node calls committed with the others'."""
+    def record_committed(self, node: NodeView, entry: Entry) -> None:
+        """Record a committed entry and compare it with other nodes' entries.
+
+        Every node must report the same entry at an index, without gaps.
+        """
         position = entry.log_index - 1
         if position < len(self.committed):
             if self.committed[position] != entry:
                 raise FaultFound(
                     f"{node.name} committed {entry}, "
-                    f"earlier {self.committed[position]} was"
+                    f"but {self.committed[position]} was committed before"
                 )
             return
         if position > len(self.committed):
-            raise FaultFound(f"{node.name} skipped to {entry.log_index}")
+            raise FaultFound(
+                f"{node.name} skipped entries before {entry.log_index}"
+            )
         self.committed.append(entry)
         if entry.kind == EntryKind.COMMAND:
             self._model.apply(entry.log_index, entry.data)
         self._snapshots.append(self._model.snapshot())
 
     def check_snapshot(self, node: NodeView, index: int, data: bytes) -> None:
-        """Compare a state after ``index`` with the model's."""
+        """Compare a snapshot after ``index`` with the model's state."""
         if index >= len(self._snapshots):
-            raise FaultFound(f"{node.name} has {index}, never committed")
+            raise FaultFound(
+                f"{node.name} has entry {index}, which was never committed"
+            )
         if data != self._snapshots[index]:
-            raise FaultFound(f"{node.name} differs after entry {index}")
+            raise FaultFound(
+                f"{node.name} has a different state after entry {index}"
+            )
 
     def check_node(self, node: NodeView, true_s: float) -> None:
-        """Check leadership and lease of a node that just acted."""
+        """Check that no other node leads the same term or holds a lease.
+
+        A new leader's log must also hold all committed entries.
+        """
         if node.core.state.role != Role.LEADER:
             return
         self._check_leader(node)
         self._check_lease(node, true_s)
 
-    def check_barrier(self, node: NodeView, index: int, floor: int) -> None:
-        """Check that a confirmed read sees what was committed before."""
-        if index < floor:
+    def check_barrier(
+        self, node: NodeView, index: int, min_index: int
+    ) -> None:
+        """Check that a confirmed read sees all entries committed before.
+
+        ``min_index`` is the last index committed when the read began.
+        """
+        if index < min_index:
             raise FaultFound(
-                f"{node.name} reads at {index}, {floor} was committed"
+                f"{node.name} reads at entry {index}, but entry {min_index} "
+                "was committed before"
             )
 
     def _check_leader(self, node: NodeView) -> None:
@@ -117,7 +141,7 @@
         if known == node.name:
             return
         if known is not None:
-            raise FaultFound(f"{known} and {node.name} lead in term {term}")
+            raise FaultFound(f"{known} and {node.name} both lead term {term}")
         self._leaders[term] = node.name
         log = node.core.state.log
         for entry in self.committed[log.start_index :]:
@@ -136,9 +160,9 @@
         for other in self._claims.values():
             if other.name != node.name and other.until_s > true_s:
                 raise FaultFound(
-                    f"{node.name} claims a lease in term {state.term}, "
-                    f"{other.name} of term {other.term} until "
-                    f"{other.until_s:.3f} at {true_s:.3f}"
+                    f"{node.name} claims a lease in term {state.term} while "
+                    f"{other.name} holds one of term {other.term} until "
+                    f"{other.until_s:.3f} s; now is {true_s:.3f} s"
                 )
         earlier = self._claims.get(node.name)
         if earlier is not None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/cluster.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/cluster.py
@@ -1,4 +1,4 @@
-"""A handful of simulated members and the network between them."""
+"""A simulated cluster: its members and the network between them."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 from sycamorestand_consensus.settings import CLOCK_RATE_MARGIN
 from sycamorestand_consensus.settings import ReplicaSettings
 
-# Older messages are lost beyond this many: enough for reordering across
-# several terms, few enough that a run does not drown in stale ones.
+# Beyond this number, the oldest messages are lost. The number allows
+# reordering across several terms, but keeps stale messages from making up
+# most of a run.
 MESSAGES_KEPT: Final = 200
-FAIR_STEP_S: Final = 0.02
-FAIR_STEPS: Final = 1500
+SETTLE_STEP_S: Final = 0.02
+MAX_SETTLE_STEPS: Final = 1500
 
 REFUSALS: Final = (
     MembershipRefused,
@@ -39,7 +40,10 @@
 
 
 class Cluster:
-    """Members, messages under way, and cut connections."""
+    """Members, undelivered messages, and cut connections.
+
+    ``cut`` holds pairs of a sender and a receiver.
+    """
 
     def __init__(
         self,
@@ -48,7 +52,7 @@
         seed: int,
         make_machine: MachineFactory = HashMachine,
     ) -> None:
-        """Make ``count`` blank members; none is bootstrapped."""
+        """Create ``count`` blank members without bootstrapping them."""
         self.random = random.Random(seed)
         self.checker = Checker(make_machine)
         self.nodes: list[Node] = []
@@ -63,7 +67,7 @@
             self.add_node()
 
     def add_node(self) -> Node:
-        """Add a blank member with a disk and a clock of its own."""
+        """Add a blank member with its own disk and clock, and start it."""
         spread = CLOCK_RATE_MARGIN * 0.99
         rate = 1.0 + self.random.uniform(-spread, spread)
         node = Node(
@@ -73,7 +77,7 @@
             self._make_machine,
             self.random.getrandbits(32),
             rate,
-            self._post,
+            self._send,
         )
         node.set_time(self.true_s)
         node.start()
@@ -81,7 +85,7 @@
         return node
 
     def bootstrap(self, nodes: Sequence[Node]) -> None:
-        """Start a group of these members."""
+        """Bootstrap a new group with these members as voters."""
         members = tuple((node.name, f"at-{node.name}") for node in nodes)
         for node in nodes:
             node.core.bootstrap(members, node.local_s)
@@ -93,12 +97,12 @@
         return [node for node in self.nodes if node.up]
 
     def leaders(self) -> list[Node]:
-        """Return the members that believe that they lead."""
+        """Return the members that consider themselves leader."""
         running = self.running()
         return [n for n in running if n.core.state.role == Role.LEADER]
 
     def advance(self, seconds: float) -> None:
-        """Move all clocks on and tick the members that are up."""
+        """Advance all clocks and tick the members that are up."""
         self.true_s += seconds
         for node in self.nodes:
             node.set_time(self.true_s)
@@ -107,7 +111,10 @@
                 node.pump()
 
     def deliver(self, position: int, *, keep: bool = False) -> None:
-        """Deliver a message; with ``keep`` it arrives again later."""
+        """Deliver one message, unless its connection is cut.
+
+        With ``keep``, the message stays queued and can arrive again.
+        """
         message = self.messages[position]
         if not keep:
             self.messages.pop(position)
@@ -119,7 +126,7 @@
                 node.pump()
 
     def sync(self, node: Node, count: int) -> None:
-        """End the sync of some batches of a member."""
+        """Complete the sync of up to ``count`` batches of a member."""
         node.sync(count)
         node.pump()
 
@@ -128,7 +135,11 @@
         node.crash(kept)
 
     def wipe(self, node: Node) -> bool:
-        """Lose a member and its disk for good, where voters suffice."""
+        """Lose a member and its disk for good.
+
+        Returns false, and does nothing, if too few voters would remain for
+        a majority of any membership still in use.
+        """
         if not self._can_lose(node):
             return False
         node.crash(0)
@@ -136,39 +147,44 @@
         return True
 
     def propose(self, node: Node) -> None:
-        """Propose a command that no other proposal equals."""
+        """Propose a unique command."""
         self._proposals += 1
         command = b"c%d" % self._proposals
-        self._try(node, lambda: node.core.propose(command, node.local_s))
+        self._call_core(node, lambda: node.core.propose(command, node.local_s))
 
     def read(self, node: Node) -> None:
-        """Ask for a read barrier and remember what it must see."""
+        """Request a read barrier and record the entries that it must see."""
         self._barriers += 1
         node.barriers[self._barriers] = len(self.checker.committed)
         number = self._barriers
-        self._try(node, lambda: node.core.read_barrier(number, node.local_s))
+        self._call_core(
+            node, lambda: node.core.read_barrier(number, node.local_s)
+        )
 
     def admit(self, node: Node, name: str) -> None:
-        """Ask a member to admit a learner."""
+        """Request a member to add a learner."""
         address = f"at-{name}"
-        self._try(
+        self._call_core(
             node, lambda: node.core.add_learner(name, address, node.local_s)
         )
 
     def promote(self, node: Node, name: str) -> None:
-        """Ask a member to promote a learner."""
-        self._try(node, lambda: node.core.promote(name, node.local_s))
+        """Request a member to promote a learner."""
+        self._call_core(node, lambda: node.core.promote(name, node.local_s))
 
     def remove(self, node: Node, name: str) -> None:
-        """Ask a member to remove another one."""
-        self._try(node, lambda: node.core.remove(name, node.local_s))
+        """Request a member to remove a member."""
+        self._call_core(node, lambda: node.core.remove(name, node.local_s))
 
     def transfer(self, node: Node, target: str | None) -> None:
-        """Ask a member to hand over leadership."""
-        self._try(node, lambda: node.core.transfer(target, node.local_s))
+        """Request a member to transfer leadership.
+
+        Without a target, the member chooses one.
+        """
+        self._call_core(node, lambda: node.core.transfer(target, node.local_s))
 
     def isolate(self, node: Node, *, inward: bool, outward: bool) -> None:
-        """Cut a member off in one direction or both."""
+        """Cut all connections to a member, from it, or both."""
         for other in self.nodes:
             if inward:
                 self.cut.add((other.name, node.name))
@@ -176,50 +192,51 @@
                 self.cut.add((node.name, other.name))
 
     def exchange(self) -> None:
-        """Deliver what is under way in order, and end all syncs."""
+        """Deliver all messages in order and complete all syncs."""
         self.deliver_all()
         for node in self.running():
             self.sync(node, node.disk.unsynced)
 
     def deliver_all(self) -> None:
-        """Deliver what is under way in order."""
+        """Deliver all messages in order, but not the replies to them."""
         for _ in range(len(self.messages)):
             self.deliver(0)
 
     def settle(self) -> bool:
-        """Heal everything and run fairly until a proposal commits.
+        """End all faults and run until a new command commits.
 
-        Returns whether it did: faults that leave a majority of voters
-        intact must not leave the group stuck.
+        Returns whether it commits and all members catch up within
+        `MAX_SETTLE_STEPS`. After faults that leave a majority of the voters
+        intact, the group must make progress again.
         """
         self.cut.clear()
         for node in self.nodes:
             node.set_disk_full(False)
             if not node.up and not node.wiped:
                 node.start()
-        before = self._commands()
-        for _ in range(FAIR_STEPS):
-            self._fair_step()
-            committed = self._commands() > before
-            if committed and self._level():
+        before = self._count_commands()
+        for _ in range(MAX_SETTLE_STEPS):
+            self._settle_step()
+            committed = self._count_commands() > before
+            if committed and self._has_caught_up():
                 return True
             for leader in self.leaders():
                 if not committed:
                     self.propose(leader)
         return False
 
-    def _fair_step(self) -> None:
-        self.advance(FAIR_STEP_S)
+    def _settle_step(self) -> None:
+        self.advance(SETTLE_STEP_S)
         self.exchange()
 
-    def _commands(self) -> int:
+    def _count_commands(self) -> int:
         return sum(1 for e in self.checker.committed if e.data[:1] == b"c")
 
-    def _level(self) -> bool:
+    def _has_caught_up(self) -> bool:
         lag = 10 + self._settings.trailing_entries
-        floor = len(self.checker.committed) - lag
+        min_index = len(self.checker.committed) - lag
         return all(
-            node.applied_index >= floor
+            node.applied_index >= min_index
             for leader in self.leaders()
             for node in self.running()
             if find_member(leader.core.state.membership, node.name)
@@ -242,14 +259,14 @@
             if membership
         ]
 
-    def _try(self, node: Node, action: Callable[[], object]) -> None:
+    def _call_core(self, node: Node, action: Callable[[], object]) -> None:
         if not node.up:
             return
         with contextlib.suppress(*REFUSALS):
             action()
         node.pump()
 
-    def _post(self, message: Message) -> None:
+    def _send(self, message: Message) -> None:
         self.messages.append(message)
         if len(self.messages) > MESSAGES_KEPT:
             self.messages.pop(0)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/mutants.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/mutants.py
@@ -1,7 +1,8 @@
-"""Safeguards that can be taken away, to see that the checks notice.
+"""Mutants that disable safeguards of the core, to test the checks.
 
-An exploration that finds nothing proves little unless it finds what is
-known to be wrong. Each mutant replaces one function of the core.
+An exploration without findings is evidence only if the same checks detect a
+known fault. Each mutant disables one safeguard by replacing functions of the
+core by name.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class Replacement(NamedTuple):
-    """A function of the core, and what stands in for it."""
+    """A function of the core, by module and name, and its replacement."""
 
     module: str
     name: str
@@ -35,7 +36,7 @@
 
 @contextlib.contextmanager
 def without_safeguard(name: str) -> Iterator[None]:
-    """Run the core without one of its safeguards."""
+    """Disable one safeguard of the core while the context is active."""
     with contextlib.ExitStack() as stack:
         for module, function, stand_in in MUTANTS[name]:
             target = f"{PACKAGE}.{module}.{function}"
@@ -51,15 +52,15 @@
     return False
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     return None
 
 
-def _now_s(state: RaftState) -> float:
+def _start_now_s(state: RaftState) -> float:
     return state.now_s
 
 
-def _own_log_unsynced(state: RaftState) -> Callable[[str], float]:
+def _last_own_index(state: RaftState) -> Callable[[str], float]:
     def index_of(member_id: str) -> float:
         if member_id == state.member_id:
             return state.log.last_index
@@ -72,7 +73,7 @@
     return lambda _: state.round
 
 
-def _cut_after(state: RaftState, entries: tuple[Entry, ...]) -> None:
+def _truncate_and_append(state: RaftState, entries: tuple[Entry, ...]) -> None:
     if not entries or entries[0].log_index <= state.commit_index:
         return
     first = entries[0].log_index
@@ -81,11 +82,11 @@
     append_entries(state, entries)
 
 
-def _last_term(state: RaftState, *, pre: bool) -> int:
+def _previous_term(state: RaftState, *, pre: bool) -> int:
     return state.term if pre else state.term - 1
 
 
-def _note_led(state: RaftState) -> None:
+def _set_led(state: RaftState) -> None:
     set_hard_state(state, state.hard._replace(led=True))
 
 
@@ -106,22 +107,22 @@
         Replacement("inbox", "has_active_promise", _never),
     ),
     "forget-promise-in-restart": (
-        Replacement("core", "assume_promise", _nothing),
+        Replacement("core", "assume_promise", _do_nothing),
     ),
     "end-promises-without-restart": (
-        Replacement("election", "ended_term", _last_term),
+        Replacement("election", "ended_term", _previous_term),
     ),
     "led-before-first-lease": (
-        Replacement("core", "record_leadership", _note_led),
+        Replacement("core", "record_leadership", _set_led),
     ),
     "lease-at-once-after-transfer": (
-        Replacement("election", "lease_start_s", _now_s),
+        Replacement("election", "lease_start_s", _start_now_s),
     ),
     "claim-without-promise": (
         Replacement("core", "claim_lease_s", lease_until_s),
     ),
     "count-own-unsynced-entries": (
-        Replacement("commit", "_synced_index", _own_log_unsynced),
+        Replacement("commit", "_synced_index", _last_own_index),
     ),
     "read-without-round": (
         Replacement("commit", "_answered_round", _any_round),
@@ -130,7 +131,7 @@
         Replacement("change", "_check_change", _check_leader),
     ),
     "truncate-without-conflict": (
-        Replacement("follower", "_append_new_entries", _cut_after),
+        Replacement("follower", "_append_new_entries", _truncate_and_append),
     ),
 }
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
@@ -1,4 +1,4 @@
-"""One simulated member: core, disk that loses unsynced writes, clock."""
+"""A simulated member: its core, its clock, and a disk that can lose writes."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 
 
 class Disk:
-    """Holds what was synced, and the batches that were not."""
+    """The synced image of a disk, and the batches not yet synced."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty disk."""
         self._image = DiskImage()
         self._unsynced: list[Batch] = []
         self.full = False
 
     def write(self, batch: Batch) -> None:
-        """Queue a batch, as a write without fsync does."""
+        """Write a batch without syncing it."""
         self._unsynced.append(batch)
 
     def sync(self, count: int) -> int:
-        """Sync up to ``count`` batches; return the last sequence."""
+        """Sync up to ``count`` batches.
+
+        Returns the sequence number of the last one, 0 if there is none.
+        """
         last = 0
         while self._unsynced and count > 0:
             batch = self._unsynced.pop(0)
@@ -41,22 +44,30 @@
         return last
 
     def lose_unsynced(self, kept: int) -> None:
-        """Crash: ``kept`` batches happened to reach the disk anyway."""
+        """Lose the unsynced batches, except for the first ``kept``.
+
+        Without a sync, a disk may still have written some batches before
+        a crash.
+        """
         self.sync(kept)
         self._unsynced.clear()
 
     @property
     def unsynced(self) -> int:
-        """Return how many batches wait for their sync."""
+        """Return the number of batches that are not synced."""
         return len(self._unsynced)
 
     def image(self) -> DiskImage:
-        """Return what a restart finds."""
+        """Return the synced contents, from which a restart recovers."""
         return self._image
 
 
 class Node:
-    """A member that runs, or is down with its disk."""
+    """A member that is up, or down with its disk intact or wiped.
+
+    ``barriers`` maps the ids of pending read barriers to the number of
+    entries committed when the read began.
+    """
 
     def __init__(
         self,
@@ -65,10 +76,10 @@
         checker: Checker,
         make_machine: MachineFactory,
         seed: int,
-        rate: float,
-        post: Callable[[Message], None],
+        clock_rate: float,
+        send: Callable[[Message], None],
     ) -> None:
-        """Make the member without starting it."""
+        """Create the member without starting it."""
         self.name = name
         self.disk = Disk()
         self.up = False
@@ -80,27 +91,27 @@
         self._make_machine = make_machine
         self._machine = make_machine()
         self._random = random.Random(seed)
-        self._rate = rate
-        self._offset_s = self._random.uniform(0.0, 1000.0)
-        self._post = post
+        self._clock_rate = clock_rate
+        self._clock_offset_s = self._random.uniform(0.0, 1000.0)
+        self._send = send
         self._true_s = 0.0
         self.core = self._new_core()
 
     @property
     def local_s(self) -> float:
-        """Return the node's own clock."""
-        return self._offset_s + self._rate * self._true_s
+        """Return the time of the node's clock."""
+        return self._clock_offset_s + self._clock_rate * self._true_s
 
     def true_time_of(self, local_s: float) -> float:
-        """Convert a reading of the node's clock."""
-        return (local_s - self._offset_s) / self._rate
+        """Convert a time of the node's clock to the true clock."""
+        return (local_s - self._clock_offset_s) / self._clock_rate
 
     def set_time(self, true_s: float) -> None:
-        """Move the clock on."""
+        """Set the clock by the true time."""
         self._true_s = true_s
 
     def start(self) -> None:
-        """Start from what the disk holds."""
+        """Start with the state that the disk holds."""
         self.up = True
         self.core = self._new_core()
         snapshot = self.core.state.snapshot
@@ -111,13 +122,16 @@
         self.core.set_blocked(self.disk.full, self.local_s)
 
     def crash(self, kept: int) -> None:
-        """Stop at once; unsynced writes are gone but for ``kept``."""
+        """Stop at once and lose all but ``kept`` unsynced batches."""
         self.up = False
         self.barriers.clear()
         self.disk.lose_unsynced(kept)
 
     def sync(self, count: int) -> None:
-        """End the sync of some batches."""
+        """Complete the sync of up to ``count`` batches; a full disk has none.
+
+        The core of a member that is up is told the last synced sequence.
+        """
         if self.disk.full:
             return
         sequence = self.disk.sync(count)
@@ -125,7 +139,7 @@
             self.core.mark_synced(sequence, self.local_s)
 
     def set_disk_full(self, full: bool) -> None:
-        """Fill the disk or free it."""
+        """Fill the disk or free it; a full disk blocks the core."""
         self.disk.full = full
         if self.up:
             self.core.set_blocked(full, self.local_s)
@@ -137,12 +151,12 @@
         self.core.compact(self.applied_index, data, self.local_s)
 
     def pump(self) -> None:
-        """Carry out what the core asks for and check the promises."""
+        """Carry out the core's pending work and check the invariants."""
         if not self.up:
             return
         output = self.core.drain(self.local_s)
         for message in output.messages:
-            self._post(message)
+            self._send(message)
         if output.batch is not None:
             self.disk.write(output.batch)
         if output.install is not None:
@@ -167,13 +181,13 @@
 
     def _apply(self, output: Output) -> None:
         for entry in output.committed:
-            self._checker.note_committed(self, entry)
+            self._checker.record_committed(self, entry)
             if entry.kind == EntryKind.COMMAND:
                 self._machine.apply(entry.log_index, entry.data)
             self.applied_index = entry.log_index
         for barrier in output.confirmed:
-            floor = self.barriers.pop(barrier.barrier_id, 0)
-            self._checker.check_barrier(self, barrier.read_index, floor)
+            min_index = self.barriers.pop(barrier.barrier_id, 0)
+            self._checker.check_barrier(self, barrier.read_index, min_index)
 
 
 __all__ = ["Node"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/run.py
@@ -1,4 +1,4 @@
-"""Draws faults at random and plays them; equal seeds play equal runs."""
+"""Runs random faults on a cluster; equal seeds give equal runs."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from sycamorestand_consensus.errors import ConsensusError
 from sycamorestand_consensus.settings import ReplicaSettings
 
-# A run ends after this many steps and the next one begins afresh: most
-# faults need few entries and elections, and many short runs vary more.
+# Steps of one run. Most faults need few entries and elections to appear, and
+# many short runs vary more than one long run.
 STEPS_A_RUN: Final = 1500
 
 
 class Fault(NamedTuple):
-    """A broken promise and how to play it again."""
+    """A violated invariant, and the seed and step that reproduce it."""
 
     seed: int
     step: int
@@ -30,7 +30,10 @@
 
 
 class RunResult(NamedTuple):
-    """What one run did."""
+    """Counts of one run, and the fault it found, if any.
+
+    ``elections`` is the highest term that a member reached.
+    """
 
     steps: int
     committed: int
@@ -41,18 +44,22 @@
 def play(
     seed: int, steps: int, make_machine: MachineFactory = HashMachine
 ) -> RunResult:
-    """Play one run; at its end everything heals and must go on."""
-    draw = random.Random(seed)
-    cluster = _make_cluster(seed, draw, make_machine)
+    """Run random actions on a new cluster until a fault is found.
+
+    After the last step all faults end, and the cluster must make progress
+    again.
+    """
+    rng = random.Random(seed)
+    cluster = _make_cluster(seed, rng, make_machine)
     names = list(ACTIONS)
-    weights = [_weight(name, draw) for name in names]
+    weights = [_draw_weight(name, rng) for name in names]
     fault = None
     step = 0
     try:
         while step < steps:
             step += 1
-            name = draw.choices(names, weights)[0]
-            ACTIONS[name](cluster, draw)
+            name = rng.choices(names, weights)[0]
+            ACTIONS[name](cluster, rng)
         if not cluster.settle():
             fault = Fault(seed, step, "no progress after all faults healed")
     except (FaultFound, ConsensusError) as error:
@@ -63,27 +70,27 @@
 
 
 def _make_cluster(
-    seed: int, draw: random.Random, make_machine: MachineFactory
+    seed: int, rng: random.Random, make_machine: MachineFactory
 ) -> Cluster:
     settings = ReplicaSettings(
-        max_append_bytes=draw.choice((1, 100, 100_000)),
-        max_inflight_messages=draw.choice((1, 4, 64)),
-        snapshot_chunk_bytes=draw.choice((5, 100_000)),
-        trailing_entries=draw.choice((0, 3)),
+        max_append_bytes=rng.choice((1, 100, 100_000)),
+        max_inflight_messages=rng.choice((1, 4, 64)),
+        snapshot_chunk_bytes=rng.choice((5, 100_000)),
+        trailing_entries=rng.choice((0, 3)),
     )
-    voters = draw.choice((3, 3, 3, 5))
-    grown = draw.random() < 0.2
+    voters = rng.choice((3, 3, 3, 5))
+    starts_alone = rng.random() < 0.2
     cluster = Cluster(voters, settings, seed, make_machine)
-    cluster.bootstrap(cluster.nodes[:1] if grown else cluster.nodes)
+    cluster.bootstrap(cluster.nodes[:1] if starts_alone else cluster.nodes)
     return cluster
 
 
-def _weight(name: str, draw: random.Random) -> float:
-    # Each run stresses other faults: a weight that is the same in all of
-    # them would leave the rare combinations unplayed.
-    scale = draw.choice((0.0, 0.0, 0.0, 0.0, 0.5, 1.0, 3.0, 8.0))
+def _draw_weight(name: str, rng: random.Random) -> float:
+    # Each run stresses other faults. With the same weights in all runs, rare
+    # combinations would not occur.
+    scale = rng.choice((0.0, 0.0, 0.0, 0.0, 0.5, 1.0, 3.0, 8.0))
     if name in ALWAYS:
-        scale = draw.choice((0.5, 1.0, 2.0))
+        scale = rng.choice((0.5, 1.0, 2.0))
     return WEIGHTS[name] * scale
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/explore.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/explore.py
@@ -1,7 +1,7 @@
-"""Plays random faults against the agreement core.
+"""``dev/bench explore``: run the consensus core under random faults.
 
-Prints what it found and, as its last line, the same as JSON. Each fault
-comes with the seed and the step that play it again.
+Prints the results, and as the last line the same as JSON. Each fault is
+printed with the seed and the step that reproduce it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Summary(NamedTuple):
-    """What an exploration did."""
+    """Totals of an exploration, and the faults found."""
 
     seed: int
     runs: int
@@ -35,33 +35,35 @@
 def explore(
     *, seed: int = 1, steps: int = 150_000, without: str = ""
 ) -> Summary:
-    """Play runs with the seeds from ``seed`` on until ``steps`` are done.
+    """Run consecutive seeds, starting with ``seed``, for ``steps`` in all.
 
     :param seed: seed of the first run
-    :param steps: steps to play in all
-    :param without: safeguard to take away, to see that it is missed
+    :param steps: number of steps over all runs
+    :param without: safeguard to disable; the exploration should find faults
     """
     if without and without not in MUTANTS:
-        raise ValueError(f"{without} is none of {sorted(MUTANTS)}")
+        raise ValueError(
+            f"unknown safeguard {without}; known: {sorted(MUTANTS)}"
+        )
     summary = Summary(seed, 0, 0, 0, 0, without, ())
     guard = without_safeguard(without) if without else contextlib.nullcontext()
     with guard:
         while summary.steps < steps:
-            left = min(STEPS_A_RUN, steps - summary.steps)
-            result = play(seed + summary.runs, left)
-            found = (result.fault,) if result.fault else ()
+            remaining = min(STEPS_A_RUN, steps - summary.steps)
+            result = play(seed + summary.runs, remaining)
+            new_faults = (result.fault,) if result.fault else ()
             summary = summary._replace(
                 runs=summary.runs + 1,
                 steps=summary.steps + max(1, result.steps),
                 committed=summary.committed + result.committed,
                 elections=summary.elections + result.elections,
-                faults=summary.faults + found,
+                faults=summary.faults + new_faults,
             )
     return summary
 
 
 def main(arguments: list[str]) -> int:
-    """Explore and print; the status is 1 where a fault was found."""
+    """Explore and print the results; return 1 if a fault was found."""
     started_s = time.monotonic()
     summary = defopt.run(explore, argv=arguments)
     elapsed_s = time.monotonic() - started_s
--- a/packages/sycamorestand-bench/tests/test_explore.py
+++ b/packages/sycamorestand-bench/tests/test_explore.py
@@ -14,15 +14,16 @@
 from sycamorestand_bench.scenarios.explore import explore
 from sycamorestand_bench.scenarios.explore import main
 
-# Seeds whose runs broke a promise while the core was being written. The
-# draws have changed since, so they are kept as further runs only; what
-# was wrong has tests of its own in the consensus package.
+# Runs with these seeds once violated an invariant. The same seeds give other
+# runs today, so these are only additional runs; the consensus package has a
+# test for each of the faults.
 SEEDS_OF_EARLIER_FAULTS: Final = (25, 104, 519, 903, 1563, 4439, 6770)
 
-# A seed whose run misses the safeguard. Changes of core or draws shift
-# them; then find another one with
+# For each safeguard, a seed whose run finds a fault when the safeguard is
+# disabled. Changes to the core or to the random choices invalidate the seeds;
+# this command finds a new one:
 #   dev/bench explore --without NAME --steps 9000000
-SEEDS_THAT_MISS: Final = {
+SEEDS_WITHOUT_SAFEGUARD: Final = {
     "answer-before-sync": 77,
     "claim-without-promise": 54,
     "commit-earlier-terms": 20155,
@@ -43,29 +44,29 @@
 
 class TestMutants:
     @pytest.mark.parametrize("name", sorted(MUTANTS))
-    def test_a_missing_safeguard_breaks_a_promise(self, name: str) -> None:
-        # An exploration that cannot fail proves nothing. The same run
-        # finds a fault without the safeguard and none with it.
-        seed = SEEDS_THAT_MISS[name]
+    def test_a_disabled_safeguard_is_detected(self, name: str) -> None:
+        # Checks that never fail would be worthless. The same run must find a
+        # fault without the safeguard and none with it.
+        seed = SEEDS_WITHOUT_SAFEGUARD[name]
         with without_safeguard(name):
             assert play(seed, STEPS_A_RUN).fault is not None
         assert play(seed, STEPS_A_RUN).fault is None
 
 
 class TestExplore:
-    def test_random_faults_break_no_promise(self) -> None:
+    def test_random_faults_violate_no_invariant(self) -> None:
         summary = explore(seed=1, steps=45_000)
         assert summary.faults == ()
         assert summary.committed > 100
         assert summary.elections > 30
 
     @pytest.mark.parametrize("seed", SEEDS_OF_EARLIER_FAULTS)
-    def test_a_seed_that_found_a_fault_finds_none_now(self, seed: int) -> None:
+    def test_seeds_of_earlier_faults_find_none(self, seed: int) -> None:
         assert play(seed, STEPS_A_RUN).fault is None
 
-    def test_equal_seeds_play_equal_runs(self) -> None:
-        # In another process sets of names have another order. A run that
-        # depended on it could not be played again after it found a fault.
+    def test_equal_seeds_give_equal_runs(self) -> None:
+        # Sets of names are ordered differently in each process. If a run
+        # depended on that order, its faults could not be reproduced.
         program = (
             "from sycamorestand_bench.explore.run import play;"
             "print(play(520, 1500))"
@@ -81,7 +82,7 @@
         }
         assert len(found) == 1
 
-    def test_the_last_line_is_json(
+    def test_last_line_is_json(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["--seed", "7", "--steps", "300"]) == 0
