--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/report.py
@@ -36,7 +36,7 @@
                 lines.append(
                     f"{outcome.scenario:22}{outcome.user:11}{policy:16}"
                     f"{figure:18}{_format(found.median):>10}"
-                    f"{_format(found.least):>10}{_format_value(found.most):>10}"
+                    f"{_format(found.least):>10}{_format(found.most):>10}"
                 )
     return lines
 
