--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
@@ -34,7 +34,7 @@
 }
 
 
-class Judged(NamedTuple):
+class GoalResult(NamedTuple):
     """A figure beside its goal, None where it has none."""
 
     name: str
@@ -49,9 +49,9 @@
         return f"{self.name:38} {self.value:12.3f}  goal {self.goal:g} {word}"
 
 
-def judge(figures: dict[str, float]) -> list[Judged]:
+def compare_with_goals(figures: dict[str, float]) -> list[GoalResult]:
     """Set every figure beside its goal."""
-    return [Judged(n, value, GOALS.get(n)) for n, value in figures.items()]
+    return [GoalResult(n, value, GOALS.get(n)) for n, value in figures.items()]
 
 
 def in_force_figures(times: InForceTimes) -> dict[str, float]:
@@ -166,7 +166,7 @@
     return lines
 
 
-def json_figures(judged: Sequence[Judged]) -> dict[str, Any]:
+def json_figures(judged: Sequence[GoalResult]) -> dict[str, Any]:
     """Return what the last line holds."""
     missed = [
         j.name for j in judged if j.goal is not None and j.value > j.goal
@@ -177,11 +177,11 @@
 
 __all__ = [
     "cell_lines",
+    "compare_with_goals",
     "failover_figures",
+    "GoalResult",
     "in_force_figures",
     "json_figures",
-    "judge",
-    "Judged",
     "probe_figures",
     "restart_figures",
     "slope_lines",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/target.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/target.py
@@ -18,10 +18,10 @@
 from sycamorestand_bench.control_bench.fitting import Sample
 from sycamorestand_bench.control_bench.usage import Rate
 
-NODES: Final = 330
+ENTRIES: Final = 330
 SERVERS: Final = 910
 CONTROLS: Final = 7
-NODES_A_CONTROL: Final = NODES / CONTROLS
+ENTRIES_PER_CONTROL: Final = ENTRIES / CONTROLS
 
 Measure = Callable[[Rate], float]
 
@@ -38,24 +38,24 @@
 
     def entry_at_target(self) -> float:
         """Return what a whole entry process costs at the target."""
-        return self.entry.at(NODES, SERVERS)
+        return self.entry.at(ENTRIES, SERVERS)
 
     def link_at_target(self) -> float:
         """Return what a process with nothing but a link costs."""
-        return self.link.at(NODES, SERVERS)
+        return self.link.at(ENTRIES, SERVERS)
 
     def follower_at_target(self) -> float:
         """Return what a follower costs that serves its share."""
-        serving = self.serving.at(NODES_A_CONTROL, SERVERS)
-        return self.follower.at(NODES, SERVERS) + serving
+        serving = self.serving.at(ENTRIES_PER_CONTROL, SERVERS)
+        return self.follower.at(ENTRIES, SERVERS) + serving
 
     def leader_at_target(self) -> float:
         """Return what a leader costs that serves its share too."""
-        serving = self.serving.at(NODES_A_CONTROL, SERVERS)
-        return self.leader.at(NODES, SERVERS) + serving
+        serving = self.serving.at(ENTRIES_PER_CONTROL, SERVERS)
+        return self.leader.at(ENTRIES, SERVERS) + serving
 
 
-def work_out(costs: Sequence[CellCost]) -> list[Figure]:
+def fit_figures(costs: Sequence[CellCost]) -> list[Figure]:
     """Return the slopes of processor time, memory and traffic."""
     return [_figure(name, costs, measure) for name, measure in MEASURES]
 
@@ -94,10 +94,10 @@
 
 __all__ = [
     "CONTROLS",
+    "ENTRIES",
+    "ENTRIES_PER_CONTROL",
     "Figure",
+    "fit_figures",
     "MEASURES",
-    "NODES",
-    "NODES_A_CONTROL",
     "SERVERS",
-    "work_out",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -69,7 +69,7 @@
 
     def __init__(self, configuration: InForce, ledger: FakeLedger) -> None:
         self.configuration = configuration
-        self.records = ledger
+        self.ledger = ledger
         self.lease_s = 3.0
         self.servers: dict[str, Announcement] = {}
         self.entry_addresses: tuple[EntryAddress, ...] = ()
@@ -129,7 +129,7 @@
             self.ledger_failures -= 1
         if failing and not self.lose_answers:
             raise LedgerUnavailable("the fake ledger is told to fail")
-        results = self.records.apply(records)
+        results = self.ledger.apply(records)
         if failing:
             raise LedgerUnavailable("the fake ledger lost its answer")
         return results
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
@@ -37,12 +37,14 @@
     return Core("a", SETTINGS, 1, found, now_s=0.0)
 
 
-def say(core: Core, sender: str, term: int, body: Body, now_s: float) -> None:
+def deliver(
+    core: Core, sender: str, term: int, body: Body, now_s: float
+) -> None:
     """Hand the core a message of another member."""
     core.receive(Message(sender, "a", CLUSTER, term, body), now_s)
 
 
-def sync(core: Core, now_s: float) -> list[Message]:
+def drain_and_sync(core: Core, now_s: float) -> list[Message]:
     """Drain until nothing is left to write; return what was sent."""
     sent: list[Message] = []
     while True:
@@ -53,20 +55,20 @@
         core.mark_synced(output.batch.sequence, now_s)
 
 
-def lead(core: Core, now_s: float) -> None:
+def win_election(core: Core, now_s: float) -> None:
     """Let "a" win an election with the vote of "b"."""
     campaign = core.state.term + 1
     core.tick(now_s)
     yes = VoteReply(campaign, pre=True, granted=True)
-    say(core, "b", campaign - 1, yes, now_s)
-    sync(core, now_s)
+    deliver(core, "b", campaign - 1, yes, now_s)
+    drain_and_sync(core, now_s)
     yes = VoteReply(campaign, pre=False, granted=True)
-    say(core, "b", campaign, yes, now_s)
-    sync(core, now_s)
+    deliver(core, "b", campaign, yes, now_s)
+    drain_and_sync(core, now_s)
     assert core.state.role == Role.LEADER
 
 
-def matched(index: int, stamp: Stamp = STAMP) -> AppendReply:
+def append_success(index: int, stamp: Stamp = STAMP) -> AppendReply:
     """Return a follower's yes to all entries up to this one."""
     return AppendReply(True, index, 0, 0, 0, stamp)
 
@@ -98,18 +100,18 @@
 
 
 __all__ = [
+    "append_success",
     "CLUSTER",
+    "deliver",
+    "drain_and_sync",
     "entry",
-    "lead",
     "leader_of",
     "make_cluster",
     "make_core",
-    "matched",
     "MEMBERS",
     "other_than",
     "run",
-    "say",
     "SETTINGS",
     "STAMP",
-    "sync",
+    "win_election",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
@@ -11,11 +11,11 @@
 
 from sycamorestand_bench.fakes.faults import Fault
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
 from sycamorestand_bench.fakes.hosting import serve_application
-from sycamorestand_bench.fakes.hosting import Stopped
 
 DEFAULT_TOKENS: Final = 8
 CHARACTERS_PER_TOKEN: Final = 4
@@ -86,7 +86,7 @@
     async def _complete(
         self, headers: dict[str, str], body: bytes, receive: Any, send: Any
     ) -> None:
-        fault = self.switch.take()
+        fault = self.switch.next_fault()
         if fault.kind == "refuse":
             refusal = ((b"x-not-run", b"1"),)
             await send_answer(send, 503, b"{}", headers=refusal)
@@ -188,7 +188,7 @@
     async def _show_fault(self) -> None:
         match self._fault.kind:
             case "cut":
-                raise Stopped
+                raise ConnectionAborted
             case "silent" | "slow":
                 await anyio.sleep(self._fault.pause_s)
             case "garbage":
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.fault = Fault()
 
-    def take(self) -> Fault:
+    def next_fault(self) -> Fault:
         """Return the fault for one request."""
         fault = self.fault
         if fault.times == 0:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
@@ -13,7 +13,7 @@
 import uvicorn
 
 
-class Stopped(Exception):
+class ConnectionAborted(Exception):
     """Raised by a fake to end a connection in the middle."""
 
 
@@ -70,7 +70,7 @@
     while more:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise Stopped
+            raise ConnectionAborted
         parts.append(message["body"])
         more = message["more_body"]
     return b"".join(parts)
@@ -104,9 +104,9 @@
 
 
 __all__ = [
+    "ConnectionAborted",
     "read_body",
     "send_answer",
     "send_json",
     "serve_application",
-    "Stopped",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/telling_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/in_memory_control.py
@@ -23,15 +23,15 @@
 DATA_CENTRES: Final = ("marietta", "gainesville", "dalton")
 
 
-class TellingControl:
-    """The tables and the hub of one control process, with a mailbox.
+class InMemoryControl:
+    """The tables and the hub of one control process, with a fake mesh.
 
     Entries attach with `attach`; `deliver` hands a link all that was sent
     to it since, in its order.
     """
 
     def __init__(self, configuration: InForce) -> None:
-        self._mesh = Mailbox()
+        self._mesh = FakeMesh()
         mesh: Any = self._mesh
         leases: Any = _Leases(configuration.revision)
         name = ControlName("vm-control", DATA_CENTRES[0])
@@ -67,7 +67,7 @@
     return EntryAddress(f"vm-{number}", centre, host, 80, peer_address=peer)
 
 
-def link_of(number: int) -> ControlLink:
+def make_link(number: int) -> ControlLink:
     """Return the link of the entry with a number, which is not run."""
     own = entry_address(number)
     settings = LinkSettings(
@@ -76,7 +76,7 @@
     return ControlLink(settings, lambda: own)
 
 
-class Mailbox:
+class FakeMesh:
     """Keeps what is sent, in place of a mesh."""
 
     incarnation = 1
@@ -90,7 +90,7 @@
 
     def close_link(self, address: str) -> None: ...
 
-    def take(self, kind: type) -> list[Any]:
+    def take_messages(self, kind: type) -> list[Any]:
         """Return the messages of a kind that were sent since."""
         found = [m for _, m in self.sent if isinstance(m, kind)]
         self.sent = [(a, m) for a, m in self.sent if not isinstance(m, kind)]
@@ -110,4 +110,10 @@
         return ENTRY_LEASE_S
 
 
-__all__ = ["CONTROL", "entry_address", "link_of", "Mailbox", "TellingControl"]
+__all__ = [
+    "CONTROL",
+    "entry_address",
+    "FakeMesh",
+    "InMemoryControl",
+    "make_link",
+]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
@@ -78,7 +78,7 @@
 
     def __init__(self, control: FakeControlPort, group: TaskGroup) -> None:
         self.control = control
-        self.ledger = control.records
+        self.ledger = control.ledger
         self.group = group
         self.entry: RunningEntry
         self.pool: httpcore.AsyncConnectionPool
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 from sycamorestand_model.backend_servers import Announcement
 
 
@@ -77,7 +77,7 @@
         fields = msgspec.json.decode(body, type=dict[str, Any])
         order = ReceivedOrder(**fields)
         self.received.append(order)
-        fault = self.switch.take()
+        fault = self.switch.next_fault()
         match fault.kind:
             case "refuse":
                 await send_json(send, 503, {})
@@ -89,7 +89,7 @@
                 await send_answer(send, 200, b"\x00\xff")
             case "cut":
                 self._act(order)
-                raise Stopped
+                raise ConnectionAborted
             case "silent":
                 await anyio.sleep(fault.pause_s)
             case "late":
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 
 
 class FakeRating:
@@ -20,13 +20,13 @@
     def __init__(self, ratings: dict[str, float]) -> None:
         self.ratings = ratings
         self.switch = FaultSwitch()
-        self.asked: list[dict[str, Any]] = []
+        self.requests: list[dict[str, Any]] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
         """Rate one answer."""
         asked = msgspec.json.decode(await read_body(receive))
-        self.asked.append(asked)
-        fault = self.switch.take()
+        self.requests.append(asked)
+        fault = self.switch.next_fault()
         rating = self.ratings.get(asked["version"], 0.0)
         match fault.kind:
             case "refuse":
@@ -38,7 +38,7 @@
             case "wrong_type":
                 await send_json(send, 200, {"rating": 7})
             case "cut":
-                raise Stopped
+                raise ConnectionAborted
             case "silent" | "late" | "slow":
                 await anyio.sleep(fault.pause_s)
                 await send_json(send, 200, {"rating": rating})
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
@@ -29,7 +29,7 @@
 from sycamorestand_model.routes import RouteTarget
 
 HOST: Final = "nest.example"
-WIRE: Final = HeaderNames(
+HEADER_NAMES: Final = HeaderNames(
     attempt=b"x-attempt",
     deadline_ms=b"x-deadline-ms",
     server=b"x-server",
@@ -211,7 +211,7 @@
             settings,
             control,
             Random(1),
-            make_routed_application(WIRE),
+            make_routed_application(HEADER_NAMES),
         )
         yield loopback
         group.cancel_scope.cancel()
@@ -231,6 +231,7 @@
     "answer_head",
     "event",
     "Handler",
+    "HEADER_NAMES",
     "HOST",
     "read_to_end",
     "request_bytes",
@@ -240,6 +241,5 @@
     "SETTINGS",
     "start_routed",
     "stream_head",
-    "WIRE",
     "with_sizes",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
@@ -10,10 +10,10 @@
 
 from sycamorestand_bench.fakes.faults import Fault
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 
 
 class ServiceRecord(NamedTuple):
@@ -49,7 +49,7 @@
             )
             await send_json(send, 200, {})
             return
-        fault = self.switch.take()
+        fault = self.switch.next_fault()
         if fault.kind == "refuse":
             refusal = ((b"x-not-run", b"1"),)
             await send_answer(send, 503, b"{}", headers=refusal)
@@ -77,7 +77,7 @@
                 await anyio.sleep(fault.pause_s)
             case "cut":
                 await _send_half(send, body)
-                raise Stopped
+                raise ConnectionAborted
             case "garbage":
                 body = b"\x00\xff\x00"
         await send_answer(send, 200, body)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
@@ -7,10 +7,10 @@
 import anyio
 
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 
 
 class FakeWeightStore:
@@ -24,14 +24,14 @@
         self.size_bytes = size_bytes
         self.switch = FaultSwitch()
         self.retry_after = ""
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
         """Tell of one version's weights."""
         await read_body(receive)
         name = scope["path"].removeprefix("/weights/")
-        self.asked.append(name)
-        fault = self.switch.take()
+        self.requested.append(name)
+        fault = self.switch.next_fault()
         match fault.kind:
             case "refuse":
                 header = (b"retry-after", self.retry_after.encode())
@@ -44,7 +44,7 @@
             case "wrong_type":
                 await send_json(send, 200, {"bytes": "many"})
             case "cut":
-                raise Stopped
+                raise ConnectionAborted
             case "silent" | "late" | "slow":
                 await anyio.sleep(fault.pause_s)
                 await self._answer(name, send)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
@@ -19,17 +19,17 @@
 from sycamorestand_bench.control_bench.latency import measure_failover
 from sycamorestand_bench.control_bench.latency import measure_in_force
 from sycamorestand_bench.control_bench.report import cell_lines
+from sycamorestand_bench.control_bench.report import compare_with_goals
 from sycamorestand_bench.control_bench.report import failover_figures
 from sycamorestand_bench.control_bench.report import in_force_figures
 from sycamorestand_bench.control_bench.report import json_figures
-from sycamorestand_bench.control_bench.report import judge
 from sycamorestand_bench.control_bench.report import probe_figures
 from sycamorestand_bench.control_bench.report import restart_figures
 from sycamorestand_bench.control_bench.report import slope_lines
 from sycamorestand_bench.control_bench.report import target_figures
 from sycamorestand_bench.control_bench.restart import measure_restart
 from sycamorestand_bench.control_bench.system import System
-from sycamorestand_bench.control_bench.target import work_out
+from sycamorestand_bench.control_bench.target import fit_figures
 from sycamorestand_bench.processes import Cluster
 
 PARTS: Final = ("in-force", "failover", "restart", "cost")
@@ -89,7 +89,7 @@
         if part in ("", "restart"):
             restart = measure_restart(system, restart_changes)
             figures |= restart_figures(restart)
-    judged = judge(figures)
+    judged = compare_with_goals(figures)
     for line in judged:
         print(line.line())
     result = json_figures(judged)
@@ -102,7 +102,7 @@
 ) -> dict[str, float]:
     cells = cells_of(entries, servers)
     costs = measure_cells(system, cells, BUSY_REQUESTS_PER_S)
-    slopes = work_out(costs[:-PROBE_CELLS])
+    slopes = fit_figures(costs[:-PROBE_CELLS])
     for line in cell_lines(costs) + slope_lines(slopes):
         print(line)
     return probe_figures(costs) | target_figures(slopes, costs)
--- a/packages/sycamorestand-bench/tests/fakes/test_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_engine.py
@@ -103,7 +103,7 @@
                 return fault
 
             first = engine.switch.fault
-            engine.switch.take = next_fault  # type: ignore[method-assign]
+            engine.switch.next_fault = next_fault  # type: ignore[method-assign]
             answer = await loopback.chat(stream=True, Idempotency_Key="k")
             assert end_of(answer) == "backend_failed"
             assert answer.text() == expected_text(LARGE, "k", 3)
--- a/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
@@ -63,10 +63,10 @@
             assert await store.readiness(VERSION) == expected
             fake.switch.fault = Fault()
             assert await store.readiness(VERSION) == expected
-            asked = len(fake.asked)
+            asked = len(fake.requested)
             clock.now_s += FAULT_PAUSE_S
             assert await store.readiness(VERSION) == "ready"
-        assert fake.asked == ["nest-small/1"] * len(fake.asked)
+        assert fake.requested == ["nest-small/1"] * len(fake.requested)
         assert asked == (2 if expected == "ready" else 1)
         refused = {} if expected == "ready" else {expected: 1}
         assert dict(store.refusals) == refused
@@ -80,7 +80,7 @@
                 for _ in range(2):
                     tasks.start_soon(store.readiness, VERSION)
             assert await store.readiness(VERSION) == "later"
-            assert len(fake.asked) == 2
+            assert len(fake.requested) == 2
 
     @pytest.mark.parametrize(("header", "wait_s"), WAITS)
     async def test_retry_after_holds_all_loads(
@@ -117,7 +117,7 @@
         async with serve_on_port(fake.application) as address:
             store = WeightStore(f"http://{address}", 0.3, Clock())
             await store.readiness("a/../b?c@1")
-        assert fake.asked == ["a/../b?c/1"]
+        assert fake.requested == ["a/../b?c/1"]
 
     async def test_no_store(self) -> None:
         assert await WeightStore("").readiness(VERSION) == "ready"
--- a/packages/sycamorestand-bench/tests/test_control_bench.py
+++ b/packages/sycamorestand-bench/tests/test_control_bench.py
@@ -10,12 +10,12 @@
 from sycamorestand_bench.control_bench.fitting import fit_plane
 from sycamorestand_bench.control_bench.fitting import percentile
 from sycamorestand_bench.control_bench.fitting import Sample
+from sycamorestand_bench.control_bench.report import compare_with_goals
 from sycamorestand_bench.control_bench.report import json_figures
-from sycamorestand_bench.control_bench.report import judge
 from sycamorestand_bench.control_bench.target import CONTROLS
-from sycamorestand_bench.control_bench.target import NODES
+from sycamorestand_bench.control_bench.target import ENTRIES
+from sycamorestand_bench.control_bench.target import fit_figures
 from sycamorestand_bench.control_bench.target import SERVERS
-from sycamorestand_bench.control_bench.target import work_out
 from sycamorestand_bench.control_bench.usage import Rate
 from sycamorestand_bench.control_bench.usage import rate
 from sycamorestand_bench.control_bench.usage import resident_mb
@@ -104,10 +104,10 @@
             )
 
         cells = cells_of((5, 15, 30), (0, 100, 300))
-        figure = work_out([cell(*each) for each in cells])[0]
-        share = NODES / CONTROLS
+        figure = fit_figures([cell(*each) for each in cells])[0]
+        share = ENTRIES / CONTROLS
         serving = 0.5 + 0.1 * share + 0.001 * share * SERVERS
-        follower = 1 + 0.01 * NODES + 0.02 * SERVERS
+        follower = 1 + 0.01 * ENTRIES + 0.02 * SERVERS
         assert figure.name == "cpu_percent"
         assert figure.entry_at_target() == pytest.approx(0.4)
         assert figure.follower_at_target() == pytest.approx(follower + serving)
@@ -118,7 +118,7 @@
 
 class TestReport:
     def test_goals(self) -> None:
-        judged = judge({"in_force_p50_s": 0.31, "kills": 5.0})
+        judged = compare_with_goals({"in_force_p50_s": 0.31, "kills": 5.0})
         assert [line.goal for line in judged] == [0.3, None]
         assert "NOT MET" in judged[0].line()
         result = json_figures(judged)
--- a/packages/sycamorestand-consensus/tests/test_core.py
+++ b/packages/sycamorestand-consensus/tests/test_core.py
@@ -4,19 +4,19 @@
 
 import pytest
 
+from sycamorestand_bench.fakes.core_steps import append_success
 from sycamorestand_bench.fakes.core_steps import CLUSTER
+from sycamorestand_bench.fakes.core_steps import deliver
+from sycamorestand_bench.fakes.core_steps import drain_and_sync
 from sycamorestand_bench.fakes.core_steps import entry
-from sycamorestand_bench.fakes.core_steps import lead
 from sycamorestand_bench.fakes.core_steps import leader_of
 from sycamorestand_bench.fakes.core_steps import make_cluster
 from sycamorestand_bench.fakes.core_steps import make_core
-from sycamorestand_bench.fakes.core_steps import matched
 from sycamorestand_bench.fakes.core_steps import other_than
 from sycamorestand_bench.fakes.core_steps import run
-from sycamorestand_bench.fakes.core_steps import say
 from sycamorestand_bench.fakes.core_steps import SETTINGS
 from sycamorestand_bench.fakes.core_steps import STAMP
-from sycamorestand_bench.fakes.core_steps import sync
+from sycamorestand_bench.fakes.core_steps import win_election
 from sycamorestand_consensus.core import Core
 from sycamorestand_consensus.errors import ProposalRefused
 from sycamorestand_consensus.errors import SafetyViolated
@@ -76,7 +76,7 @@
         # elected.
         core = make_core(term=1)
         request = VoteRequest(2, 5, 1, pre=False, transfer=False)
-        say(core, "b", 2, request, now_s=5.0)
+        deliver(core, "b", 2, request, now_s=5.0)
         output = core.drain(5.0)
         assert output.messages == ()
         assert output.batch is not None
@@ -96,8 +96,8 @@
         request = VoteRequest(
             4, last_index, last_term, pre=False, transfer=False
         )
-        say(core, "b", 4, request, now_s=5.0)
-        (reply,) = sync(core, 5.0)
+        deliver(core, "b", 4, request, now_s=5.0)
+        (reply,) = drain_and_sync(core, 5.0)
         assert reply.body == VoteReply(4, pre=False, granted=granted)
 
     def test_a_restarted_member_does_not_vote_too_early(self) -> None:
@@ -106,11 +106,11 @@
         # vote before the promise, which it has forgotten, has expired.
         core = make_core(term=1)
         request = VoteRequest(2, 5, 1, pre=False, transfer=False)
-        say(core, "b", 2, request, now_s=0.7)
-        assert sync(core, 0.7) == []
+        deliver(core, "b", 2, request, now_s=0.7)
+        assert drain_and_sync(core, 0.7) == []
         assert core.state.term == 1
-        say(core, "b", 2, request, now_s=0.81)
-        assert len(sync(core, 0.81)) == 1
+        deliver(core, "b", 2, request, now_s=0.81)
+        assert len(drain_and_sync(core, 0.81)) == 1
 
     def test_a_member_outside_the_membership_grants_no_vote(self) -> None:
         # A member's disk was wiped and it returned with a new id and an
@@ -124,16 +124,16 @@
             now_s=0.0,
         )
         request = VoteRequest(2, 5, 1, pre=False, transfer=False)
-        say(fresh, "b", 2, request, now_s=5.0)
-        (reply,) = sync(fresh, 5.0)
+        deliver(fresh, "b", 2, request, now_s=5.0)
+        (reply,) = drain_and_sync(fresh, 5.0)
         assert reply.body == VoteReply(2, pre=False, granted=False)
 
     def test_votes_of_non_members_are_not_counted(self) -> None:
         core = make_core(term=1)
         core.tick(5.0)
         vote = VoteReply(2, pre=True, granted=True)
-        say(core, "x", 1, vote, now_s=5.0)
-        say(core, "y", 1, vote, now_s=5.0)
+        deliver(core, "x", 1, vote, now_s=5.0)
+        deliver(core, "y", 1, vote, now_s=5.0)
         assert core.state.role == Role.PRE_CANDIDATE
 
 
@@ -145,19 +145,19 @@
         # member with an entry of term 3 at the same index could still win
         # and overwrite it, so the majority alone must not commit it.
         core = make_core(3, (entry(1, 1), entry(2, 2)))
-        lead(core, now_s=5.0)
-        say(core, "b", 4, matched(2), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 4, append_success(2), now_s=5.0)
         assert core.drain(5.0).committed == ()
-        say(core, "b", 4, matched(3), now_s=5.0)
+        deliver(core, "b", 4, append_success(3), now_s=5.0)
         indexes = [e.log_index for e in core.drain(5.0).committed]
         assert indexes == [1, 2, 3]
 
     def test_a_leader_counts_its_entries_only_after_its_sync(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         proposed = core.propose(b"x", 5.0)
         output = core.drain(5.0)
-        say(core, "b", 2, matched(proposed.log_index), now_s=5.0)
+        deliver(core, "b", 2, append_success(proposed.log_index), now_s=5.0)
         first = [e.log_index for e in core.drain(5.0).committed]
         assert first == [1]
         assert output.batch is not None
@@ -167,8 +167,8 @@
 
     def test_many_proposals_are_sent_in_one_message(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
-        say(core, "b", 2, matched(1), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 2, append_success(1), now_s=5.0)
         core.drain(5.0)
         for _ in range(100):
             core.propose(b"x", 5.0)
@@ -188,10 +188,10 @@
         # old entries, so the member must not acknowledge the new ones.
         core = make_core(term=1)
         old = Append(0, 0, tuple(entry(i, 1) for i in (1, 2, 3)), 0, STAMP)
-        say(core, "b", 1, old, now_s=1.0)
+        deliver(core, "b", 1, old, now_s=1.0)
         first = core.drain(1.0).batch
         new = Append(1, 1, tuple(entry(i, 2) for i in (2, 3)), 0, STAMP)
-        say(core, "c", 2, new, now_s=1.0)
+        deliver(core, "c", 2, new, now_s=1.0)
         second = core.drain(1.0).batch
         assert first is not None
         assert second is not None
@@ -200,14 +200,14 @@
         assert core.drain(1.0).messages == ()
         core.mark_synced(second.sequence, 1.0)
         (reply,) = core.drain(1.0).messages
-        assert reply.body == matched(3)
+        assert reply.body == append_success(3)
 
     def test_a_delayed_append_does_not_truncate_later_entries(self) -> None:
         core = make_core(term=1)
         whole = Append(0, 0, tuple(entry(i, 1) for i in (1, 2, 3)), 0, STAMP)
-        say(core, "b", 1, whole, now_s=1.0)
+        deliver(core, "b", 1, whole, now_s=1.0)
         delayed = Append(0, 0, (entry(1, 1),), 0, STAMP)
-        say(core, "b", 1, delayed, now_s=1.0)
+        deliver(core, "b", 1, delayed, now_s=1.0)
         assert core.state.log.last_index == 3
 
     def test_a_committed_entry_is_never_overwritten(self) -> None:
@@ -215,23 +215,23 @@
         # instead of changing entries that it has applied.
         core = make_core(term=1)
         first = Append(0, 0, (entry(1, 1),), 1, STAMP)
-        say(core, "b", 1, first, now_s=1.0)
+        deliver(core, "b", 1, first, now_s=1.0)
         other = Append(0, 0, (entry(1, 2),), 1, STAMP)
         with pytest.raises(SafetyViolated):
-            say(core, "c", 2, other, now_s=1.0)
+            deliver(core, "c", 2, other, now_s=1.0)
 
     def test_the_hint_skips_a_whole_term(self) -> None:
         core = make_core(3, tuple(entry(i, 2) for i in range(1, 9)))
         probe = Append(8, 3, (), 0, STAMP)
-        say(core, "b", 4, probe, now_s=1.0)
-        (reply,) = sync(core, 1.0)
+        deliver(core, "b", 4, probe, now_s=1.0)
+        (reply,) = drain_and_sync(core, 1.0)
         assert isinstance(reply.body, AppendReply)
         assert reply.body.hint_term == 2
         assert reply.body.hint_index == 1
 
     def test_too_large_and_too_many_proposals_are_refused(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         with pytest.raises(ProposalRefused):
             core.propose(b"x" * (SETTINGS.max_command_bytes + 1), 5.0)
         with pytest.raises(ProposalRefused):
--- a/packages/sycamorestand-consensus/tests/test_core_lease.py
+++ b/packages/sycamorestand-consensus/tests/test_core_lease.py
@@ -4,18 +4,18 @@
 
 import pytest
 
+from sycamorestand_bench.fakes.core_steps import append_success
 from sycamorestand_bench.fakes.core_steps import CLUSTER
+from sycamorestand_bench.fakes.core_steps import deliver
+from sycamorestand_bench.fakes.core_steps import drain_and_sync
 from sycamorestand_bench.fakes.core_steps import entry
-from sycamorestand_bench.fakes.core_steps import lead
 from sycamorestand_bench.fakes.core_steps import leader_of
 from sycamorestand_bench.fakes.core_steps import make_cluster
 from sycamorestand_bench.fakes.core_steps import make_core
-from sycamorestand_bench.fakes.core_steps import matched
 from sycamorestand_bench.fakes.core_steps import MEMBERS
 from sycamorestand_bench.fakes.core_steps import run
-from sycamorestand_bench.fakes.core_steps import say
 from sycamorestand_bench.fakes.core_steps import SETTINGS
-from sycamorestand_bench.fakes.core_steps import sync
+from sycamorestand_bench.fakes.core_steps import win_election
 from sycamorestand_consensus.core import Core
 from sycamorestand_consensus.errors import NotLeader
 from sycamorestand_consensus.messages import Append
@@ -33,11 +33,11 @@
         self,
     ) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         assert core.lease_until_s(5.0) == 0.0
-        say(core, "b", 2, matched(1, Stamp(1, 5.0)), now_s=5.2)
+        deliver(core, "b", 2, append_success(1, Stamp(1, 5.0)), now_s=5.2)
         assert core.lease_until_s(5.2) == 5.0 + SETTINGS.lease_s
-        say(core, "b", 2, matched(1, Stamp(1, 5.1)), now_s=5.3)
+        deliver(core, "b", 2, append_success(1, Stamp(1, 5.1)), now_s=5.3)
         assert core.lease_until_s(5.3) == 5.1 + SETTINGS.lease_s
 
     def test_a_heartbeat_is_answered_while_entries_are_written(
@@ -47,29 +47,29 @@
         # the sync, the leader would lose its lease and its leadership
         # because of a slow fsync.
         core = make_core(term=1)
-        sync(core, 0.0)
+        drain_and_sync(core, 0.0)
         entries = Append(0, 0, (entry(1, 1),), 0, Stamp(1, 1.0))
-        say(core, "b", 1, entries, now_s=1.0)
+        deliver(core, "b", 1, entries, now_s=1.0)
         assert core.drain(1.0).batch is not None
         heartbeat = Append(1, 1, (), 0, Stamp(1, 1.1))
-        say(core, "b", 1, heartbeat, now_s=1.1)
+        deliver(core, "b", 1, heartbeat, now_s=1.1)
         (reply,) = core.drain(1.1).messages
-        assert reply.body == matched(0, Stamp(1, 1.1))
+        assert reply.body == append_success(0, Stamp(1, 1.1))
 
     def test_a_leader_that_steps_down_keeps_its_promise(self) -> None:
         # The leader granted leases under its own, then its disk fills up
         # and it steps down. If it voted for a successor now, that one
         # could lead while the granted leases are still running.
         core = make_core(term=1)
-        lead(core, now_s=5.0)
-        say(core, "b", 2, matched(1, Stamp(1, 5.0)), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 2, append_success(1, Stamp(1, 5.0)), now_s=5.0)
         until_s = core.lease_until_s(5.0)
         core.set_blocked(True, 5.1)
         core.set_blocked(False, 5.1)
         request = VoteRequest(3, 9, 2, pre=False, transfer=False)
-        say(core, "c", 3, request, now_s=until_s - 0.01)
+        deliver(core, "c", 3, request, now_s=until_s - 0.01)
         assert core.state.term == 2
-        say(core, "c", 3, request, now_s=until_s + 0.01)
+        deliver(core, "c", 3, request, now_s=until_s + 0.01)
         assert core.state.term == 3
 
     def test_a_leader_by_transfer_waits_before_its_first_lease(
@@ -126,7 +126,7 @@
         # lease is still running.
         core = make_core(term=3)
         request = VoteRequest(4, 9, 3, pre=False, transfer=False)
-        say(core, "b", 4, request, now_s=0.1)
+        deliver(core, "b", 4, request, now_s=0.1)
         assert core.state.term == 3
 
     @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
         request = VoteRequest(
             5, 9, 4, pre=True, transfer=False, ended_term=ended_term
         )
-        say(core, "b", 4, request, now_s=0.1)
+        deliver(core, "b", 4, request, now_s=0.1)
         (reply,) = core.drain(0.1).messages
         assert reply.body == VoteReply(5, pre=True, granted=granted)
 
@@ -158,8 +158,8 @@
         first = core.drain(0.2).messages
         assert {message.body.ended_term for message in first} == {3}
         vote = VoteReply(4, pre=True, granted=True)
-        say(core, "b", 3, vote, now_s=0.2)
-        requests = sync(core, 0.2)
+        deliver(core, "b", 3, vote, now_s=0.2)
+        requests = drain_and_sync(core, 0.2)
         assert {message.body.ended_term for message in requests} == {3}
         core.tick(5.0)
         later = core.drain(5.0).messages
@@ -185,12 +185,12 @@
         # The leader's disk was full for a moment, so it stepped down
         # without a restart. Others still hold leases granted under its own.
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         core.tick(5.2)
         assert core.state.hard.led
         core.set_blocked(True, 5.3)
         core.set_blocked(False, 5.3)
-        sync(core, 5.3)
+        drain_and_sync(core, 5.3)
         core.tick(9.0)
         requests = core.drain(9.0).messages
         assert {message.body.ended_term for message in requests} == {0}
--- a/packages/sycamorestand-consensus/tests/test_core_membership.py
+++ b/packages/sycamorestand-consensus/tests/test_core_membership.py
@@ -4,17 +4,17 @@
 
 import pytest
 
+from sycamorestand_bench.fakes.core_steps import append_success
+from sycamorestand_bench.fakes.core_steps import deliver
+from sycamorestand_bench.fakes.core_steps import drain_and_sync
 from sycamorestand_bench.fakes.core_steps import entry
-from sycamorestand_bench.fakes.core_steps import lead
 from sycamorestand_bench.fakes.core_steps import leader_of
 from sycamorestand_bench.fakes.core_steps import make_cluster
 from sycamorestand_bench.fakes.core_steps import make_core
-from sycamorestand_bench.fakes.core_steps import matched
 from sycamorestand_bench.fakes.core_steps import other_than
 from sycamorestand_bench.fakes.core_steps import run
-from sycamorestand_bench.fakes.core_steps import say
 from sycamorestand_bench.fakes.core_steps import STAMP
-from sycamorestand_bench.fakes.core_steps import sync
+from sycamorestand_bench.fakes.core_steps import win_election
 from sycamorestand_consensus.errors import BootstrapRefused
 from sycamorestand_consensus.errors import MembershipRefused
 from sycamorestand_consensus.errors import TransferFailed
@@ -27,29 +27,29 @@
 class TestMembership:
     def test_a_second_uncommitted_change_is_refused(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         with pytest.raises(MembershipRefused, match="this term"):
             core.add_learner("d", "at-d", 5.0)
-        say(core, "b", 2, matched(1), now_s=5.0)
+        deliver(core, "b", 2, append_success(1), now_s=5.0)
         index = core.add_learner("d", "at-d", 5.0)
         assert find_member(core.state.membership, "d") is not None
         with pytest.raises(MembershipRefused, match="not committed"):
             core.remove("c", 5.0)
-        sync(core, 5.0)
-        say(core, "b", 2, matched(index), now_s=5.0)
+        drain_and_sync(core, 5.0)
+        deliver(core, "b", 2, append_success(index), now_s=5.0)
         core.remove("c", 5.0)
         assert find_member(core.state.membership, "c") is None
 
     def test_a_learner_is_promoted_once_it_has_synced(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
-        say(core, "b", 2, matched(1), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 2, append_success(1), now_s=5.0)
         index = core.add_learner("d", "at-d", 5.0)
-        sync(core, 5.0)
-        say(core, "b", 2, matched(index), now_s=5.0)
+        drain_and_sync(core, 5.0)
+        deliver(core, "b", 2, append_success(index), now_s=5.0)
         with pytest.raises(MembershipRefused, match="admission"):
             core.promote("d", 5.0)
-        say(core, "d", 2, matched(index, Stamp(1, 5.0)), now_s=5.0)
+        deliver(core, "d", 2, append_success(index, Stamp(1, 5.0)), now_s=5.0)
         with pytest.raises(MembershipRefused, match="silent"):
             core.promote("d", 9.0)
         core.promote("d", 5.1)
@@ -62,18 +62,18 @@
         self, member_id: str
     ) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
-        say(core, "b", 2, matched(1), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 2, append_success(1), now_s=5.0)
         with pytest.raises(MembershipRefused):
             core.remove(member_id, 5.0)
 
     def test_an_overwritten_change_is_reverted(self) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
-        say(core, "b", 2, matched(1), now_s=5.0)
+        win_election(core, now_s=5.0)
+        deliver(core, "b", 2, append_success(1), now_s=5.0)
         core.add_learner("d", "at-d", 5.0)
         replaced = Append(1, 2, (entry(2, 3),), 0, STAMP)
-        say(core, "c", 3, replaced, now_s=5.0)
+        deliver(core, "c", 3, replaced, now_s=5.0)
         assert find_member(core.state.membership, "d") is None
 
     def test_messages_of_another_group_are_ignored(self) -> None:
@@ -93,7 +93,7 @@
         self, target: str
     ) -> None:
         core = make_core(term=1)
-        lead(core, now_s=5.0)
+        win_election(core, now_s=5.0)
         with pytest.raises(TransferFailed):
             core.transfer(target, 5.0)
 
--- a/packages/sycamorestand-control/tests/test_arrival_lender.py
+++ b/packages/sycamorestand-control/tests/test_arrival_lender.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sycamorestand_bench.fakes.telling_control import CONTROL
-from sycamorestand_bench.fakes.telling_control import Mailbox
+from sycamorestand_bench.fakes.in_memory_control import CONTROL
+from sycamorestand_bench.fakes.in_memory_control import FakeMesh
 from sycamorestand_control import arrival_lender
 from sycamorestand_control.arrival_lender import ArrivalLender
 from sycamorestand_decisions.arrivals import Allowance
@@ -21,11 +21,11 @@
     voters: tuple[str, ...], *trades: ArrivalTrade
 ) -> tuple[ArrivalLender, dict[str, float]]:
     """Return a lender and its answer to the last of the trades."""
-    mailbox: Any = Mailbox()
-    lender = ArrivalLender(mailbox, ALLOWANCE, lambda: voters)
+    mesh: Any = FakeMesh()
+    lender = ArrivalLender(mesh, ALLOWANCE, lambda: voters)
     for trade in trades:
         lender.handle_trade("entry", trade)
-    ((address, message),) = mailbox.sent[-1:]
+    ((address, message),) = mesh.sent[-1:]
     assert address == "entry"
     assert isinstance(message, ArrivalsLent)
     assert message.number == trades[-1].number
--- a/packages/sycamorestand-control/tests/test_hub.py
+++ b/packages/sycamorestand-control/tests/test_hub.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sycamorestand_bench.fakes.telling_control import Mailbox
+from sycamorestand_bench.fakes.in_memory_control import FakeMesh
 from sycamorestand_control.hub import EntryHub
 from sycamorestand_control.lease_service import LeaseService
 from sycamorestand_control.tables import ControlName
@@ -71,7 +71,7 @@
     """A control process that leads, and its entries' lease requests."""
 
     def __init__(self) -> None:
-        self.mesh = Mailbox(CONTROL)
+        self.mesh = FakeMesh(CONTROL)
         self.replica = FakeReplica()
         self.configuration = InForce(revision=1)
         self.voters = ("10.0.0.1:8001", "127.0.0.1:8001")
@@ -134,7 +134,7 @@
         self, harness: Harness
     ) -> None:
         harness.request_lease(1)
-        (grant,) = harness.mesh.take(LeaseGrantMessage)
+        (grant,) = harness.mesh.take_messages(LeaseGrantMessage)
         assert grant.sent_at_s == 77.0
         assert 0 < grant.length_s <= 2.0
 
@@ -147,7 +147,7 @@
             harness.request_lease(1, f"vm-{number}", sender)
         harness.mesh.sent.clear()
         harness.request_lease(1, "vm-0", "127.0.0.1:9100")
-        (count,) = harness.mesh.take(EntryCount)
+        (count,) = harness.mesh.take_messages(EntryCount)
         assert count.entries == 20
 
     async def test_an_outdated_entry_gets_the_revision_first(
@@ -159,12 +159,12 @@
         the lease only once it has acknowledged that configuration.
         """
         harness.request_lease(0)
-        (denied,) = harness.mesh.take(LeaseDenied)
+        (denied,) = harness.mesh.take_messages(LeaseDenied)
         assert denied.reason == "behind"
-        (push,) = harness.mesh.take(ConfigurationPush)
+        (push,) = harness.mesh.take_messages(ConfigurationPush)
         assert unpack_configuration(push).revision == 1
         harness.request_lease(1)
-        assert harness.mesh.take(LeaseGrantMessage)
+        assert harness.mesh.take_messages(LeaseGrantMessage)
 
     async def test_the_document_is_not_sent_to_entries(
         self, harness: Harness
@@ -179,7 +179,7 @@
         )
         harness.hub.revision_applied()
         harness.request_lease(1)
-        (push,) = harness.mesh.take(ConfigurationPush)
+        (push,) = harness.mesh.take_messages(ConfigurationPush)
         in_force = unpack_configuration(push)
         assert in_force.revision == 2
         assert in_force.declarations.document == SourceDocument(7)
@@ -198,7 +198,7 @@
             clock.now_s += 0.4
             await harness.renew_own()
         harness.request_lease(1)
-        (denied,) = harness.mesh.take(LeaseDenied)
+        (denied,) = harness.mesh.take_messages(LeaseDenied)
         assert denied.reason == "no_quorum"
         assert denied.controls == ("127.0.0.1:8002",)
 
@@ -208,7 +208,7 @@
         harness.replica.lease_s = 0.0
         clock.now_s += 1.5
         harness.request_lease(1)
-        (grant,) = harness.mesh.take(LeaseGrantMessage)
+        (grant,) = harness.mesh.take_messages(LeaseGrantMessage)
         assert grant.length_s < harness.leases.remaining_s()
 
 
@@ -275,7 +275,7 @@
         assert harness.leases.in_force(1) is None
         request = ControlLeaseRequest("127.0.0.1:8003", 1.0, 1, 1)
         harness.leases.handle_request("127.0.0.1:8003", request)
-        assert harness.mesh.take(ControlLeaseGranted) == []
+        assert harness.mesh.take_messages(ControlLeaseGranted) == []
 
 
 class TestAddresses:
@@ -285,7 +285,7 @@
         harness.request_lease(1)
         harness.request_lease(1, "vm-2", "127.0.0.1:9002")
         harness.hub._push_addresses()
-        first = harness.mesh.take(AddressList)
+        first = harness.mesh.take_messages(AddressList)
         assert {a.vm for a in first[0].addresses} == {"vm-1", "vm-2"}
         harness._sequence += 1
         stopping = EntryAddress("vm-2", "dalton", "127.0.0.1", 80, True)
@@ -293,7 +293,7 @@
         harness.hub.handle_lease_request("127.0.0.1:9002", request)
         assert harness.tables.stopping_vms() == {"vm-2"}
         harness.hub._push_addresses()
-        second = harness.mesh.take(AddressList)
+        second = harness.mesh.take_messages(AddressList)
         assert {a.vm for a in second[0].addresses} == {"vm-1"}
 
     async def test_a_silent_entry_is_detached(
@@ -319,11 +319,11 @@
         harness.request_lease(0)
         harness.hub._push_controls()
         harness.hub._push_controls()
-        lists = harness.mesh.take(ControlList)
+        lists = harness.mesh.take_messages(ControlList)
         assert [m.addresses for m in lists] == [
             ("127.0.0.1:8001", "10.0.0.1:8001")
         ]
         harness.voters = ("127.0.0.1:8001", "10.0.0.9:8001")
         harness.hub._push_controls()
-        (new_list,) = harness.mesh.take(ControlList)
+        (new_list,) = harness.mesh.take_messages(ControlList)
         assert set(new_list.addresses) == set(harness.voters)
--- a/packages/sycamorestand-control/tests/test_session_relay.py
+++ b/packages/sycamorestand-control/tests/test_session_relay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sycamorestand_bench.fakes.telling_control import Mailbox
+from sycamorestand_bench.fakes.in_memory_control import FakeMesh
 from sycamorestand_control.session_relay import SessionRelay
 from sycamorestand_peer.messages import SessionsStay
 
@@ -15,18 +15,18 @@
     """A control process with two entries and one other control process."""
 
     def __init__(self) -> None:
-        self.mailbox = Mailbox()
+        self.mesh = FakeMesh()
         self.relay = SessionRelay(
-            self.mailbox,  # type: ignore[arg-type]
+            self.mesh,  # type: ignore[arg-type]
             lambda: ["e1", "e2"],
             lambda: ["c2"],
         )
 
     def sent(self) -> dict[str, tuple[int, ...]]:
-        self.mailbox.sent = []
+        self.mesh.sent = []
         self.relay.forward()
-        by_address = {to: m.places for to, m in self.mailbox.sent}
-        assert len(by_address) == len(self.mailbox.sent)
+        by_address = {to: m.places for to, m in self.mesh.sent}
+        assert len(by_address) == len(self.mesh.sent)
         return by_address
 
 
--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from sycamorestand_bench.fakes.telling_control import link_of
-from sycamorestand_bench.fakes.telling_control import Mailbox
+from sycamorestand_bench.fakes.in_memory_control import FakeMesh
+from sycamorestand_bench.fakes.in_memory_control import make_link
 from sycamorestand_entry.control import link as link_module
 from sycamorestand_entry.control.link import ControlLink
 from sycamorestand_entry.control.link import LinkSettings
@@ -157,7 +157,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Control sends a list once; callers of a data centre got none."""
-        link = link_of(1)
+        link = make_link(1)
         link._handle_message(FORMER_CONTROL, AddressList((ADDRESS,)))
         assert link.addresses() == ()
         monkeypatch.setattr(link, "control_address", lambda: FORMER_CONTROL)
@@ -166,7 +166,7 @@
     def test_last_list_is_kept_without_a_new_one(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        link = link_of(1)
+        link = make_link(1)
         link._handle_message(link.control_address(), AddressList((ADDRESS,)))
         assert link.addresses() == (ADDRESS,)
         monkeypatch.setattr(link, "control_address", lambda: FORMER_CONTROL)
@@ -177,12 +177,12 @@
     STAY: Final = SessionsStay("words", "v2", 0, (7,))
 
     def test_message_is_sent_to_control_and_received_from_it(self) -> None:
-        link = link_of(1)
-        mailbox = Mailbox()
-        link.mesh = mailbox  # type: ignore[assignment]
+        link = make_link(1)
+        mesh = FakeMesh()
+        link.mesh = mesh  # type: ignore[assignment]
         received: list[SessionsStay] = []
         link.add_listener(SessionsStay, received.append)
         link.send(self.STAY)
-        assert mailbox.sent == [(link.control_address(), self.STAY)]
+        assert mesh.sent == [(link.control_address(), self.STAY)]
         link._handle_message(link.control_address(), self.STAY)
         assert received == [self.STAY]
--- a/packages/sycamorestand-entry/tests/test_cascade.py
+++ b/packages/sycamorestand-entry/tests/test_cascade.py
@@ -56,7 +56,7 @@
         async with start_cascade(rating) as (loopback, _, large):
             answer = await loopback.chat("review", stream, Idempotency_Key="k")
             assert answer.headers["x-version"] == SMALL
-            assert expected_text(SMALL, "k", 8) == rating.asked[0]["answer"]
+            assert expected_text(SMALL, "k", 8) == rating.requests[0]["answer"]
             assert not large.records
 
     async def test_rejected_answer_is_not_sent(self) -> None:
--- a/packages/sycamorestand/tests/system/test_arrival_shares.py
+++ b/packages/sycamorestand/tests/system/test_arrival_shares.py
@@ -5,13 +5,13 @@
 from anyio.abc import SocketStream
 import pytest
 
+from sycamorestand_bench.fakes.in_memory_control import InMemoryControl
+from sycamorestand_bench.fakes.in_memory_control import make_link
 from sycamorestand_bench.fakes.routed import answer_head
 from sycamorestand_bench.fakes.routed import routed_configuration
 from sycamorestand_bench.fakes.routed import RoutedLoopback
 from sycamorestand_bench.fakes.routed import SETTINGS
 from sycamorestand_bench.fakes.routed import start_routed
-from sycamorestand_bench.fakes.telling_control import link_of
-from sycamorestand_bench.fakes.telling_control import TellingControl
 from sycamorestand_decisions.arrivals import Allowance
 
 pytestmark = pytest.mark.anyio
@@ -59,10 +59,10 @@
 
 def tell_as_one_of(loopback: RoutedLoopback, entries: int) -> None:
     """Let control tell the entry what it tells one of so many."""
-    control = TellingControl(routed_configuration())
+    control = InMemoryControl(routed_configuration())
     for number in reversed(range(entries)):
         control.attach(number)
-    link = link_of(0)
+    link = make_link(0)
     control.deliver(link)
     loopback.control.entry_addresses = link.addresses()
     loopback.control.entries = link.entry_count()
