--- a/packages/sycamorestand-model/src/sycamorestand_model/check.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/check.py
@@ -48,7 +48,7 @@
 def check_declarations(declarations: Declarations) -> tuple[Finding, ...]:
     """Return the findings of declarations that are already typed.
 
-    Their places name no file.
+    The places of these findings name no file.
     """
     return check(LoadResult(declarations))
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/declarations.py
@@ -35,7 +35,8 @@
 
     New work goes to ``stable``, or to ``fallback`` while ``stable`` is
     quarantined or withdrawn. If ``fallback`` is empty, that work is refused.
-    ``pinned_servers`` is the least number of servers that hold the model.
+    ``pinned_servers`` is the least number of servers that hold each of the
+    model's versions that are in use.
     """
 
     name: str
@@ -88,7 +89,8 @@
 
     ``key_hashes`` are salted hashes, see `sycamorestand_model.keys`. Each
     item of ``versions`` is a model name or ``model@version``. ``weight`` is
-    the customer's share in fair queueing.
+    the customer's weight in fair queueing. ``priority``, if it is set,
+    replaces the priority of the routes that the customer calls.
     """
 
     name: str
@@ -143,7 +145,10 @@
 
 
 class Operator(NamedTuple):
-    """A person who may read or change the configuration, by the role."""
+    """A person who may read the configuration.
+
+    With the role ``operator`` or ``admin`` the person may also change it.
+    """
 
     name: str
     key_hashes: tuple[str, ...]
@@ -193,9 +198,9 @@
 
 
 def is_version_allowed(customer: Customer, identity: str) -> bool:
-    """Return whether the customer may use this version.
+    """Return whether the customer may use a version.
 
-    The customer's list names either the version or its model.
+    This is so if the customer's list names the version or its model.
     """
     model_name = identity.partition(VERSION_SEPARATOR)[0]
     return identity in customer.versions or model_name in customer.versions
--- a/packages/sycamorestand-model/src/sycamorestand_model/keys.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/keys.py
@@ -1,4 +1,4 @@
-"""Salted hashes of the keys of customers and operators."""
+"""Salted hashes, stored instead of customers' and operators' keys."""
 
 from __future__ import annotations
 
--- a/packages/sycamorestand-model/src/sycamorestand_model/load.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/load.py
@@ -101,9 +101,9 @@
 def _walk(root: Path, folder: Path, findings: Findings) -> Iterator[Path]:
     """Yield the files under a folder, including those one level too deep.
 
-    These are yielded so that the caller reports them. A folder that cannot
-    be read is an error: if it were skipped, the next apply would remove
-    all declarations in it.
+    These are yielded so that the caller reports them; files in still deeper
+    folders are not. A folder that cannot be read is an error: if it were
+    skipped, the next apply would remove all declarations in it.
     """
     place = Place(folder.relative_to(root).as_posix())
     try:
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -49,7 +49,7 @@
 
 
 def text(max_characters: int) -> Reader:
-    """Return a reader of strings up to a length."""
+    """Return a reader of strings of at most ``max_characters``."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
