--- a/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/lease_service.py
@@ -116,7 +116,7 @@
         if granted is not None:
             self._mesh.send(sender, granted)
 
-    def granted(self, message: ControlLeaseGranted) -> None:
+    def handle_grant(self, message: ControlLeaseGranted) -> None:
         """Store the lease that the leader has granted to this process."""
         grant = LeaseGrant(message.length_s, message.revision)
         self._held.renew(message.sent_at_s, grant)
@@ -150,7 +150,7 @@
         if self._leading_table() is not None:
             granted = self._grant_control(request)
             if granted is not None:
-                self.granted(granted)
+                self.handle_grant(granted)
         else:
             address = self._groups.leader_address(CONFIGURATION_GROUP)
             if address and address != self._mesh.address:
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/weight_store.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/weight_store.py
@@ -137,7 +137,7 @@
 
 def _parse_reply(reply: Reply) -> tuple[Readiness, float]:
     if reply.status == 200:
-        if _states_size(reply.body):
+        if _has_valid_size(reply.body):
             return "ready", 0.0
         return "unreachable", FAULT_PAUSE_S
     if reply.status == 404:
@@ -149,7 +149,7 @@
     return "unreachable", FAULT_PAUSE_S
 
 
-def _states_size(body: bytes) -> bool:
+def _has_valid_size(body: bytes) -> bool:
     try:
         content: Any = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -314,7 +314,7 @@
     def _handle_lease_grant(
         self, sender: str, message: ControlLeaseGranted
     ) -> None:
-        self.leases.granted(message)
+        self.leases.handle_grant(message)
 
     def _handle_sample_report(
         self, sender: str, message: SampleReport
@@ -379,7 +379,7 @@
 
 
 class _ObservedMachine:
-    """A state machine that calls back when its revision has increased."""
+    """A state machine that calls back after a new revision or a restore."""
 
     def __init__(
         self, machine: ConfigurationMachine, on_revision: Callable[[], None]
--- a/packages/sycamorestand-control/tests/operator_api/test_app.py
+++ b/packages/sycamorestand-control/tests/operator_api/test_app.py
@@ -171,7 +171,7 @@
 }
 
 
-class TestQuestions:
+class TestReadRequests:
     @pytest.mark.parametrize(
         "path",
         [
@@ -461,7 +461,7 @@
         assert "resend the same change id" in reply.body["error"]["message"]
         assert "secret" not in repr(reply.body)
 
-    def test_failed_question_is_an_internal_error(
+    def test_failed_read_request_is_an_internal_error(
         self, call: Caller, backend: Any
     ) -> None:
         backend.failure = ValueError("secret")
