--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -56,9 +56,9 @@
     while the group has fewer voters than wanted, that is, while a new
     cluster forms. Later the lost voter still counts, so its replacement
     waits for an operator or, with ``replace_lost``, for the rules of
-    `voter_repair`. Without these rules a wiped voter could vote a second
-    time in a term in which it had voted under its old id, and two leaders
-    could commit different entries.
+    `voter_repair`. If a wiped voter were admitted at once, it could vote a
+    second time in a term in which it had voted under its old id, and two
+    leaders could commit different entries.
     """
 
     def __init__(
@@ -298,11 +298,11 @@
 
         An operator's command calls `replace_voter` for one log after the
         other and stops if a leader changes in between. The new voter then
-        lacks a log while the status shows it as a voter, and the ledger
-        batches of the entries attached to it fail. Continuing is safe: an
-        operator has approved the new voter for the configuration log, and
-        both ids have the same address, so no healthy voter is removed.
-        Returns whether a change was made.
+        lacks a log, and the ledger batches of the entries attached to it
+        fail. The other voters' status lists the new voter without an alarm.
+        Continuing is safe: an operator has approved the new voter for the
+        configuration log, and both ids have the same address, so no healthy
+        voter is removed. Returns whether a change was made.
         """
         if replica is self._configuration_replica():
             return False
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/app.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/app.py
@@ -167,7 +167,7 @@
     except SycamorestandError as error:
         raise _failure_error(route, str(error)) from error
     except Exception as error:
-        # An unexpected error's text may hold confidential data, so it is
+        # The text of an unexpected error may contain anything, so it is
         # logged and not sent. The process continues with the next request.
         logger.exception("operator request failed")
         raise _failure_error(
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/backend.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/backend.py
@@ -66,7 +66,7 @@
         """Return the committed declarations, with their key hashes."""
 
     async def in_force(self, revision: int) -> InForceAnswer:
-        """Return how many live lease holders act on the revision."""
+        """Return whether every live lease holder acts on the revision."""
 
     async def status(self) -> StatusAnswer:
         """Return this process's view, which needs no leader."""
--- a/packages/sycamorestand-control/src/sycamorestand_control/operator_api/types.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/operator_api/types.py
@@ -102,9 +102,10 @@
 class InForceAnswer(NamedTuple):
     """Whether a revision is in force at every live lease holder.
 
-    ``acknowledged`` of ``lease_holders`` live entries act on the revision
-    or a later one. ``waiting`` names the VMs whose entry has not confirmed
-    the revision and still holds a lease.
+    The lease holders are control processes; each of them also acknowledges
+    a revision for its entries. ``acknowledged`` of ``lease_holders`` act on
+    the revision or a later one. ``waiting`` names the VMs of the others, or
+    their peer addresses if the VM is not known.
     """
 
     revision: int
@@ -169,7 +170,10 @@
 
 
 class AuditPage(NamedTuple):
-    """Entries after a sequence number; ``next_after`` gets the next page."""
+    """A page of audit entries.
+
+    A request with ``after`` set to ``next_after`` returns the next page.
+    """
 
     entries: tuple[AuditEntry, ...]
     next_after: int
@@ -190,7 +194,10 @@
 
 
 class BillPage(NamedTuple):
-    """Charges after a sequence number; ``next_after`` gets the next page."""
+    """A page of charges.
+
+    A request with ``after`` set to ``next_after`` returns the next page.
+    """
 
     rows: tuple[BillRow, ...]
     next_after: int
@@ -240,8 +247,8 @@
 class Explanation(NamedTuple):
     """Lines of text on a subject's current state and the reasons for it.
 
-    The subject is a version identity, model, profile, customer, VM or
-    backend server name, or ``customer/request-key`` for one request.
+    The subject is a version identity, model, customer, VM or backend
+    server name, or ``customer/request-key`` for one request.
     """
 
     subject: str
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
@@ -85,9 +85,10 @@
         self.superseded = 0
 
     def leading_s(self) -> float:
-        """Return the seconds since the term's barrier began, or 0.
+        """Return for how many seconds this process may have led.
 
-        It is 0 while this process does not lead.
+        The time counts from before the read barrier of its present term. It
+        is 0 while this process does not lead or the barrier has not passed.
         """
         term = self._current_term()
         return self._now_s() - term.began_s if term is not None else 0.0
--- a/packages/sycamorestand-control/src/sycamorestand_control/settings.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/settings.py
@@ -17,8 +17,9 @@
     """Settings of one control process, see ``sycamorestand control``.
 
     ``cluster_keys`` returns the keys that are valid at present; they may
-    change while the process runs. ``allowance`` limits how often requests
-    may reach servers after their first arrival; entries get the same value.
+    change while the process runs. ``allowance`` limits the arrivals of
+    requests at backend servers beyond the first arrival of each request;
+    entries are started with the same value.
     """
 
     vm: str
--- a/packages/sycamorestand-control/src/sycamorestand_control/tables.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/tables.py
@@ -170,7 +170,10 @@
         return self._states.get(vm)
 
     def control_name(self, address: str) -> ControlName:
-        """Return the VM and data centre of the control process there."""
+        """Return the name of the control process with a peer address.
+
+        Both of its parts are empty while the process is not known.
+        """
         return self._names.get(address, UNNAMED)
 
     def load(self, name: str) -> Any:
@@ -232,7 +235,7 @@
             stream.reset(sender)
 
     def send_to_entry(self, address: str) -> None:
-        """Send an entry the changes of backend servers since its last."""
+        """Send an entry the changes of backend servers that it lacks."""
         stream = self._streams[BACKEND_SERVERS]
         stream.send(address, merged=True)
 
--- a/packages/sycamorestand-control/tests/test_voter_repair_wired.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair_wired.py
@@ -223,9 +223,9 @@
 
         The operator's command has replaced the lost voter in the
         configuration log but not in the ledger's log. The status shows the
-        new process as a voter, but the ledger batches of the entries
-        attached to it fail. The ledger's leader must complete the
-        replacement and remove the old voter.
+        new process as a voter without an alarm, but the ledger batches of
+        the entries attached to it fail. The ledger's leader must complete
+        the replacement and remove the old voter.
         """
         async with anyio.create_task_group() as tasks:
             voters, wiped, joiner = await _start_with_a_wiped_voter(
