--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each name that dev/bench takes."""
+"""The scenarios of ``dev/bench``; each module is one by its name."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
@@ -1,7 +1,8 @@
-"""``dev/bench control``: what control costs and how fast it is.
+"""``dev/bench control``: measure the cost and the latency of control.
 
-Three real control processes; the entries are control links as tasks of
-the bench's own processes, but for one whole entry process.
+The control processes are three real ones. The entries are control links,
+which run as tasks in processes of the bench, except for one real entry
+process.
 """
 
 from __future__ import annotations
@@ -38,14 +39,17 @@
 CHANGES: Final = 30
 KILLS: Final = 5
 RESTART_CHANGES: Final = 10_000
-# The target's peak of 13,000 requests a second over 330 nodes.
+# The target's peak of 13,000 requests a second, spread over 330 nodes.
 BUSY_REQUESTS_PER_S: Final = 40.0
-# Cells that only the probes' figures use, after those of the slopes.
+# Number of cells at the end that only the probes use, not the slopes.
 PROBE_CELLS: Final = 2
 
 
 def main(arguments: list[str]) -> int:
-    """Measure; return 0 where every goal is met."""
+    """Run the measurements; return 0 if every goal is met, otherwise 1.
+
+    The status is 2 if there is no such part.
+    """
     status: int = defopt.run(
         _bench, argv=arguments, cli_options="all", short={}
     )
@@ -63,12 +67,12 @@
 ) -> int:
     """Measure control on loopback.
 
-    :param part: in-force, failover, restart or cost; all without it
-    :param entries: entries at one control process, the fewest first
-    :param servers: announced backend servers, the fewest first
-    :param changes: changes that are timed until they are in force
-    :param kills: how often the leader is killed
-    :param restart_changes: changes before the restart that is timed
+    :param part: in-force, failover, restart or cost; all parts by default
+    :param entries: numbers of entries at a control process, ascending
+    :param servers: numbers of announced backend servers, ascending
+    :param changes: number of changes timed until they are in force
+    :param kills: number of times that the leader is killed
+    :param restart_changes: number of changes before the timed restart
     """
     if part and part not in PARTS:
         print(f"no such part; known: {PARTS}")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/ledger.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/ledger.py
@@ -1,7 +1,7 @@
-"""``dev/bench ledger``: charges a second through three real voters.
+"""``dev/bench ledger``: measure charges a second with three real voters.
 
-Every record is synced by a majority before its client hears of it. The
-clients are processes of the bench, each with a link like an entry's.
+A majority syncs every record before its client gets the answer. The clients
+are processes of the bench, each with a link like that of an entry.
 """
 
 from __future__ import annotations
@@ -28,12 +28,13 @@
 SHARDS: Final = (1, 2, 4)
 GOAL_RECORDS_PER_S: Final = 2000
 GOAL_P99_MS: Final = 50.0
-# An open load counts as carried when so much of it was answered in time.
+# An open load counts as carried if at least this share of the offered records
+# a second is done.
 CARRIED_SHARE: Final = 0.95
 
 
 def main(arguments: list[str]) -> int:
-    """Measure; return 0 where the goal is met."""
+    """Run the measurements; return 0 if the goal is met, otherwise 1."""
     status: int = defopt.run(
         _bench, argv=arguments, cli_options="all", short={}
     )
@@ -49,17 +50,17 @@
 ) -> int:
     """Measure the ledger on loopback.
 
-    :param loads: records a second that one shard is offered
-    :param shard_loads: records a second at more than one shard
-    :param shards: shard counts, each in a cluster of its own
-    :param as_entry: send through the entry's client, which spaces batches
+    :param loads: records a second offered to a single shard
+    :param shard_loads: records a second offered to more than one shard
+    :param shards: numbers of shards, each measured in its own cluster
+    :param as_entry: use the entry's client, which spaces the batches
     """
     costs: list[LoadCost] = []
-    syncs = [_syncs()]
+    syncs = [_measure_syncs()]
     for count in shards:
         offered = loads if count == 1 else shard_loads
         costs += _measure(count, offered, as_entry)
-    syncs.append(_syncs())
+    syncs.append(_measure_syncs())
     for line in lines_of(costs):
         print(line)
     for when, times in zip(("before", "after"), syncs, strict=True):
@@ -73,7 +74,7 @@
     return 1 if result["goals_missed"] else 0
 
 
-def _syncs() -> SyncTimes:
+def _measure_syncs() -> SyncTimes:
     with tempfile.TemporaryDirectory() as folder:
         return measure_syncs(Path(folder))
 
@@ -91,7 +92,7 @@
 
 
 def lines_of(costs: Sequence[LoadCost]) -> list[str]:
-    """Return a line for each load."""
+    """Return a header and one line for each load."""
     lines = [
         "shards offered/s done/s failed | p50 ms p99 ms |"
         " leader us, follower us a record, leader CPU % |"
@@ -112,7 +113,7 @@
 
 
 def figures_of(costs: Sequence[LoadCost]) -> dict[str, Any]:
-    """Return the figures of the last line, with the goals not met."""
+    """Return the figures for the JSON line, with the names of missed goals."""
     single = [cost for cost in costs if cost.shards == 1]
     carried = [cost for cost in single if is_carried(cost)]
     figures: dict[str, Any] = {
@@ -136,7 +137,8 @@
         },
     }
     if len(single) > 1:
-        # Through the totals, as the start of a batch costs what it costs.
+        # The line is fitted to the total CPU time a second. Its slope leaves
+        # out the fixed cost of batches, which the time a record includes.
         line = fit_line(
             [
                 (c.waits.records_per_s, c.leader_us * c.waits.records_per_s)
@@ -154,7 +156,11 @@
 
 
 def is_carried(cost: LoadCost) -> bool:
-    """Tell whether a load was answered whole and within the goal."""
+    """Return whether a load is carried.
+
+    No record may fail, the 99th percentile must meet its goal, and the
+    records done must reach `CARRIED_SHARE` of the offered ones.
+    """
     return (
         cost.waits.failed == 0
         and cost.waits.p99_ms < GOAL_P99_MS
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
@@ -1,8 +1,8 @@
-"""Measures the replicated log: proposals a second, and time to restart.
+"""``dev/bench log``: measure the replicated log's throughput and restart.
 
-Three replicas in this process, each with its own folder and fsync, and
-payloads that pass from one to the next without a network. The last line
-is JSON.
+Three replicas run in this process, each with its own folder and fsync. They
+pass payloads directly to each other, without a network. The last line of
+output is JSON.
 """
 
 from __future__ import annotations
@@ -28,12 +28,13 @@
 COMMAND: Final = b"x" * 100
 IDLE_S: Final = 3.0
 POLL_S: Final = 0.005
-# No snapshot is taken, so that a restart replays every entry.
+# The interval is too long for a snapshot, so that a restart replays every
+# entry.
 SETTINGS: Final = ReplicaSettings(snapshot_every_entries=10_000_000)
 
 
 class Throughput(NamedTuple):
-    """Proposals by this many callers at once."""
+    """Throughput and latency of proposals by concurrent callers."""
 
     callers: int
     proposals: int
@@ -43,7 +44,11 @@
 
 
 class Report(NamedTuple):
-    """What one run measured."""
+    """The measurements of one run.
+
+    ``read_ms`` is the time to read the lone voter's files, ``restart_ms``
+    the time until it has also replayed all entries.
+    """
 
     throughput: tuple[Throughput, ...]
     idle_cpu_share: float
@@ -56,11 +61,11 @@
     """A state machine that counts its commands."""
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Create a counter at zero."""
         self.count = 0
 
     def apply(self, index: int, command: bytes) -> object:
-        """Count a command."""
+        """Count a command and return the new count."""
         self.count += 1
         return self.count
 
@@ -69,7 +74,7 @@
         return str(self.count).encode()
 
     def restore(self, data: bytes) -> None:
-        """Take over a count."""
+        """Replace the count with one from a snapshot."""
         self.count = int(data or b"0")
 
 
@@ -81,16 +86,16 @@
 ) -> Report:
     """Measure throughput, then the restart of one voter.
 
-    :param callers: how many callers propose at once, in turn
-    :param proposals: proposals of each measurement
-    :param folder: where the data folders go; a temporary one by default
+    :param callers: numbers of concurrent callers, measured one after another
+    :param proposals: number of proposals in each measurement
+    :param folder: parent of the data folders; the temporary folder by default
     """
     with tempfile.TemporaryDirectory(dir=folder) as base:
         return anyio.run(_measure, Path(base), callers, proposals)
 
 
 def main(arguments: list[str]) -> int:
-    """Measure and print."""
+    """Run the measurements and print the results."""
     report = defopt.run(measure, argv=arguments)
     for line in report.throughput:
         print(
@@ -122,17 +127,17 @@
             tasks.start_soon(replica.run)
         leader = replicas[0]
         await leader.bootstrap([(leader.member_id, "0")])
-        await _until(lambda: leader.status().role == "leader")
+        await _wait_until(lambda: leader.status().role == "leader")
         for replica in replicas[1:]:
-            await _admit(leader, replica.member_id)
+            await _add_voter(leader, replica.member_id)
         for count in callers:
             results.append(await _propose_all(leader, count, proposals))
-        idle = await _idle_cpu_share()
+        idle = await _measure_idle_cpu()
         tasks.cancel_scope.cancel()
-    alone = base / "alone"
-    await _fill(alone, proposals)
-    read_ms = _read(alone)
-    replayed, restart_ms = await _restart(alone, proposals)
+    lone_voter_folder = base / "alone"
+    await _fill_log(lone_voter_folder, proposals)
+    read_ms = _measure_read(lone_voter_folder)
+    replayed, restart_ms = await _measure_restart(lone_voter_folder, proposals)
     return Report(tuple(results), idle, replayed, read_ms, restart_ms)
 
 
@@ -157,7 +162,7 @@
     return replica
 
 
-async def _admit(leader: Replica, member_id: str) -> None:
+async def _add_voter(leader: Replica, member_id: str) -> None:
     await leader.add_learner(member_id, member_id)
     while True:
         try:
@@ -171,10 +176,10 @@
     leader: Replica, callers: int, proposals: int
 ) -> Throughput:
     waits_s: list[float] = []
-    left = iter(range(proposals))
+    remaining = iter(range(proposals))
 
     async def call() -> None:
-        for _ in left:
+        for _ in remaining:
             begin_s = time.monotonic()
             await leader.propose(COMMAND)
             waits_s.append(time.monotonic() - begin_s)
@@ -194,23 +199,23 @@
     )
 
 
-async def _idle_cpu_share() -> float:
+async def _measure_idle_cpu() -> float:
     begin_s = time.process_time()
     await anyio.sleep(IDLE_S)
     return (time.process_time() - begin_s) / IDLE_S
 
 
-async def _fill(folder: Path, entries: int) -> None:
+async def _fill_log(folder: Path, entries: int) -> None:
     async with anyio.create_task_group() as tasks:
         replica = _make_replica(folder, {})
         tasks.start_soon(replica.run)
         await replica.bootstrap([(replica.member_id, "0")])
-        await _until(lambda: replica.status().role == "leader")
+        await _wait_until(lambda: replica.status().role == "leader")
         await _propose_all(replica, 128, entries)
         tasks.cancel_scope.cancel()
 
 
-def _read(folder: Path) -> float:
+def _measure_read(folder: Path) -> float:
     storage = Storage(folder / f"group-{GROUP}", SETTINGS.segment_bytes)
     started_s = time.monotonic()
     storage.open(had_log=True)
@@ -219,20 +224,20 @@
     return 1000 * elapsed_s
 
 
-async def _restart(folder: Path, entries: int) -> tuple[int, float]:
+async def _measure_restart(folder: Path, entries: int) -> tuple[int, float]:
     started_s = time.monotonic()
     async with anyio.create_task_group() as tasks:
-        again = _make_replica(folder, {})
-        tasks.start_soon(again.run)
-        await _until(lambda: again.status().applied_index >= entries)
+        replica = _make_replica(folder, {})
+        tasks.start_soon(replica.run)
+        await _wait_until(lambda: replica.status().applied_index >= entries)
         elapsed_s = time.monotonic() - started_s
-        replayed = again.status().applied_index
+        replayed = replica.status().applied_index
         tasks.cancel_scope.cancel()
     return replayed, 1000 * elapsed_s
 
 
-async def _until(done: Callable[[], bool]) -> None:
-    while not done():
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await anyio.sleep(POLL_S)
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/quickstart.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/quickstart.py
@@ -1,4 +1,4 @@
-"""``dev/quickstart``: the whole path, under roll-out, loss and stop."""
+"""``dev/quickstart``: run a whole system through roll-out, loss and stop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the quickstart; 0 only if all that must be zero is zero."""
+    """Run the quickstart; return 0 if all figures in `MUST_BE_ZERO` are 0."""
     result: int = defopt.run(quickstart, argv=arguments)
     return result
 
@@ -26,11 +26,11 @@
 def quickstart(
     *, requests: int = 400, seed: int = 1, keep: bool = False
 ) -> int:
-    """Start three VMs on loopback and check every promise.
+    """Start three VMs on loopback and check every guarantee.
 
-    :param requests: how many requests at least
-    :param seed: what the mix of requests follows from
-    :param keep: keep the folder with logs and data, and name it
+    :param requests: minimum number of requests
+    :param seed: seed of the mix of requests
+    :param keep: print the path of the folder with logs and data
     """
     folder = Path(tempfile.mkdtemp(prefix="sycamorestand-"))
     figures = anyio.run(run_quickstart, EXAMPLES, folder, requests, seed)
@@ -43,8 +43,8 @@
 
 def _print_table(figures: dict[str, Any]) -> None:
     for name, value in figures.items():
-        mark = "must be 0" if name in MUST_BE_ZERO else ""
-        print(f"{name:32} {value!s:>12}  {mark}")
+        note = "must be 0" if name in MUST_BE_ZERO else ""
+        print(f"{name:32} {value!s:>12}  {note}")
 
 
 __all__ = ["main"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/relay.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/relay.py
@@ -1,8 +1,8 @@
-"""``dev/bench relay``: what the relay of an entry costs.
+"""``dev/bench relay``: measure the cost of an entry's relay.
 
-The fake engine, the load client and the measured entry are processes of
-their own. The same client measures the engine directly and through the
-entry in turns, so that the machine's noise falls on both alike.
+The fake engine, the load client and the measured entry each run in their own
+process. The same client alternates between requests to the engine directly
+and through the entry, so that noise of the machine affects both equally.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 TOKENS: Final = 300
 TOKEN_PAUSE_S: Final = 0.04
 LATENCY_STREAMS: Final = 20
-LATENCY_TURNS: Final = 10
+LATENCY_REPEATS: Final = 10
 LATENCY_ROUNDS: Final = 5
 OPEN_STREAMS: Final = 1000
 GOALS: Final = {
@@ -33,33 +33,39 @@
 
 
 class Child(NamedTuple):
-    """A started process that answers a line with a line."""
+    """A child process that answers each line with one line of JSON."""
 
     process: subprocess.Popen[str]
 
     def read(self) -> str:
-        """Return the next line that the process prints."""
+        """Return the next line that the process prints.
+
+        Raises ``RuntimeError`` if the process has closed its output.
+        """
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
-            raise RuntimeError("a process of the scenario ended early")
+            raise RuntimeError("a child process of the scenario ended early")
         return line.strip()
 
     def ask(self, line: str = "") -> Any:
-        """Send a line and return the JSON of the answer."""
+        """Send a line and return the decoded answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(line + "\n")
         self.process.stdin.flush()
         return json.loads(self.read())
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
 
 def main(arguments: list[str]) -> int:
-    """Measure, print a table, and JSON as the last line."""
+    """Print the figures as a table, and as JSON in the last line.
+
+    Returns 0 if every goal is met, otherwise 1.
+    """
     parser = argparse.ArgumentParser(prog="dev/bench relay")
     parser.add_argument("--loop", default="asyncio")
     parser.add_argument("--relay", default="product")
@@ -83,7 +89,10 @@
 
 
 def start_child(children: list[Child], module: str, *arguments: str) -> Child:
-    """Start a process of the scenario and note it for its end."""
+    """Start a module as a child process and add it to ``children``.
+
+    The caller stops all processes in ``children``.
+    """
     process = subprocess.Popen(
         [sys.executable, "-m", f"{MODULES}.{module}", *arguments],
         stdin=subprocess.PIPE,
@@ -109,7 +118,7 @@
         engine_address,
     )
     entry_address = entry.read()
-    _stream(client, entry_address, "large", 20, 20)
+    _request_streams(client, entry_address, "large", 20, 20)
     figures: dict[str, Any] = {"loop": options.loop, "relay": options.relay}
     figures |= _measure_cpu(client, entry, entry_address, options.streams)
     figures |= _measure_latency(client, engine_address, entry_address)
@@ -124,12 +133,12 @@
     client: Child, entry: Child, address: str, streams: int
 ) -> dict[str, Any]:
     before = entry.ask()
-    result = _stream(client, address, "large", streams, TOKENS)
+    result = _request_streams(client, address, "large", streams, TOKENS)
     used_s = entry.ask()["cpu_s"] - before["cpu_s"]
     tokens = result["tokens"]
     expected = streams * TOKENS
     if tokens != expected or result["whole"] != streams:
-        raise RuntimeError(f"{tokens} of {expected} tokens came")
+        raise RuntimeError(f"{tokens} of {expected} tokens arrived")
     return {
         "cpu_us_per_token": round(used_s / tokens * 1e6, 1),
         "tokens_per_s": round(tokens / result["seconds"]),
@@ -142,12 +151,12 @@
 ) -> dict[str, float]:
     direct: list[float] = []
     relayed: list[float] = []
-    for _ in range(LATENCY_TURNS):
-        for address, model, into in (
+    for _ in range(LATENCY_REPEATS):
+        for address, model, first_token_ms in (
             (engine_address, "nest-large@1", direct),
             (entry_address, "large", relayed),
         ):
-            result = _stream(
+            result = _request_streams(
                 client,
                 address,
                 model,
@@ -156,7 +165,7 @@
                 rounds=LATENCY_ROUNDS,
                 pause_s=0.01,
             )
-            into += result["first_ms"]
+            first_token_ms += result["first_ms"]
     figures: dict[str, float] = {"first_token_samples": len(relayed)}
     for percent in (50, 99):
         direct_ms = _percentile(direct, percent)
@@ -170,15 +179,15 @@
 def _measure_memory(
     client: Child, entry: Child, address: str
 ) -> dict[str, float]:
-    result = _stream(
+    result = _request_streams(
         client, address, "large", OPEN_STREAMS, 100, pause_s=0.002
     )
     if result["whole"] != OPEN_STREAMS:
-        raise RuntimeError("not all streams came to their end")
+        raise RuntimeError("some streams ended before their last token")
     return {"peak_mb_1000_streams": round(entry.ask()["peak_mb"], 1)}
 
 
-def _stream(
+def _request_streams(
     client: Child,
     address: str,
     model: str,
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/soak.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/soak.py
@@ -1,4 +1,4 @@
-"""``dev/bench soak``: random faults on real processes, promises checked."""
+"""``dev/bench soak``: check guarantees of real processes under faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run soaks; 0 only if no promise was broken."""
+    """Run soaks; return 0 if none has findings, otherwise 1."""
     result: int = defopt.run(soak, argv=arguments)
     return result
 
@@ -39,14 +39,14 @@
     logs: str = "",
     mutant: str = "",
 ) -> int:
-    """Start a system on loopback, harm it, and check every promise.
-
-    :param seed: the first seed; the faults follow from it
-    :param seeds: how many seeds to play, one after the other
-    :param seconds: how long faults begin in each
-    :param replay: a file with a schedule to play in place of seeds
-    :param logs: where folders of soaks with findings are left
-    :param mutant: a safeguard to take out; findings have to come
+    """Inject faults into a system on loopback and check every guarantee.
+
+    :param seed: the first seed; a seed determines the faults
+    :param seeds: number of consecutive seeds to run
+    :param seconds: period of each run in which new faults begin
+    :param replay: file with a schedule to run instead of seeds
+    :param logs: parent of the soaks' log folders; temporary by default
+    :param mutant: safeguard to disable; the soak should report findings
     """
     failed = 0
     if mutant:
@@ -58,7 +58,7 @@
         numbers = range(seed, seed + seeds)
         schedules = [draw(n, seconds, targets()) for n in numbers]
     for schedule in schedules:
-        failed += _play_one(schedule, Path(logs) if logs else None)
+        failed += _run_schedule(schedule, Path(logs) if logs else None)
     return 1 if failed else 0
 
 
@@ -69,15 +69,15 @@
     return Path(tempfile.mkdtemp(prefix="soak-", dir=logs))
 
 
-def _play_one(schedule: Schedule, logs: Path | None) -> bool:
-    """Play a schedule, print what came of it, and tell whether it failed."""
+def _run_schedule(schedule: Schedule, logs: Path | None) -> bool:
+    """Run a schedule, print its result, and return whether it failed."""
     folder = make_folder(logs)
     (folder / "schedule").write_bytes(encode(schedule))
     begin_s = time.monotonic()
     try:
         outcome = play(folder, EXAMPLES, schedule)
     except Exception:
-        # The next seeds are played all the same.
+        # The remaining seeds still run.
         traceback.print_exc()
         print(f"FAILED seed {schedule.seed}, logs: {folder}", flush=True)
         return True
