--- a/packages/sycamorestand-bench/src/sycamorestand_bench/addresses.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/addresses.py
@@ -12,22 +12,22 @@
 FIRST_PORT: Final = 12_000
 # Each process of tests draws from a part of its own, as two that run at
 # once would take each other's ports while a process is down.
-PARTS: Final = 40
-PORTS_A_PART: Final = 500
-_GIVEN: Final[set[int]] = set()
+PORT_RANGES: Final = 40
+PORTS_PER_RANGE: Final = 500
+_ASSIGNED: Final[set[int]] = set()
 
 
 def free_port() -> int:
     """Return a port that nobody listens on, another one each time."""
-    first = FIRST_PORT + os.getpid() % PARTS * PORTS_A_PART
-    if len(_GIVEN) > PORTS_A_PART // 2:
+    first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_PER_RANGE
+    if len(_ASSIGNED) > PORTS_PER_RANGE // 2:
         # Those of the first tests are free again by now.
-        _GIVEN.clear()
+        _ASSIGNED.clear()
     draw = SystemRandom()
     while True:
-        port = first + draw.randrange(PORTS_A_PART)
-        if port not in _GIVEN and _is_free(port):
-            _GIVEN.add(port)
+        port = first + draw.randrange(PORTS_PER_RANGE)
+        if port not in _ASSIGNED and _is_free(port):
+            _ASSIGNED.add(port)
             return port
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
@@ -23,9 +23,9 @@
 
 CLUSTER_KEY: Final = "bench-cluster-key-0123456789abcdef"
 BACKEND_KEY: Final = "bench-backend-key-0123456789abcdef"
-READY_BOUND_S: Final = 30.0
-STOP_BOUND_S: Final = 40.0
-POLL_S: Final = 0.05
+READY_TIMEOUT_S: Final = 30.0
+STOP_TIMEOUT_S: Final = 40.0
+POLL_INTERVAL_S: Final = 0.05
 
 
 class ControlNode(NamedTuple):
@@ -156,7 +156,7 @@
         """Ask a node to stop as planned; return its exit status."""
         process = self._running.pop(name)
         process.terminate()
-        return process.wait(timeout=STOP_BOUND_S)
+        return process.wait(timeout=STOP_TIMEOUT_S)
 
     def terminate(self, name: str) -> None:
         """Ask a node to stop as planned, without waiting for its end."""
@@ -171,7 +171,7 @@
         """Tell whether a node was started and not ended from here."""
         return name in self._running
 
-    def forget(self, name: str) -> None:
+    def remove_ended(self, name: str) -> None:
         """Take a node that has ended off the list of running ones."""
         del self._running[name]
 
@@ -190,13 +190,13 @@
             self._wait_port_ready(name, port)
 
     def _wait_port_ready(self, name: str, port: int) -> None:
-        until = time.monotonic() + READY_BOUND_S
+        until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             if self._running[name].poll() is not None:
                 raise RuntimeError(f"{name} ended: {self.log_text(name)}")
             if _is_ready(port):
                 return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         raise RuntimeError(f"{name} is not ready: {self.log_text(name)}")
 
     def _control_addresses(self, excluding: str = "", near: str = "") -> str:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/caller.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/caller.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-ATTEMPTS: Final = 12
+MAX_ATTEMPTS: Final = 12
 RETRY_PAUSE_S: Final = 0.3
 MAX_PAUSE_S: Final = 2.0
 ADDRESSES_TTL_S: Final = 1.0
@@ -41,7 +41,7 @@
     path: str = ""
 
 
-class Try(NamedTuple):
+class Attempt(NamedTuple):
     """How one attempt ended, at which entry, and when by the clock."""
 
     run: str
@@ -73,10 +73,10 @@
     text: str = ""
     version: str = ""
     cost_micros: int = 0
-    tries: tuple[Try, ...] = ()
+    tries: tuple[Attempt, ...] = ()
 
     @property
-    def cuts(self) -> tuple[Try, ...]:
+    def cuts(self) -> tuple[Attempt, ...]:
         """Return the attempts that ended without an answer or refusal."""
         return tuple(one for one in self.tries if one.run == "cut")
 
@@ -85,17 +85,17 @@
     """Asks the system which addresses to use and keeps the answer."""
 
     def __init__(self, first_addresses: Iterable[str]) -> None:
-        self._known = list(first_addresses)
-        self._addresses = list(self._known)
-        self._asked_s = float("-inf")
+        self._initial_addresses = list(first_addresses)
+        self._addresses = list(self._initial_addresses)
+        self._refreshed_s = float("-inf")
         self._pool = httpcore.AsyncConnectionPool(max_connections=200)
-        self._turn = 0
-        self._calls = 0
+        self._next_index = 0
+        self._call_count = 0
         self.waiting: dict[int, Waiting] = {}
 
     async def call(self, call: Call, at: str | None = None) -> Answer:
         """Make a call until it is answered, with the same request key."""
-        call_number = self._calls = self._calls + 1
+        call_number = self._call_count = self._call_count + 1
         try:
             return await self._call(call, at, call_number)
         finally:
@@ -105,16 +105,16 @@
         self, call: Call, at: str | None, call_number: int
     ) -> Answer:
         answer = Answer(call, "not_run", "never_asked")
-        tries: list[Try] = []
-        for attempt in range(ATTEMPTS):
-            address = at if at and attempt == 0 else await self._address()
+        tries: list[Attempt] = []
+        for attempt in range(MAX_ATTEMPTS):
+            address = at if at and attempt == 0 else await self._next_address()
             begun_s = time.monotonic()
             waiting = Waiting(call.request_key, address, begun_s)
             self.waiting[call_number] = waiting
-            answer, pause_s = await self._attempt(call, address)
+            answer, pause_s = await self._make_attempt(call, address)
             ended_s = time.monotonic()
             tries.append(
-                Try(answer.run, answer.code, address, begun_s, ended_s)
+                Attempt(answer.run, answer.code, address, begun_s, ended_s)
             )
             answer = answer._replace(tries=tuple(tries))
             if answer.run == "answered" or answer.code in FINAL_CODES:
@@ -126,15 +126,15 @@
         """Close all connections."""
         await self._pool.aclose()
 
-    async def _address(self) -> str:
+    async def _next_address(self) -> str:
         now_s = anyio.current_time()
-        if now_s - self._asked_s > ADDRESSES_TTL_S:
-            await self._ask_addresses(now_s)
-        self._turn += 1
-        return self._addresses[self._turn % len(self._addresses)]
+        if now_s - self._refreshed_s > ADDRESSES_TTL_S:
+            await self._refresh_addresses(now_s)
+        self._next_index += 1
+        return self._addresses[self._next_index % len(self._addresses)]
 
-    async def _ask_addresses(self, now_s: float) -> None:
-        for address in (*self._addresses, *self._known):
+    async def _refresh_addresses(self, now_s: float) -> None:
+        for address in (*self._addresses, *self._initial_addresses):
             try:
                 response = await self._pool.request(
                     "GET",
@@ -152,15 +152,17 @@
             ]
             if found:
                 self._addresses = found
-                self._asked_s = now_s
+                self._refreshed_s = now_s
                 return
-        self._addresses = list(self._known)
+        self._addresses = list(self._initial_addresses)
 
-    async def _attempt(self, call: Call, address: str) -> tuple[Answer, float]:
+    async def _make_attempt(
+        self, call: Call, address: str
+    ) -> tuple[Answer, float]:
         try:
             if call.kind == "chat":
-                return await self._chat(call, address)
-            return await self._service(call, address)
+                return await self._call_chat(call, address)
+            return await self._call_service(call, address)
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
@@ -172,7 +174,9 @@
             # A backend server's garbage came with a status of success.
             return Answer(call, "unknown", "unreadable"), RETRY_PAUSE_S
 
-    async def _chat(self, call: Call, address: str) -> tuple[Answer, float]:
+    async def _call_chat(
+        self, call: Call, address: str
+    ) -> tuple[Answer, float]:
         headers = _headers(call)
         if call.session:
             headers["X-Session"] = call.session
@@ -191,8 +195,8 @@
         ) as response:
             content = await response.aread()
         if response.status != 200:
-            return _refused(call, response.headers, content)
-        told = _told(response.headers)
+            return _read_refusal(call, response.headers, content)
+        told = _decode_headers(response.headers)
         if call.stream:
             return _read_stream(call, content, told)
         message = msgspec.json.decode(content)
@@ -200,7 +204,9 @@
         version = told.get("x-version", "")
         return Answer(call, "answered", "", text, version), 0.0
 
-    async def _service(self, call: Call, address: str) -> tuple[Answer, float]:
+    async def _call_service(
+        self, call: Call, address: str
+    ) -> tuple[Answer, float]:
         method = "POST" if call.kind == "order" else "GET"
         response = await self._pool.request(
             method,
@@ -210,7 +216,7 @@
             extensions={"timeout": TIMEOUT},
         )
         if response.status != 200:
-            return _refused(call, response.headers, response.content)
+            return _read_refusal(call, response.headers, response.content)
         text = response.content.decode()
         return Answer(call, "answered", "", text), 0.0
 
@@ -228,14 +234,14 @@
     }
 
 
-def _told(headers: list[tuple[bytes, bytes]]) -> dict[str, str]:
+def _decode_headers(headers: list[tuple[bytes, bytes]]) -> dict[str, str]:
     return {name.decode().lower(): value.decode() for name, value in headers}
 
 
-def _refused(
+def _read_refusal(
     call: Call, headers: list[tuple[bytes, bytes]], content: bytes
 ) -> tuple[Answer, float]:
-    pause_s = float(_told(headers).get("retry-after", RETRY_PAUSE_S))
+    pause_s = float(_decode_headers(headers).get("retry-after", RETRY_PAUSE_S))
     try:
         error = msgspec.json.decode(content)["error"]
     except (msgspec.DecodeError, KeyError, TypeError):
@@ -274,6 +280,6 @@
     "Callers",
     "FINAL_CODES",
     "new_key",
-    "Try",
+    "Attempt",
     "Waiting",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
@@ -34,7 +34,7 @@
 )
 
 
-class Marks(NamedTuple):
+class Baselines(NamedTuple):
     """Counts of runs taken when something had to be over."""
 
     withdrawn_version: str
@@ -49,7 +49,7 @@
     answers: Sequence[Answer],
     world: World,
     bills: Sequence[Mapping[str, Any]],
-    marks: Marks,
+    marks: Baselines,
     allowed: Mapping[str, frozenset[str]],
     strong_micros: int,
 ) -> dict[str, Any]:
@@ -73,8 +73,8 @@
         "refusals_not_run": sum(a.run == "not_run" for a in answers),
         "unknown": sum(a.run == "unknown" for a in answers),
         "retried_by_callers": sum(len(a.tries) > 1 for a in answers),
-        "doubled_runs": _doubled_runs(world),
-        "runs_disallowed": _runs_disallowed(world, allowed),
+        "doubled_runs": _count_doubled_orders(world),
+        "runs_disallowed": _count_disallowed_runs(world, allowed),
         "runs_on_withdrawn_before": marks.runs_at_withdrawal,
         "runs_after_withdrawal": (
             world.runs_on_version(marks.withdrawn_version)
@@ -83,7 +83,7 @@
         "runs_after_leaving": (
             world.runs_on_server(marks.leaving_server) - marks.runs_at_leaving
         ),
-        "sessions_moved": _sessions_moved(answered),
+        "sessions_moved": _count_moved_sessions(answered),
         "charges_missing": len(owed - set(charges)),
         "charges_doubled": sum(n > 1 for n in charges.values()),
         "charges_unasked": len(set(charges) - asked),
@@ -105,7 +105,7 @@
     )
 
 
-def _doubled_runs(world: World) -> int:
+def _count_doubled_orders(world: World) -> int:
     runs = Counter(
         (record.customer, record.request_key)
         for service in world.services
@@ -115,7 +115,7 @@
     return sum(n > 1 for n in runs.values())
 
 
-def _runs_disallowed(
+def _count_disallowed_runs(
     world: World, allowed: Mapping[str, frozenset[str]]
 ) -> int:
     return sum(
@@ -125,7 +125,7 @@
     )
 
 
-def _sessions_moved(answered: Sequence[Answer]) -> int:
+def _count_moved_sessions(answered: Sequence[Answer]) -> int:
     versions: dict[tuple[str, str], set[str]] = {}
     for answer in answered:
         if answer.call.session:
@@ -134,4 +134,4 @@
     return sum(len(found) > 1 for found in versions.values())
 
 
-__all__ = ["compare", "is_whole", "Marks", "MUST_BE_ZERO"]
+__all__ = ["compare", "is_whole", "Baselines", "MUST_BE_ZERO"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
@@ -59,7 +59,7 @@
 
     async def _chat_worker(self, worker: int) -> None:
         while not self._stop:
-            call = self._chat(worker, "")
+            call = self._draw_chat(worker, "")
             self.answers.append(await self._callers.call(call))
             await anyio.sleep(PAUSE_S)
 
@@ -67,7 +67,7 @@
         session = ""
         while not self._stop:
             session = session or new_key("session")
-            call = self._chat(worker, session)
+            call = self._draw_chat(worker, session)
             answer = await self._callers.call(call)
             self.answers.append(answer)
             if answer.run != "answered":
@@ -83,16 +83,16 @@
             entries = self._random.sample(self._entries(), 2)
             async with anyio.create_task_group() as tasks:
                 for entry in entries:
-                    tasks.start_soon(self._order, call, entry)
+                    tasks.start_soon(self._call_order, call, entry)
             key = new_key("status")
             status = Call("status", customer, key, path=f"/jobs/{key}")
             self.answers.append(await self._callers.call(status))
             await anyio.sleep(PAUSE_S * 2)
 
-    async def _order(self, call: Call, entry: str) -> None:
+    async def _call_order(self, call: Call, entry: str) -> None:
         self.answers.append(await self._callers.call(call, at=entry))
 
-    def _chat(self, worker: int, session: str) -> Call:
+    def _draw_chat(self, worker: int, session: str) -> Call:
         return Call(
             "chat",
             CUSTOMERS[worker % len(CUSTOMERS)],
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
@@ -15,7 +15,7 @@
 # An admin of the example, so that the first apply does not remove the
 # operator who runs it.
 ADMIN_KEY: Final = "demo-guild-admin"
-COMMAND_BOUND_S: Final = 40
+COMMAND_TIMEOUT_S: Final = 40
 
 
 class CommandFailed(Exception):
@@ -32,9 +32,9 @@
 
     async def run(self, *arguments: str) -> Any:
         """Run one command with ``--json`` and return what it printed."""
-        return await anyio.to_thread.run_sync(self.run_now, *arguments)
+        return await anyio.to_thread.run_sync(self.run_blocking, *arguments)
 
-    def run_now(self, *arguments: str) -> Any:
+    def run_blocking(self, *arguments: str) -> Any:
         """Run one command; raises `CommandFailed` with its messages."""
         environment = dict(
             os.environ,
@@ -46,7 +46,7 @@
             [str(program), *arguments, "--json"],
             env=environment,
             capture_output=True,
-            timeout=COMMAND_BOUND_S,
+            timeout=COMMAND_TIMEOUT_S,
             check=False,
         )
         if done.returncode != 0:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -13,13 +13,13 @@
 
 from sycamorestand_bench.processes import Cluster
 from sycamorestand_bench.quickstart.caller import Callers
+from sycamorestand_bench.quickstart.checks import Baselines
 from sycamorestand_bench.quickstart.checks import compare
-from sycamorestand_bench.quickstart.checks import Marks
 from sycamorestand_bench.quickstart.load import Load
 from sycamorestand_bench.quickstart.operator import ADMIN_KEY
 from sycamorestand_bench.quickstart.operator import Operator
 from sycamorestand_bench.quickstart.world import DATA_CENTRES
-from sycamorestand_bench.quickstart.world import STRONG
+from sycamorestand_bench.quickstart.world import STRONG_MODEL
 from sycamorestand_bench.quickstart.world import World
 from sycamorestand_model.declarations import Declarations
 from sycamorestand_model.declarations import is_version_allowed
@@ -29,12 +29,12 @@
 
 ENTRIES: Final = ("entry-1", "entry-2", "entry-3")
 CONTROLS: Final = ("control-1", "control-2", "control-3")
-ROLLED_OUT: Final = "nest-small@4"
-LEAVING: Final = "small-2"
+ROLLED_OUT_VERSION: Final = "nest-small@4"
+LEAVING_SERVER: Final = "small-2"
 LEAVING_BOUND_S: Final = 2.0
-BILLS_A_PAGE: Final = 500
+BILLS_PER_PAGE: Final = 500
 TOKENS_PER_PRICE: Final = 1_000_000
-FORM_BOUND_S: Final = 30.0
+START_TIMEOUT_S: Final = 30.0
 # What one real minute of a roll-out is in the quickstart.
 FAST_ROLLOUT: Final = """\
 [rollouts.nest-small]
@@ -50,7 +50,7 @@
 ) -> dict[str, Any]:
     """Run everything and return the figures of the last line."""
     with Cluster(folder) as cluster:
-        _say("starting three control processes and three entries")
+        _print_progress("starting three control processes and three entries")
         _start_processes(cluster)
         async with anyio.create_task_group() as tasks:
             world = World()
@@ -77,10 +77,10 @@
     requests: int,
     seed: int,
 ) -> dict[str, Any]:
-    operator = _operator(cluster)
+    operator = _make_operator(cluster)
     await _wait_for_voters(operator)
-    folder = _declarations(cluster.folder, examples)
-    _say("applying examples/guild with a fast roll-out")
+    folder = _copy_declarations(cluster.folder, examples)
+    _print_progress("applying examples/guild with a fast roll-out")
     await operator.run("apply", str(folder), "--wait")
     async with anyio.create_task_group() as tasks:
         addresses = list(entries.values())
@@ -90,15 +90,15 @@
         load = Load(callers, lambda: list(entries.values()), seed)
         await _wait_for_backends(operator, len(world.servers))
         tasks.start_soon(load.run)
-        marks = await _disturb(cluster, world, entries, operator, load)
-        _say("going on until the load has its size")
+        marks = await _inject_faults(cluster, world, entries, operator, load)
+        _print_progress("going on until the load has its size")
         while len(load.answers) < requests:
             await anyio.sleep(0.1)
         load.stop()
         await _wait_until_idle(load)
-        bills = await _all_bills(operator)
+        bills = await _fetch_bills(operator)
         declared = load_folder(folder).declarations
-        allowed = _allowed(declared)
+        allowed = _allowed_versions(declared)
         await callers.close()
         tasks.cancel_scope.cancel()
     return compare(
@@ -115,7 +115,7 @@
     bills: list[dict[str, Any]], declared: Declarations
 ) -> int:
     """Return what the billed tokens cost on the strong model alone."""
-    strong = declared.models[STRONG]
+    strong = declared.models[STRONG_MODEL]
     price = strong.versions[strong.stable]
     micros = sum(
         row["input_tokens"] * price.input_micros_per_mtoken
@@ -125,7 +125,7 @@
     return micros // TOKENS_PER_PRICE
 
 
-def _allowed(declared: Declarations) -> dict[str, frozenset[str]]:
+def _allowed_versions(declared: Declarations) -> dict[str, frozenset[str]]:
     identities = [
         version_id(model.name, version)
         for model in declared.models.values()
@@ -139,35 +139,35 @@
     }
 
 
-async def _disturb(
+async def _inject_faults(
     cluster: Cluster,
     world: World,
     entries: dict[str, str],
     operator: Operator,
     load: Load,
-) -> Marks:
+) -> Baselines:
     await anyio.sleep(2)
-    _say("starting the roll-out of nest-small 4")
+    _print_progress("starting the roll-out of nest-small 4")
     await operator.run("rollout", "start", "nest-small")
     await anyio.sleep(4)
-    _say(f"backend server {LEAVING} leaves")
-    world.leave(LEAVING)
+    _print_progress(f"backend server {LEAVING_SERVER} leaves")
+    world.announce_leave(LEAVING_SERVER)
     await anyio.sleep(LEAVING_BOUND_S)
-    runs_at_leaving = world.runs_on_server(LEAVING)
-    _say("killing entry-3")
+    runs_at_leaving = world.runs_on_server(LEAVING_SERVER)
+    _print_progress("killing entry-3")
     cluster.kill("entry-3")
     entries.pop("entry-3")
     await anyio.sleep(2)
-    _say("starting entry-3 again")
+    _print_progress("starting entry-3 again")
     node = cluster.start_entry(
         "entry-3", DATA_CENTRES[2], rating_url=world.rating_address
     )
     await anyio.to_thread.run_sync(cluster.wait_ready, "entry-3")
     entries["entry-3"] = f"127.0.0.1:{node.port}"
-    _say("withdrawing nest-small 4")
-    await operator.run("withdraw", ROLLED_OUT, "--wait")
-    runs_at_withdrawal = world.runs_on_version(ROLLED_OUT)
-    _say("stopping entry-2 as planned")
+    _print_progress("withdrawing nest-small 4")
+    await operator.run("withdraw", ROLLED_OUT_VERSION, "--wait")
+    runs_at_withdrawal = world.runs_on_version(ROLLED_OUT_VERSION)
+    _print_progress("stopping entry-2 as planned")
     stopped = entries.pop("entry-2")
     status = await anyio.to_thread.run_sync(cluster.stop, "entry-2")
     await anyio.sleep(1)
@@ -177,13 +177,13 @@
         for cut in answer.cuts
         if cut.address == stopped
     ]
-    _say(f"entry at {stopped} has ended with status {status}")
+    _print_progress(f"entry at {stopped} has ended with status {status}")
     for cut in cuts:
-        _say(f"cut: {cut.code} at {cut.address}")
-    return Marks(
-        ROLLED_OUT,
+        _print_progress(f"cut: {cut.code} at {cut.address}")
+    return Baselines(
+        ROLLED_OUT_VERSION,
         runs_at_withdrawal,
-        LEAVING,
+        LEAVING_SERVER,
         runs_at_leaving,
         status,
         len(cuts),
@@ -208,7 +208,7 @@
     return {vm: f"127.0.0.1:{cluster.entries[vm].port}" for vm in ENTRIES}
 
 
-def _operator(cluster: Cluster) -> Operator:
+def _make_operator(cluster: Cluster) -> Operator:
     controls = [
         f"127.0.0.1:{node.operator_port}" for node in cluster.controls.values()
     ]
@@ -216,7 +216,7 @@
 
 
 async def _wait_for_voters(operator: Operator) -> None:
-    with anyio.fail_after(FORM_BOUND_S):
+    with anyio.fail_after(START_TIMEOUT_S):
         while True:
             status = await operator.run("status")
             roles = [row["role"] for row in status["voters"]]
@@ -226,12 +226,12 @@
 
 
 async def _wait_for_backends(operator: Operator, count: int) -> None:
-    with anyio.fail_after(FORM_BOUND_S):
+    with anyio.fail_after(START_TIMEOUT_S):
         while len((await operator.run("backends"))["backends"]) < count:
             await anyio.sleep(0.2)
 
 
-def _declarations(folder: Path, examples: Path) -> Path:
+def _copy_declarations(folder: Path, examples: Path) -> Path:
     copy = folder / "declarations"
     shutil.copytree(examples / "guild", copy)
     rollout = copy / "rollouts" / "nest-small.toml"
@@ -246,18 +246,20 @@
         await anyio.sleep(3)
 
 
-async def _all_bills(operator: Operator) -> list[dict[str, Any]]:
+async def _fetch_bills(operator: Operator) -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
     while True:
         after = rows[-1]["sequence"] if rows else 0
         page = await operator.run(
-            "bills", "--after", str(after), "--limit", str(BILLS_A_PAGE)
+            "bills", "--after", str(after), "--limit", str(BILLS_PER_PAGE)
         )
         rows += page["bills"]
-        if len(page["bills"]) < BILLS_A_PAGE:
+        if len(page["bills"]) < BILLS_PER_PAGE:
             return rows
 
 
-_say = functools.partial(print, "quickstart:", file=sys.stderr, flush=True)
+_print_progress = functools.partial(
+    print, "quickstart:", file=sys.stderr, flush=True
+)
 
 __all__ = ["run_quickstart"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
@@ -23,8 +23,8 @@
 
     from anyio.abc import TaskGroup
 
-CHEAP: Final = "nest-small"
-STRONG: Final = "nest-large"
+CHEAP_MODEL: Final = "nest-small"
+STRONG_MODEL: Final = "nest-large"
 SMALL_VERSIONS: Final = ("nest-small@3", "nest-small@4")
 LARGE_VERSIONS: Final = ("nest-large@2", "nest-large@3")
 DATA_CENTRES: Final = ("marietta", "gainesville", "dalton")
@@ -50,7 +50,9 @@
         self.rating_address = ""
         self.servers: dict[str, Server] = {}
         # Returns the address to announce for one that was served.
-        self.front: Callable[[str, str], Awaitable[str]] = _as_it_is
+        self.expose_server: Callable[[str, str], Awaitable[str]] = (
+            _announce_served_address
+        )
 
     async def start_rating(self, tasks: TaskGroup) -> str:
         """Serve the rating service; return its URL."""
@@ -68,7 +70,7 @@
             engine = FakeEngine(name, versions, TOKENS_PER_S, can_resume=True)
             self.engines.append(engine)
             served = await tasks.start(serve_application, engine.application)
-            address = await self.front(name, served)
+            address = await self.expose_server(name, served)
             announcement = Announcement(
                 name,
                 "engine",
@@ -92,7 +94,7 @@
             service = FakeService(name, ("portal",))
             self.services.append(service)
             served = await tasks.start(serve_application, service.application)
-            address = await self.front(name, served)
+            address = await self.expose_server(name, served)
             announcement = Announcement(
                 name,
                 "service",
@@ -106,7 +108,7 @@
             )
             self._announce(tasks, entries, announcement)
 
-    def leave(self, name: str) -> None:
+    def announce_leave(self, name: str) -> None:
         """Have a server announce that it leaves; it goes on serving."""
         self.servers[name].announcing.cancel()
 
@@ -149,9 +151,9 @@
         tasks.start_soon(announce)
 
 
-async def _as_it_is(name: str, address: str) -> str:
+async def _announce_served_address(name: str, address: str) -> str:
     """Announce a server where it is served."""
     return address
 
 
-__all__ = ["CHEAP", "Server", "STRONG", "World"]
+__all__ = ["CHEAP_MODEL", "Server", "STRONG_MODEL", "World"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/checks.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from sycamorestand_bench.quickstart.checks import is_whole
-from sycamorestand_bench.soak.watch import Finding
+from sycamorestand_bench.soak.monitor import Finding
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -19,21 +19,21 @@
     from collections.abc import Sequence
 
     from sycamorestand_bench.quickstart.caller import Answer
-    from sycamorestand_bench.quickstart.caller import Try
+    from sycamorestand_bench.quickstart.caller import Attempt
     from sycamorestand_bench.quickstart.world import World
     from sycamorestand_bench.soak.injector import Event
     from sycamorestand_bench.soak.injector import PlannedStop
-    from sycamorestand_bench.soak.operating import Withdrawn
+    from sycamorestand_bench.soak.operator import WithdrawnPeriod
     from sycamorestand_bench.system.changes import Accepted
 
 ANSWERED: Final = "answered"
 NOT_RUN: Final = "not_run"
 # A planned stop is held against the system only where nothing else was
 # harmed from this long before it.
-CALM_S: Final = 8.0
+UNDISTURBED_S: Final = 8.0
 # What a process imports before it can take a signal takes up to so long on
 # a busy machine.
-START_S: Final = 2.0
+START_UP_S: Final = 2.0
 CONNECT_ERRORS: Final = ("ConnectError", "ConnectTimeout")
 
 
@@ -46,13 +46,13 @@
     method: str
 
 
-class Seen(NamedTuple):
+class Observations(NamedTuple):
     """Everything that was seen in a soak."""
 
     answers: Sequence[Answer]
     runs: Sequence[Run]
     bills: Sequence[Mapping[str, Any]]
-    withdrawn: Sequence[Withdrawn]
+    withdrawn: Sequence[WithdrawnPeriod]
     runs_after_leaving: Mapping[str, int]
     accepted: Sequence[Accepted]
     audits: Mapping[str, Sequence[Mapping[str, Any]]]
@@ -62,7 +62,7 @@
     addresses: Mapping[str, str]
 
 
-def runs_of(world: World) -> list[Run]:
+def collect_runs(world: World) -> list[Run]:
     """Return every run that the fakes began."""
     runs = [
         Run(r.customer, r.request_key, r.version, "POST")
@@ -77,7 +77,7 @@
     return runs
 
 
-def check(seen: Seen) -> list[Finding]:
+def check(seen: Observations) -> list[Finding]:
     """Return every broken promise, all of them together."""
     findings: list[Finding] = []
     for name, examine in _CHECKS.items():
@@ -85,7 +85,7 @@
     return findings
 
 
-def _allowed_version(seen: Seen) -> Iterable[str]:
+def _check_allowed_versions(seen: Observations) -> Iterable[str]:
     for run in seen.runs:
         if run.target == "portal":
             continue
@@ -93,13 +93,13 @@
             yield f"{run.request_key} of {run.customer} ran on {run.target}"
 
 
-def _withdrawn(seen: Seen) -> Iterable[str]:
+def _check_withdrawals(seen: Observations) -> Iterable[str]:
     for period in seen.withdrawn:
         if period.runs:
             yield f"{period.runs} runs on {period.version} while withdrawn"
 
 
-def _session(seen: Seen) -> Iterable[str]:
+def _check_sessions(seen: Observations) -> Iterable[str]:
     versions: dict[tuple[str, str, str], set[str]] = defaultdict(set)
     for answer in seen.answers:
         call = answer.call
@@ -111,7 +111,7 @@
             yield f"{session} was answered by {sorted(found)}"
 
 
-def _billed_once(seen: Seen) -> Iterable[str]:
+def _check_charges(seen: Observations) -> Iterable[str]:
     charges = Counter((r["customer"], r["request_key"]) for r in seen.bills)
     asked = {(a.call.customer, a.call.request_key) for a in seen.answers}
     owed = {
@@ -128,14 +128,14 @@
         yield f"{key} is charged and nobody asked"
 
 
-def _whole(seen: Seen) -> Iterable[str]:
+def _check_whole_answers(seen: Observations) -> Iterable[str]:
     for answer in seen.answers:
         if answer.run == ANSWERED and not is_whole(answer):
             yield f"{answer.call.request_key} got {answer.text[:40]!r}"
 
 
-def _not_run(seen: Seen) -> Iterable[str]:
-    tries: dict[str, list[Try]] = defaultdict(list)
+def _check_not_run(seen: Observations) -> Iterable[str]:
+    tries: dict[str, list[Attempt]] = defaultdict(list)
     for answer in seen.answers:
         tries[answer.call.request_key] += answer.tries
     ran = {run.request_key for run in seen.runs}
@@ -145,7 +145,7 @@
             yield f"{key} ran, and all tries were told that it did not"
 
 
-def _at_most_once(seen: Seen) -> Iterable[str]:
+def _check_at_most_once(seen: Observations) -> Iterable[str]:
     runs = Counter(
         (run.customer, run.request_key)
         for run in seen.runs
@@ -156,17 +156,17 @@
             yield f"{key} ran {count} times"
 
 
-def _leaving(seen: Seen) -> Iterable[str]:
+def _check_leaving_servers(seen: Observations) -> Iterable[str]:
     for server, runs in seen.runs_after_leaving.items():
         if runs:
             yield f"{runs} runs on {server} after it had left"
 
 
-def _planned_stop(seen: Seen) -> Iterable[str]:
+def _check_planned_stops(seen: Observations) -> Iterable[str]:
     for stop in seen.stops:
         if stop.status != 0 and not _was_starting(seen, stop):
             yield f"{stop.process} ended with {stop.status}"
-        if not _is_calm(seen, stop):
+        if not _is_undisturbed(seen, stop):
             continue
         address = seen.addresses.get(stop.process, "")
         for answer in seen.answers:
@@ -176,12 +176,12 @@
                     yield f"{stop.process} cut {key}: {cut.code}"
 
 
-def _was_starting(seen: Seen, stop: PlannedStop) -> bool:
+def _was_starting(seen: Observations, stop: PlannedStop) -> bool:
     """Tell whether the signal came before the process could take it.
 
     It had begun nothing then, and the interpreter ends by the signal.
     """
-    from_s = stop.begun_s - START_S
+    from_s = stop.begun_s - START_UP_S
     return stop.status == -SIGTERM and any(
         event.what == "start"
         and event.target == stop.process
@@ -190,8 +190,8 @@
     )
 
 
-def _is_calm(seen: Seen, stop: PlannedStop) -> bool:
-    from_s = stop.begun_s - CALM_S
+def _is_undisturbed(seen: Observations, stop: PlannedStop) -> bool:
+    from_s = stop.begun_s - UNDISTURBED_S
     harm = [
         event
         for event in seen.events
@@ -201,13 +201,13 @@
     return len(harm) == 1
 
 
-def _is_cut_by(cut: Try, address: str, stop: PlannedStop) -> bool:
+def _is_cut_by(cut: Attempt, address: str, stop: PlannedStop) -> bool:
     if cut.address != address or cut.code in CONNECT_ERRORS:
         return False
     return cut.ended_s >= stop.begun_s and cut.begun_s <= stop.ended_s
 
 
-def _never_reverts(seen: Seen) -> Iterable[str]:
+def _check_changes_kept(seen: Observations) -> Iterable[str]:
     for control, trail in seen.audits.items():
         held = {e["change_id"]: e["revision"] for e in trail}
         for accepted in seen.accepted:
@@ -220,16 +220,16 @@
 
 
 _CHECKS: Final = {
-    "allowed version": _allowed_version,
-    "withdrawn version": _withdrawn,
-    "session keeps its version": _session,
-    "billed once": _billed_once,
-    "whole answer": _whole,
-    "not run is true": _not_run,
-    "at most once": _at_most_once,
-    "leaving server": _leaving,
-    "planned stop": _planned_stop,
-    "never reverts": _never_reverts,
+    "allowed version": _check_allowed_versions,
+    "withdrawn version": _check_withdrawals,
+    "session keeps its version": _check_sessions,
+    "billed once": _check_charges,
+    "whole answer": _check_whole_answers,
+    "not run is true": _check_not_run,
+    "at most once": _check_at_most_once,
+    "leaving server": _check_leaving_servers,
+    "planned stop": _check_planned_stops,
+    "never reverts": _check_changes_kept,
 }
 
-__all__ = ["check", "Run", "runs_of", "Seen"]
+__all__ = ["check", "Run", "collect_runs", "Observations"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
@@ -25,16 +25,16 @@
     from sycamorestand_bench.system.fault_proxy import FaultProxy
     from sycamorestand_bench.system.system import System
 
-TICK_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 # Long against the heartbeat of 0.1 s, short against the time limits.
-DELAY_S: Final = 0.25
+LINK_DELAY_S: Final = 0.25
 SEGMENTS: Final = "log-*.seg"
 # Half of a frame, as a write leaves it that the loss of power cut off.
 TORN_BYTES: Final = b"\x00\x00\x01\x7f" + b"\x5a" * 23
 # Any write beyond the first byte of a file fails, as on a full disk.
 FULL_DISK_BYTES: Final = 1
 # A planned stop that takes longer is a finding.
-STOP_BOUND_S: Final = 45.0
+STOP_TIMEOUT_S: Final = 45.0
 SERVER_FAULTS: Final[Mapping[str, FaultKind]] = {
     "server_error": "error",
     "server_cut": "cut",
@@ -61,7 +61,7 @@
     status: int
 
 
-class _Due(NamedTuple):
+class _TimedAction(NamedTuple):
     at_s: float
     number: int
     act: Callable[[], None]
@@ -74,35 +74,38 @@
     """
 
     def __init__(
-        self, system: System, server_gates: Mapping[str, FaultProxy]
+        self, system: System, server_proxies: Mapping[str, FaultProxy]
     ) -> None:
         self.events: list[Event] = []
         self.stops: list[PlannedStop] = []
-        self.left_s: dict[str, float] = {}
+        self.leave_announced_s: dict[str, float] = {}
         self._system = system
         self._cluster = system.cluster
-        self._server_gates = server_gates
+        self._server_proxies = server_proxies
         self._stopping: dict[str, float] = {}
         self._killed: set[str] = set()
-        self._due: list[_Due] = []
-        self._number = 0
+        self._actions: list[_TimedAction] = []
+        self._action_count = 0
 
     def play(self, schedule: Schedule, begin_s: float) -> None:
         """Play all steps and return when the last one has ended."""
         for step in schedule.steps:
-            self._at(begin_s + step.at_s, self._begin(step))
-        while self._due or self._stopping:
+            self._schedule_at(begin_s + step.at_s, self._make_action(step))
+        while self._actions or self._stopping:
             now_s = time.monotonic()
-            while self._due and self._due[0].at_s <= now_s:
-                heapq.heappop(self._due).act()
-            self._end_stops(now_s)
-            time.sleep(TICK_S)
+            while self._actions and self._actions[0].at_s <= now_s:
+                heapq.heappop(self._actions).act()
+            self._collect_stopped(now_s)
+            time.sleep(POLL_INTERVAL_S)
 
     def heal(self) -> None:
         """End whatever is still harmed and start what is not running."""
-        for gate in (*self._system.cluster.proxies.values(), *self._gates()):
+        for gate in (
+            *self._system.cluster.proxies.values(),
+            *self._list_server_proxies(),
+        ):
             self._system.call_in_loop(gate.heal)
-        for name in self._processes():
+        for name in self._process_names():
             if not self._cluster.is_started(name):
                 self._start(name)
 
@@ -110,33 +113,35 @@
         """Tell whether the end of a process was caused from here."""
         return name in self._stopping or not self._cluster.is_started(name)
 
-    def _gates(self) -> list[FaultProxy]:
-        return list(self._server_gates.values())
+    def _list_server_proxies(self) -> list[FaultProxy]:
+        return list(self._server_proxies.values())
 
-    def _processes(self) -> tuple[str, ...]:
+    def _process_names(self) -> tuple[str, ...]:
         return (*self._cluster.controls, *self._cluster.entries)
 
-    def _at(self, at_s: float, act: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._due, _Due(at_s, self._number, act))
+    def _schedule_at(self, at_s: float, act: Callable[[], None]) -> None:
+        self._action_count += 1
+        heapq.heappush(
+            self._actions, _TimedAction(at_s, self._action_count, act)
+        )
 
-    def _after(self, for_s: float, act: Callable[[], None]) -> None:
-        self._at(time.monotonic() + for_s, act)
+    def _schedule_after(self, for_s: float, act: Callable[[], None]) -> None:
+        self._schedule_at(time.monotonic() + for_s, act)
 
-    def _begin(self, step: Step) -> Callable[[], None]:
+    def _make_action(self, step: Step) -> Callable[[], None]:
         def begin() -> None:
-            self._say(step.fault, step.target)
-            self._apply(step)
+            self._record_event(step.fault, step.target)
+            self._inject_fault(step)
 
         return begin
 
-    def _say(self, what: str, target: str) -> None:
+    def _record_event(self, what: str, target: str) -> None:
         self.events.append(Event(time.monotonic(), what, target))
 
-    def _apply(self, step: Step) -> None:
+    def _inject_fault(self, step: Step) -> None:
         match step.fault:
             case "kill_all":
-                for name in self._group(step.target):
+                for name in self._group_members(step.target):
                     self._kill(name, step.for_s)
             case "kill" | "wipe" | "torn_tail":
                 self._kill(step.target, step.for_s, step.fault)
@@ -147,20 +152,22 @@
             case "disk_full":
                 self._fill_disk(step.target, step.for_s)
             case "cut" | "one_way" | "silence":
-                self._harm_link(step)
+                self._inject_link_fault(step)
             case "isolate" | "reset" | "delay":
-                self._harm_gate(step)
+                self._inject_proxy_fault(step)
             case "server_leaves":
-                self._leave(step.target)
+                self._announce_leave(step.target)
             case fault:
-                self._harm_server(step.target, SERVER_FAULTS[fault], step)
+                self._inject_server_fault(
+                    step.target, SERVER_FAULTS[fault], step
+                )
 
-    def _group(self, group: str) -> tuple[str, ...]:
+    def _group_members(self, group: str) -> tuple[str, ...]:
         if group == "controls":
             return tuple(self._cluster.controls)
         if group == "entries":
             return tuple(self._cluster.entries)
-        return self._processes()
+        return self._process_names()
 
     def _kill(self, name: str, for_s: float, how: str = "kill") -> None:
         if not self._cluster.is_started(name):
@@ -171,10 +178,10 @@
             shutil.rmtree(self._cluster.controls[name].data_folder)
             self._cluster.controls[name].data_folder.mkdir()
         elif how == "torn_tail":
-            self._tear(name)
-        self._after(for_s, lambda: self._start(name))
+            self._append_torn_frames(name)
+        self._schedule_after(for_s, lambda: self._start(name))
 
-    def _tear(self, name: str) -> None:
+    def _append_torn_frames(self, name: str) -> None:
         folder = self._cluster.controls[name].data_folder
         segments = sorted(folder.rglob(SEGMENTS))
         for group in {path.parent for path in segments}:
@@ -185,7 +192,7 @@
     def _start(self, name: str) -> None:
         if self._cluster.is_started(name):
             return
-        self._say("start", name)
+        self._record_event("start", name)
         if name in self._cluster.controls:
             self._system.restart_control(name)
         else:
@@ -200,13 +207,13 @@
         self._cluster.send_signal(name, SIGSTOP)
 
         def thaw() -> None:
-            if self._runs_as(name, pid):
+            if self._is_same_process(name, pid):
                 self._cluster.send_signal(name, SIGCONT)
-                self._say("thaw", name)
+                self._record_event("thaw", name)
 
-        self._after(for_s, thaw)
+        self._schedule_after(for_s, thaw)
 
-    def _runs_as(self, name: str, pid: int) -> bool:
+    def _is_same_process(self, name: str, pid: int) -> bool:
         started = self._cluster.is_started(name)
         return started and self._cluster.pid(name) == pid
 
@@ -218,24 +225,24 @@
 
         def start_again() -> None:
             if name in self._stopping:
-                self._after(TICK_S, start_again)
+                self._schedule_after(POLL_INTERVAL_S, start_again)
             else:
                 self._start(name)
 
-        self._after(for_s, start_again)
+        self._schedule_after(for_s, start_again)
 
-    def _end_stops(self, now_s: float) -> None:
+    def _collect_stopped(self, now_s: float) -> None:
         for name, begun_s in list(self._stopping.items()):
             status = self._cluster.exit_status(name)
-            if status is None and now_s - begun_s < STOP_BOUND_S:
+            if status is None and now_s - begun_s < STOP_TIMEOUT_S:
                 continue
             del self._stopping[name]
             if status is None:
                 self._cluster.kill(name)
                 status = -1
             else:
-                self._cluster.forget(name)
-            self._say("stopped", name)
+                self._cluster.remove_ended(name)
+            self._record_event("stopped", name)
             self.stops.append(PlannedStop(name, begun_s, now_s, status))
 
     def _fill_disk(self, name: str, for_s: float) -> None:
@@ -247,13 +254,13 @@
         resource.prlimit(pid, resource.RLIMIT_FSIZE, full)
 
         def free() -> None:
-            if self._runs_as(name, pid):
+            if self._is_same_process(name, pid):
                 room = (unlimited, unlimited)
                 resource.prlimit(pid, resource.RLIMIT_FSIZE, room)
 
-        self._after(for_s, free)
+        self._schedule_after(for_s, free)
 
-    def _harm_link(self, step: Step) -> None:
+    def _inject_link_fault(self, step: Step) -> None:
         sender, _, receiver = step.target.partition(LINK_SEPARATOR)
         gate = self._cluster.proxies[receiver]
         address = self._address(sender)
@@ -264,20 +271,22 @@
             self._system.call_in_loop(gate.cut, address)
             back = self._cluster.proxies[sender]
             self._system.call_in_loop(back.cut, self._address(receiver))
-            self._after(
+            self._schedule_after(
                 step.for_s, lambda: self._system.call_in_loop(back.heal)
             )
         else:
             self._system.call_in_loop(gate.hold, True, address)
-        self._after(step.for_s, lambda: self._system.call_in_loop(gate.heal))
+        self._schedule_after(
+            step.for_s, lambda: self._system.call_in_loop(gate.heal)
+        )
 
     def _address(self, name: str) -> str:
         if name in self._cluster.controls:
             return self._cluster.controls[name].peer_address
         return self._cluster.entries[name].peer_address
 
-    def _harm_gate(self, step: Step) -> None:
-        gate = self._server_gates.get(step.target)
+    def _inject_proxy_fault(self, step: Step) -> None:
+        gate = self._server_proxies.get(step.target)
         is_server = gate is not None
         if gate is None:
             gate = self._cluster.proxies[step.target]
@@ -285,7 +294,7 @@
             self._system.call_in_loop(gate.reset)
             return
         if step.fault == "delay":
-            self._system.call_in_loop(gate.delay, DELAY_S)
+            self._system.call_in_loop(gate.delay, LINK_DELAY_S)
         else:
             self._system.call_in_loop(gate.cut)
         harmed = [gate]
@@ -300,13 +309,15 @@
             for one in harmed:
                 self._system.call_in_loop(one.heal)
 
-        self._after(step.for_s, heal)
+        self._schedule_after(step.for_s, heal)
 
-    def _leave(self, name: str) -> None:
-        self._system.call_in_loop(self._system.world.leave, name)
-        self.left_s[name] = time.monotonic()
+    def _announce_leave(self, name: str) -> None:
+        self._system.call_in_loop(self._system.world.announce_leave, name)
+        self.leave_announced_s[name] = time.monotonic()
 
-    def _harm_server(self, name: str, kind: FaultKind, step: Step) -> None:
+    def _inject_server_fault(
+        self, name: str, kind: FaultKind, step: Step
+    ) -> None:
         switch = self._system.world.server(name).switch
         fault = Fault(kind, 2, pause_s=step.for_s)
         self._system.call_in_loop(setattr, switch, "fault", fault)
@@ -314,7 +325,7 @@
         def end() -> None:
             self._system.call_in_loop(setattr, switch, "fault", Fault())
 
-        self._after(step.for_s, end)
+        self._schedule_after(step.for_s, end)
 
 
 __all__ = ["Event", "Injector", "PlannedStop"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/watch.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
@@ -19,12 +19,12 @@
     from sycamorestand_bench.processes import Cluster
     from sycamorestand_bench.soak.injector import Injector
 
-LOOK_S: Final = 0.25
+POLL_INTERVAL_S: Final = 0.25
 # The target for a node's control is 128 MB; a process that takes twice
 # that under a few dozen callers keeps something for ever.
 MAX_RESIDENT_BYTES: Final = 256 * 1024 * 1024
 MAX_DESCRIPTORS: Final = 1024
-ANSWER_BOUND_S: Final = 1.0
+ANSWER_TIMEOUT_S: Final = 1.0
 
 
 class Finding(NamedTuple):
@@ -41,7 +41,7 @@
     at_s: float
 
 
-class Watch:
+class Monitor:
     """Collects findings until stopped; runs in a thread of its own."""
 
     def __init__(self, cluster: Cluster, injector: Injector) -> None:
@@ -51,7 +51,7 @@
         self.in_force = InForce(0, 0.0)
         self._cluster = cluster
         self._injector = injector
-        self._seen: dict[tuple[str, int], int] = {}
+        self._newest_revisions: dict[tuple[str, int], int] = {}
         self._reported: set[tuple[str, str]] = set()
         self._stop = False
 
@@ -63,8 +63,8 @@
         """Look at every process in turn."""
         while not self._stop:
             for name in (*self._cluster.controls, *self._cluster.entries):
-                self._look(name)
-            time.sleep(LOOK_S)
+                self._check_process(name)
+            time.sleep(POLL_INTERVAL_S)
 
     def report(self, promise: str, name: str, what: str) -> None:
         """Note a finding, once for each promise and process."""
@@ -72,7 +72,7 @@
             self._reported.add((promise, name))
             self.findings.append(Finding(promise, f"{name}: {what}"))
 
-    def _look(self, name: str) -> None:
+    def _check_process(self, name: str) -> None:
         if self._injector.is_expected_down(name):
             return
         status = self._cluster.exit_status(name)
@@ -81,14 +81,14 @@
             return
         try:
             pid = self._cluster.pid(name)
-            self._look_at_memory(name, pid)
+            self._check_resources(name, pid)
         except (OSError, KeyError):
             # It was ended between two looks.
             return
         if name in self._cluster.entries:
-            self._look_at_revision(name, pid)
+            self._check_revision(name, pid)
 
-    def _look_at_memory(self, name: str, pid: int) -> None:
+    def _check_resources(self, name: str, pid: int) -> None:
         folder = Path("/proc") / str(pid)
         pages = int((folder / "statm").read_text().split()[1])
         resident_bytes = pages * PAGE_BYTES
@@ -100,16 +100,16 @@
         if descriptors > MAX_DESCRIPTORS:
             self.report("bounded", name, f"{descriptors} descriptors")
 
-    def _look_at_revision(self, name: str, pid: int) -> None:
+    def _check_revision(self, name: str, pid: int) -> None:
         in_force = self.in_force
         address = f"127.0.0.1:{self._cluster.entries[name].port}"
         try:
-            told = readiness(address, ANSWER_BOUND_S)
+            told = readiness(address, ANSWER_TIMEOUT_S)
         except (OSError, HTTPException):
             return
         revision = told["revision"]
-        before = self._seen.get((name, pid), 0)
-        self._seen[(name, pid)] = max(revision, before)
+        before = self._newest_revisions.get((name, pid), 0)
+        self._newest_revisions[(name, pid)] = max(revision, before)
         if revision < before:
             self.report("no revert", name, f"{before} to {revision}")
         if told["lease_remaining_s"] > 0 and revision < in_force.revision:
@@ -122,4 +122,4 @@
 
 PAGE_BYTES: Final = 4096
 
-__all__ = ["Finding", "InForce", "Watch"]
+__all__ = ["Finding", "InForce", "Monitor"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operator.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 from typing import TYPE_CHECKING
 
-from sycamorestand_bench.soak.watch import InForce
+from sycamorestand_bench.soak.monitor import InForce
 from sycamorestand_bench.system.changes import Accepted
 from sycamorestand_bench.system.changes import Change
 from sycamorestand_bench.system.changes import send_change
@@ -20,20 +20,20 @@
 from sycamorestand_bench.system.operators import sycactl
 
 if TYPE_CHECKING:
-    from sycamorestand_bench.soak.watch import Watch
+    from sycamorestand_bench.soak.monitor import Monitor
     from sycamorestand_bench.system.system import System
 
 PAUSE_S: Final = 0.1
 # What was written to a server before the change was in force may still be
 # on its way to it; a delayed link holds it this long at most.
-ON_ITS_WAY_S: Final = 0.6
-LOOK_S: Final = 1.0
+IN_FLIGHT_S: Final = 0.6
+OBSERVATION_S: Final = 1.0
 # The version that most chats run on; another one has to take over.
 VERSION: Final = "nest-small@3"
-CONFLICT: Final = (409, 412)
+CONFLICT_STATUSES: Final = (409, 412)
 
 
-class Withdrawn(NamedTuple):
+class WithdrawnPeriod(NamedTuple):
     """A version that was out of use, and the runs that began meanwhile."""
 
     version: str
@@ -42,19 +42,19 @@
     runs: int
 
 
-class Operating:
+class SoakOperator:
     """Changes the configuration until stopped; runs in its own thread."""
 
-    def __init__(self, system: System, watch: Watch, seed: int) -> None:
+    def __init__(self, system: System, monitor: Monitor, seed: int) -> None:
         self.accepted: list[Accepted] = []
-        self.withdrawn: list[Withdrawn] = []
-        self.repaired = 0
+        self.withdrawn: list[WithdrawnPeriod] = []
+        self.replaced_voters = 0
         self._system = system
-        self._watch = watch
+        self._monitor = monitor
         self._seed = seed
         self._stop = False
         self._stop_repairs = False
-        self._turn = 0
+        self._port_index = 0
 
     def stop(self) -> None:
         """End `run` after the change that is under way."""
@@ -76,8 +76,8 @@
         """Put processes with empty disks in their old selves' places."""
         while not self._stop_repairs:
             for name in self._system.cluster.controls:
-                self._repair(name)
-            time.sleep(LOOK_S)
+                self._replace_voter(name)
+            time.sleep(OBSERVATION_S)
 
     def _change(self, kind: str) -> bool:
         """Send a change until it is accepted or the soak ends."""
@@ -92,7 +92,7 @@
                     revision = answer.body["revision"]
                     self.accepted.append(Accepted(sent, revision, 1))
                     return True
-                if answer.status in CONFLICT:
+                if answer.status in CONFLICT_STATUSES:
                     break
                 time.sleep(PAUSE_S)
             # Somebody else's change, such as a repair, came in between.
@@ -108,9 +108,9 @@
         return max(revisions, default=0)
 
     def _next_port(self) -> int:
-        self._turn += 1
+        self._port_index += 1
         ports = self._system.ports
-        return ports[self._turn % len(ports)]
+        return ports[self._port_index % len(ports)]
 
     def _wait_in_force(self) -> bool:
         revision = self.accepted[-1].revision
@@ -118,34 +118,34 @@
             path = f"/in-force?revision={revision}"
             answer = query(self._next_port(), path)
             if answer.status == 200 and answer.body["in_force"]:
-                self._watch.in_force = InForce(revision, time.monotonic())
+                self._monitor.in_force = InForce(revision, time.monotonic())
                 return True
             time.sleep(PAUSE_S)
         return False
 
     def _count_runs(self) -> None:
         world = self._system.world
-        time.sleep(ON_ITS_WAY_S)
+        time.sleep(IN_FLIGHT_S)
         from_s = time.monotonic()
         before = world.runs_on_version(VERSION)
-        time.sleep(LOOK_S)
+        time.sleep(OBSERVATION_S)
         runs = world.runs_on_version(VERSION) - before
         until_s = time.monotonic()
-        self.withdrawn.append(Withdrawn(VERSION, from_s, until_s, runs))
+        self.withdrawn.append(WithdrawnPeriod(VERSION, from_s, until_s, runs))
 
-    def _repair(self, name: str) -> None:
+    def _replace_voter(self, name: str) -> None:
         for port in self._system.ports:
             answer = query(port, "/status")
             if answer.status == NO_ANSWER or answer.status != 200:
                 continue
             old_id = _voter_at(answer.body, self._address(name))
-            new_id = _joiner(answer.body, name)
+            new_id = _replacement_id(answer.body, name)
             if not new_id or not old_id:
                 continue
             done = sycactl(
                 self._system.folder, [port], "replace-voter", old_id, new_id
             )
-            self.repaired += done.status == 0
+            self.replaced_voters += done.status == 0
             return
 
     def _address(self, name: str) -> str:
@@ -159,11 +159,11 @@
     return ""
 
 
-def _joiner(status: dict[str, list[str]], name: str) -> str:
+def _replacement_id(status: dict[str, list[str]], name: str) -> str:
     for alarm in status.get("alarms", ()):
         if alarm.startswith(name) and "waits to replace" in alarm:
             return alarm.partition("(")[2].partition(")")[0]
     return ""
 
 
-__all__ = ["Operating", "Withdrawn"]
+__all__ = ["SoakOperator", "WithdrawnPeriod"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -14,13 +14,13 @@
 from sycamorestand_bench.quickstart.caller import Callers
 from sycamorestand_bench.quickstart.load import Load
 from sycamorestand_bench.soak.checks import check
-from sycamorestand_bench.soak.checks import runs_of
-from sycamorestand_bench.soak.checks import Seen
+from sycamorestand_bench.soak.checks import collect_runs
+from sycamorestand_bench.soak.checks import Observations
 from sycamorestand_bench.soak.injector import Injector
-from sycamorestand_bench.soak.operating import Operating
+from sycamorestand_bench.soak.monitor import Finding
+from sycamorestand_bench.soak.monitor import Monitor
+from sycamorestand_bench.soak.operator import SoakOperator
 from sycamorestand_bench.soak.schedule import Targets
-from sycamorestand_bench.soak.watch import Finding
-from sycamorestand_bench.soak.watch import Watch
 from sycamorestand_bench.system.fault_proxy import FaultProxy
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import ENTRIES
@@ -44,8 +44,8 @@
 # what a delayed or held link may add.
 LEAVING_BOUND_S: Final = 8.0
 # Callers give a request up after twelve tries.
-IDLE_BOUND_S: Final = 60.0
-SETTLE_S: Final = 3.0
+DRAIN_TIMEOUT_S: Final = 60.0
+LEAVING_OBSERVATION_S: Final = 3.0
 ENGINES: Final = (
     "small-1",
     "small-2",
@@ -72,30 +72,33 @@
 
 def play(folder: Path, examples: Path, schedule: Schedule) -> Outcome:
     """Play a schedule against a system that is started for it."""
-    gates: dict[str, FaultProxy] = {}
+    proxies: dict[str, FaultProxy] = {}
     system = System(folder, examples)
 
-    async def front(name: str, address: str) -> str:
+    async def expose_server(name: str, address: str) -> str:
         gate = FaultProxy(free_address(), address)
-        gates[name] = gate
+        proxies[name] = gate
         await system.tasks.start(gate.run)
         return gate.listen
 
-    system.world.front = front
+    system.world.expose_server = expose_server
     with system:
         system.declare_fallback()
-        return _Soak(system, gates, schedule).play()
+        return _Soak(system, proxies, schedule).play()
 
 
 class _Soak:
     def __init__(
-        self, system: System, gates: dict[str, FaultProxy], schedule: Schedule
+        self,
+        system: System,
+        proxies: dict[str, FaultProxy],
+        schedule: Schedule,
     ) -> None:
         self._system = system
         self._schedule = schedule
-        self._injector = Injector(system, gates)
-        self._watch = Watch(system.cluster, self._injector)
-        self._operating = Operating(system, self._watch, schedule.seed)
+        self._injector = Injector(system, proxies)
+        self._monitor = Monitor(system.cluster, self._injector)
+        self._operator = SoakOperator(system, self._monitor, schedule.seed)
         self._findings: list[Finding] = []
 
     def play(self) -> Outcome:
@@ -103,23 +106,23 @@
         load, load_ended = self._system.call_in_loop(self._start_load)
         pool = self._system.pool
         threads = [
-            pool.submit(self._watch.run),
-            pool.submit(self._operating.run),
-            pool.submit(self._operating.repair_voters),
+            pool.submit(self._monitor.run),
+            pool.submit(self._operator.run),
+            pool.submit(self._operator.repair_voters),
         ]
         try:
             self._injector.play(self._schedule, begin_s)
             self._injector.heal()
             recovered_s = self._wait_recovered()
-            after_leaving = self._runs_after_leaving()
-            self._operating.stop()
+            after_leaving = self._count_runs_after_leaving()
+            self._operator.stop()
             self._stop_load(load, load_ended)
             self._wait_caught_up()
         finally:
             # Else leaving the system would wait for its pool for ever.
-            self._operating.stop()
-            self._operating.stop_repairs()
-            self._watch.stop()
+            self._operator.stop()
+            self._operator.stop_repairs()
+            self._monitor.stop()
             load.stop()
         for thread in threads:
             thread.result()
@@ -158,15 +161,15 @@
             what = f"{error}: {revisions}"
             self._findings.append(Finding("service is back", what))
 
-    def _runs_after_leaving(self) -> dict[str, int]:
-        left = self._injector.left_s
+    def _count_runs_after_leaving(self) -> dict[str, int]:
+        left = self._injector.leave_announced_s
         if not left:
             return {}
         bound_s = max(left.values()) + LEAVING_BOUND_S
         time.sleep(max(0.0, bound_s - time.monotonic()))
         world = self._system.world
         before = {name: world.runs_on_server(name) for name in left}
-        time.sleep(SETTLE_S)
+        time.sleep(LEAVING_OBSERVATION_S)
         return {
             name: world.runs_on_server(name) - before[name] for name in left
         }
@@ -174,10 +177,10 @@
     def _stop_load(self, load: Load, ended: anyio.Event) -> None:
         load.stop()
         try:
-            self._system.call_in_loop(_wait_ended, ended)
+            self._system.call_in_loop(_wait_until_ended, ended)
         except TimeoutError:
             names = {self._system.entry(name): name for name in ENTRIES}
-            self._findings += still_waiting(
+            self._findings += find_unanswered(
                 self._callers.waiting.values(), names, time.monotonic()
             )
 
@@ -191,14 +194,14 @@
             for model in declared.models.values()
             for version in model.versions
         ]
-        seen = Seen(
+        seen = Observations(
             load.answers,
-            runs_of(system.world),
+            collect_runs(system.world),
             [r for r in system.bills() if not is_probe(r["request_key"])],
-            self._operating.withdrawn,
+            self._operator.withdrawn,
             after_leaving,
-            self._operating.accepted,
-            {name: self._audit(name) for name in CONTROLS},
+            self._operator.accepted,
+            {name: self._fetch_audit(name) for name in CONTROLS},
             {
                 name: frozenset(
                     i for i in identities if is_version_allowed(customer, i)
@@ -210,12 +213,12 @@
             {name: system.entry(name) for name in ENTRIES},
         )
         # A process that ended by itself explains most of the others.
-        findings = [*self._watch.findings, *self._findings, *check(seen)]
+        findings = [*self._monitor.findings, *self._findings, *check(seen)]
         return Outcome(
             findings, self._injector.events, self._figures(seen, recovered_s)
         )
 
-    def _audit(self, name: str) -> list[dict[str, Any]]:
+    def _fetch_audit(self, name: str) -> list[dict[str, Any]]:
         """Return a control process's audit trail, empty without answer."""
         try:
             return self._system.audit(name)
@@ -224,7 +227,9 @@
             self._findings.append(Finding("service is back", what))
             return []
 
-    def _figures(self, seen: Seen, recovered_s: float) -> dict[str, float]:
+    def _figures(
+        self, seen: Observations, recovered_s: float
+    ) -> dict[str, float]:
         answered = [a for a in seen.answers if a.run == "answered"]
         return {
             "steps": len(self._schedule.steps),
@@ -234,21 +239,21 @@
             "charges": len(seen.bills),
             "changes": len(seen.accepted),
             "withdrawals_looked_at": len(seen.withdrawn),
-            "voters_replaced": self._operating.repaired,
+            "voters_replaced": self._operator.replaced_voters,
             "planned_stops": len(seen.stops),
             "recovered_s": round(recovered_s, 2),
-            "peak_mb": round(self._watch.peak_bytes / 1e6, 1),
-            "peak_descriptors": self._watch.peak_descriptors,
+            "peak_mb": round(self._monitor.peak_bytes / 1e6, 1),
+            "peak_descriptors": self._monitor.peak_descriptors,
         }
 
     def _all_caught_up(self) -> bool:
-        newest = self._operating.accepted[-1:]
+        newest = self._operator.accepted[-1:]
         told = newest[0].revision if newest else 0
         statuses = [self._system.status(name) for name in CONTROLS]
         return all(s.get("revision", -1) >= told for s in statuses)
 
 
-def still_waiting(
+def find_unanswered(
     waiting: Iterable[Waiting], names: Mapping[str, str], now_s: float
 ) -> list[Finding]:
     """Return a finding for each attempt that nobody has answered.
@@ -266,9 +271,9 @@
     ]
 
 
-async def _wait_ended(ended: anyio.Event) -> None:
-    with anyio.fail_after(IDLE_BOUND_S):
+async def _wait_until_ended(ended: anyio.Event) -> None:
+    with anyio.fail_after(DRAIN_TIMEOUT_S):
         await ended.wait()
 
 
-__all__ = ["Outcome", "play", "still_waiting", "targets"]
+__all__ = ["Outcome", "play", "find_unanswered", "targets"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
@@ -15,10 +15,10 @@
 LINK_SEPARATOR: Final = ">"
 # Fewer than one fault in three seconds leaves most recoveries undisturbed;
 # more than two a second and nobody is ever served.
-STEPS_A_SECOND: Final = 0.7
+STEPS_PER_S: Final = 0.7
 # A step that hits the same target again while it recovers.
-AGAIN_SHARE: Final = 0.3
-AGAIN_WITHIN_S: Final = 2.0
+REPEAT_PROBABILITY: Final = 0.3
+REPEAT_WITHIN_S: Final = 2.0
 # One lost disk of three is what the system bears. The next one is taken
 # only when the first has surely been repaired.
 WIPE_INTERVAL_S: Final = 25.0
@@ -59,7 +59,7 @@
         return (*self.engines, *self.services)
 
 
-class _Kind(NamedTuple):
+class _FaultKind(NamedTuple):
     weight: int
     targets: str
     shortest_s: float
@@ -67,27 +67,27 @@
 
 
 # Lengths reach from below a heartbeat to beyond every lease and time limit.
-KINDS: Final = {
-    "kill": _Kind(4, "process", 0.1, 5.0),
-    "kill_all": _Kind(1, "group", 0.1, 2.0),
-    "freeze": _Kind(4, "process", 0.1, 8.0),
-    "stop": _Kind(3, "process", 0.0, 2.0),
-    "wipe": _Kind(1, "control", 0.1, 3.0),
-    "torn_tail": _Kind(2, "control", 0.1, 2.0),
-    "disk_full": _Kind(2, "control", 0.5, 5.0),
-    "cut": _Kind(3, "link", 0.5, 8.0),
-    "isolate": _Kind(2, "process", 0.5, 8.0),
-    "one_way": _Kind(3, "link", 0.5, 8.0),
-    "silence": _Kind(3, "link", 0.0, 0.0),
-    "reset": _Kind(2, "any", 0.0, 0.0),
-    "delay": _Kind(2, "any", 0.5, 6.0),
-    "server_error": _Kind(1, "server", 0.5, 5.0),
-    "server_cut": _Kind(1, "server", 0.5, 5.0),
-    "server_silent": _Kind(1, "server", 0.5, 5.0),
+FAULT_KINDS: Final = {
+    "kill": _FaultKind(4, "process", 0.1, 5.0),
+    "kill_all": _FaultKind(1, "group", 0.1, 2.0),
+    "freeze": _FaultKind(4, "process", 0.1, 8.0),
+    "stop": _FaultKind(3, "process", 0.0, 2.0),
+    "wipe": _FaultKind(1, "control", 0.1, 3.0),
+    "torn_tail": _FaultKind(2, "control", 0.1, 2.0),
+    "disk_full": _FaultKind(2, "control", 0.5, 5.0),
+    "cut": _FaultKind(3, "link", 0.5, 8.0),
+    "isolate": _FaultKind(2, "process", 0.5, 8.0),
+    "one_way": _FaultKind(3, "link", 0.5, 8.0),
+    "silence": _FaultKind(3, "link", 0.0, 0.0),
+    "reset": _FaultKind(2, "any", 0.0, 0.0),
+    "delay": _FaultKind(2, "any", 0.5, 6.0),
+    "server_error": _FaultKind(1, "server", 0.5, 5.0),
+    "server_cut": _FaultKind(1, "server", 0.5, 5.0),
+    "server_silent": _FaultKind(1, "server", 0.5, 5.0),
     # A plain service's garbage is its answer: nobody between can tell.
-    "server_garbage": _Kind(1, "engine", 0.5, 5.0),
-    "server_refuse": _Kind(1, "server", 0.5, 5.0),
-    "server_leaves": _Kind(1, "engine", 0.0, 0.0),
+    "server_garbage": _FaultKind(1, "engine", 0.5, 5.0),
+    "server_refuse": _FaultKind(1, "server", 0.5, 5.0),
+    "server_leaves": _FaultKind(1, "engine", 0.0, 0.0),
 }
 
 
@@ -97,13 +97,13 @@
     steps: list[Step] = []
     wiped_s = -WIPE_INTERVAL_S
     left = False
-    for _ in range(max(1, int(length_s * STEPS_A_SECOND))):
+    for _ in range(max(1, int(length_s * STEPS_PER_S))):
         step = _draw_step(random, length_s, targets)
         steps.append(step)
-        if random.random() < AGAIN_SHARE:
+        if random.random() < REPEAT_PROBABILITY:
             end_s = step.at_s + step.for_s
-            again_s = end_s + random.uniform(0.0, AGAIN_WITHIN_S)
-            steps.append(_again(random, step, again_s, targets))
+            again_s = end_s + random.uniform(0.0, REPEAT_WITHIN_S)
+            steps.append(_draw_repeat(random, step, again_s, targets))
     allowed: list[Step] = []
     for step in sorted(steps):
         if step.fault == "wipe":
@@ -145,7 +145,7 @@
 
 def _read_step(row: str) -> Step:
     parts = row.split()
-    if len(parts) != 4 or parts[1] not in KINDS:
+    if len(parts) != 4 or parts[1] not in FAULT_KINDS:
         raise ValueError(f"not a step: {row!r}")
     return msgspec.convert(
         [float(parts[0]), parts[1], parts[2], float(parts[3])], Step
@@ -153,8 +153,8 @@
 
 
 def _draw_step(random: Random, length_s: float, targets: Targets) -> Step:
-    names = list(KINDS)
-    weights = [KINDS[name].weight for name in names]
+    names = list(FAULT_KINDS)
+    weights = [FAULT_KINDS[name].weight for name in names]
     fault = random.choices(names, weights)[0]
     at_s = random.uniform(0.0, length_s)
     return _make_step(random, fault, at_s, targets)
@@ -163,13 +163,15 @@
 def _make_step(
     random: Random, fault: str, at_s: float, targets: Targets
 ) -> Step:
-    kind = KINDS[fault]
+    kind = FAULT_KINDS[fault]
     for_s = random.uniform(kind.shortest_s, kind.longest_s)
     target = _draw_target(random, kind.targets, targets)
     return Step(round(at_s, 2), fault, target, round(for_s, 2))
 
 
-def _again(random: Random, step: Step, at_s: float, targets: Targets) -> Step:
+def _draw_repeat(
+    random: Random, step: Step, at_s: float, targets: Targets
+) -> Step:
     """Return a step that hits a process again, in its recovery."""
     fault = random.choice(("kill", "freeze", "stop", "reset", "isolate"))
     drawn = _make_step(random, fault, at_s, targets)
@@ -200,7 +202,7 @@
     "decode",
     "draw",
     "encode",
-    "KINDS",
+    "FAULT_KINDS",
     "LINK_SEPARATOR",
     "Schedule",
     "Step",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/calls.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/calls.py
@@ -82,7 +82,7 @@
         "messages": [{"role": "user", "content": "review the sheets"}],
     }
     path = "/v1/chat/completions"
-    return _begin(address, path, headers, body, _read_stream)
+    return _send_request(address, path, headers, body, _read_stream)
 
 
 def order(address: str, request_key: str) -> Reply:
@@ -90,7 +90,7 @@
     path = f"/services/portal/orders/{request_key}"
     headers = _headers(request_key)
     body = {"sheet": "16ga"}
-    return finish(_begin(address, path, headers, body, _read_order))
+    return finish(_send_request(address, path, headers, body, _read_order))
 
 
 def finish(pending: Pending | Reply) -> Reply:
@@ -98,7 +98,7 @@
     if isinstance(pending, Reply):
         return pending
     try:
-        response = _read(pending.connection)
+        response = _read_response(pending.connection)
     except (OSError, HTTPException) as error:
         return Reply("cut", code=type(error).__name__)
     if response.status != 200:
@@ -110,7 +110,9 @@
     """Return an entry's own word on its lease and its revision."""
     connection = HTTPConnection(address, timeout=timeout_s)
     connection.request("GET", "/readyz")
-    content: dict[str, Any] = msgspec.json.decode(_read(connection).content)
+    content: dict[str, Any] = msgspec.json.decode(
+        _read_response(connection).content
+    )
     return content
 
 
@@ -120,7 +122,7 @@
     return reply.run == ANSWERED and reply.text == expected
 
 
-def _begin(
+def _send_request(
     address: str,
     path: str,
     headers: dict[str, str],
@@ -136,7 +138,7 @@
     return Pending(connection, read)
 
 
-def _read(connection: HTTPConnection) -> Response:
+def _read_response(connection: HTTPConnection) -> Response:
     try:
         found = connection.getresponse()
         headers = {name.lower(): text for name, text in found.getheaders()}
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
@@ -15,7 +15,7 @@
     from sycamorestand_bench.system.operators import Answer
 
 SUBJECT: Final = "nest-large@3"
-MAX_TRIES: Final = 40
+MAX_ATTEMPTS: Final = 40
 RESEND_PAUSE_S: Final = 0.1
 
 
@@ -58,7 +58,7 @@
     def _send_one(self, number: int) -> Accepted:
         kind = "reinstate" if number % 2 else "withdraw"
         sent = Change(f"{self._prefix}-{number}", kind, self._base)
-        for tries in range(1, MAX_TRIES + 1):
+        for tries in range(1, MAX_ATTEMPTS + 1):
             port = self._ports[(number + tries) % len(self._ports)]
             answer = send_change(port, sent)
             if answer.status == 200:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
@@ -17,12 +17,17 @@
 from sycamorestand_control.operator_api.routes import PREFIX
 
 OPERATOR_KEY: Final = "demo-guild-operator"
-COMMAND_BOUND_S: Final = 60
-TIMEOUT: Final = {"connect": 5.0, "read": 20.0, "write": 5.0, "pool": 20.0}
+COMMAND_TIMEOUT_S: Final = 60
+REQUEST_TIMEOUT: Final = {
+    "connect": 5.0,
+    "read": 20.0,
+    "write": 5.0,
+    "pool": 20.0,
+}
 NO_ANSWER: Final = 0
 
 
-class Done(NamedTuple):
+class CommandResult(NamedTuple):
     """How a command ended and what it printed."""
 
     status: int
@@ -39,7 +44,7 @@
 
 def sycactl(
     folder: Path, ports: list[int], *arguments: str, key: str = ADMIN_KEY
-) -> Done:
+) -> CommandResult:
     """Run one command against control processes and wait for its end."""
     key_file = folder / f"{key}.key"
     key_file.write_text(key)
@@ -53,11 +58,11 @@
         [str(program), *arguments, "--json"],
         env=environment,
         capture_output=True,
-        timeout=COMMAND_BOUND_S,
+        timeout=COMMAND_TIMEOUT_S,
         check=False,
     )
     answer = msgspec.json.decode(done.stdout) if done.stdout else None
-    return Done(done.returncode, answer, done.stderr.decode())
+    return CommandResult(done.returncode, answer, done.stderr.decode())
 
 
 def query(port: int, path: str) -> Answer:
@@ -96,7 +101,7 @@
             f"http://127.0.0.1:{port}{PREFIX}{path}",
             headers={"Authorization": f"Bearer {ADMIN_KEY}"},
             content=msgspec.json.encode(body) if body is not None else None,
-            extensions={"timeout": TIMEOUT},
+            extensions={"timeout": REQUEST_TIMEOUT},
         )
     except (
         httpcore.NetworkError,
@@ -111,7 +116,7 @@
     "Answer",
     "query",
     "change",
-    "Done",
+    "CommandResult",
     "transfer_leadership",
     "NO_ANSWER",
     "OPERATOR_KEY",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
@@ -30,7 +30,7 @@
 from sycamorestand_bench.system.calls import chat
 from sycamorestand_bench.system.calls import order
 from sycamorestand_bench.system.fault_proxy import FaultProxy
-from sycamorestand_bench.system.operators import Done
+from sycamorestand_bench.system.operators import CommandResult
 from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.operators import sycactl
 from sycamorestand_model.backend_servers import Announcement
@@ -47,14 +47,14 @@
 ENTRIES: Final = ("entry-1", "entry-2", "entry-3")
 # The entry that tests suspend, kill and stop.
 VICTIM: Final = "entry-2"
-BOUND_S: Final = 30.0
-POLL_S: Final = 0.05
-CALLERS: Final = 24
+WAIT_TIMEOUT_S: Final = 30.0
+POLL_INTERVAL_S: Final = 0.05
+MAX_CALLERS: Final = 24
 # Under the bound that control processes set, 10 s.
-STEADY_LEASE_S: Final = 9.0
-PROBE: Final = "ready"
+LONG_LEASE_S: Final = 9.0
+PROBE_PREFIX: Final = "ready"
 # One step, so that a chat runs on the version that the test expects.
-ONE_STEP: Final = """\
+ONE_STEP_PROFILE: Final = """\
 [profiles.quote-helper]
 steps = [{ model = "nest-small" }]
 quality_target = 0.5
@@ -66,18 +66,18 @@
     """A cluster in which every process is reached through a gate."""
 
     def __init__(
-        self, folder: Path, open_gate: Callable[[FaultProxy], None]
+        self, folder: Path, start_proxy: Callable[[FaultProxy], None]
     ) -> None:
         super().__init__(folder)
         self.proxies: dict[str, FaultProxy] = {}
-        self._open_gate = open_gate
+        self._start_proxy = start_proxy
 
     def _start(self, name: str, role: str, **settings: str) -> None:
         gate = self.proxies.get(name)
         if gate is None:
             gate = FaultProxy(settings["peer_address"], free_address())
             self.proxies[name] = gate
-            self._open_gate(gate)
+            self._start_proxy(gate)
         settings["peer_listen"] = gate.target
         super()._start(name, role, **settings)
 
@@ -94,14 +94,14 @@
         self.declarations = folder / "declarations"
         self.world = World()
         self._examples = examples
-        self._exits = ExitStack()
+        self._exit_stack = ExitStack()
 
     def __enter__(self) -> System:
-        self._exits.__enter__()
+        self._exit_stack.__enter__()
         try:
             self._start()
         except BaseException:
-            self._exits.close()
+            self._exit_stack.close()
             raise
         return self
 
@@ -111,7 +111,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self._exits.close()
+        self._exit_stack.close()
 
     @property
     def ports(self) -> list[int]:
@@ -126,7 +126,7 @@
         """Return where callers reach an entry."""
         return f"127.0.0.1:{self.cluster.entries[name].port}"
 
-    def sycactl(self, *arguments: str) -> Done:
+    def sycactl(self, *arguments: str) -> CommandResult:
         """Run a command that has to succeed."""
         done = sycactl(self.folder, self.ports, *arguments)
         assert done.status == 0, (arguments, done)
@@ -235,8 +235,8 @@
             time.time_ns(),
             1,
             versions,
-            capacity=CALLERS,
-            lease_s=STEADY_LEASE_S,
+            capacity=MAX_CALLERS,
+            lease_s=LONG_LEASE_S,
         )
         status = self._portal.call(
             announce_once, self.entry(entry), BACKEND_KEY, announcement
@@ -258,20 +258,24 @@
     def wait_serving(self, *entries: str) -> None:
         """Wait until entries answer a chat and order call."""
         for name in entries:
-            wait_for(functools.partial(self._serves, name), f"{name} serves")
+            wait_for(
+                functools.partial(self._is_serving, name), f"{name} serves"
+            )
 
     def _start(self) -> None:
-        self._portal = self._exits.enter_context(start_blocking_portal())
-        _, tasks = self._portal.start_task(_hold_tasks)
+        self._portal = self._exit_stack.enter_context(start_blocking_portal())
+        _, tasks = self._portal.start_task(_run_task_group)
         self.tasks = tasks
-        self._exits.callback(self._portal.call, tasks.cancel_scope.cancel)
+        self._exit_stack.callback(self._portal.call, tasks.cancel_scope.cancel)
         self.cluster = ProxiedCluster(
             self.folder,
             lambda gate: self._portal.call(tasks.start, gate.run),
         )
-        self.pool = self._exits.enter_context(ThreadPoolExecutor(CALLERS))
+        self.pool = self._exit_stack.enter_context(
+            ThreadPoolExecutor(MAX_CALLERS)
+        )
         # Ended before the pool, so that no caller waits for a lost entry.
-        self._exits.enter_context(self.cluster)
+        self._exit_stack.enter_context(self.cluster)
         self._start_processes()
         self._apply_declarations()
         # An entry that tests suspend or kill would hold the announcers up;
@@ -298,7 +302,7 @@
     def _apply_declarations(self) -> None:
         shutil.copytree(self._examples / "guild", self.declarations)
         profile = self.declarations / "profiles" / "quote-helper.toml"
-        profile.write_text(ONE_STEP)
+        profile.write_text(ONE_STEP_PROFILE)
         self.sycactl("apply", str(self.declarations), "--wait")
 
     def _all_vote(self) -> bool:
@@ -319,14 +323,14 @@
                     return addresses[row["address"]]
         return ""
 
-    def _serves(self, name: str) -> bool:
+    def _is_serving(self, name: str) -> bool:
         address = self.entry(name)
-        chatted = chat(address, new_key(PROBE))
-        ordered = order(address, new_key(PROBE))
+        chatted = chat(address, new_key(PROBE_PREFIX))
+        ordered = order(address, new_key(PROBE_PREFIX))
         return chatted.run == ordered.run == ANSWERED
 
 
-async def _hold_tasks(*, task_status: TaskStatus[TaskGroup]) -> None:
+async def _run_task_group(*, task_status: TaskStatus[TaskGroup]) -> None:
     async with anyio.create_task_group() as tasks:
         task_status.started(tasks)
         await anyio.sleep_forever()
@@ -334,18 +338,18 @@
 
 def is_probe(request_key: str) -> bool:
     """Tell whether a key is of a call that asks whether an entry serves."""
-    return request_key.startswith(f"{PROBE}-")
+    return request_key.startswith(f"{PROBE_PREFIX}-")
 
 
-def wait_for(condition: Callable[[], Any], what: str) -> Any:
+def wait_for(condition: Callable[[], Any], awaited: str) -> Any:
     """Return what a condition returns as soon as that is true."""
-    until_s = time.monotonic() + BOUND_S
+    until_s = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < until_s:
         found = condition()
         if found:
             return found
-        time.sleep(POLL_S)
-    raise AssertionError(f"waited {BOUND_S} s in vain for {what}")
+        time.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"waited {WAIT_TIMEOUT_S} s in vain for {awaited}")
 
 
 __all__ = [
--- a/packages/sycamorestand-bench/tests/quickstart/test_checks.py
+++ b/packages/sycamorestand-bench/tests/quickstart/test_checks.py
@@ -13,8 +13,8 @@
 from sycamorestand_bench.fakes.service import ServiceRecord
 from sycamorestand_bench.quickstart.caller import Answer
 from sycamorestand_bench.quickstart.caller import Call
+from sycamorestand_bench.quickstart.checks import Baselines
 from sycamorestand_bench.quickstart.checks import compare
-from sycamorestand_bench.quickstart.checks import Marks
 from sycamorestand_bench.quickstart.checks import MUST_BE_ZERO
 from sycamorestand_bench.quickstart.world import World
 
@@ -35,12 +35,12 @@
     return {"customer": "dalton", "request_key": key, "cost_micros": 10}
 
 
-def run(engine: FakeEngine, key: str, version: str) -> None:
+def record_run(engine: FakeEngine, key: str, version: str) -> None:
     headers = {"x-request-key": key, "x-customer": "dalton"}
     engine.records.append(EngineRecord(headers, version))
 
 
-class Scene:
+class QuickstartResult:
     """A run without a fault, which each test spoils in one way."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self.world.services.append(self.service)
         self.answers = [answered(chat("a", "s")), answered(chat("b", "s"))]
         self.bills = [bill("a"), bill("b")]
-        self.marks = Marks(WITHDRAWN, 0, "small-2", 0, 0, 0)
+        self.marks = Baselines(WITHDRAWN, 0, "small-2", 0, 0, 0)
 
     def faults(self) -> set[str]:
         figures = compare(
@@ -66,48 +66,62 @@
 
 
 @pytest.fixture
-def scene() -> Scene:
-    return Scene()
+def result() -> QuickstartResult:
+    return QuickstartResult()
 
 
 class TestCompare:
-    def test_a_whole_run_has_no_fault(self, scene: Scene) -> None:
-        assert scene.faults() == set()
-
-    def test_another_requests_answer_is_seen(self, scene: Scene) -> None:
-        spoilt = scene.answers[0]._replace(text=scene.answers[1].text)
-        scene.answers[0] = spoilt
-        assert scene.faults() == {"not_whole"}
-
-    def test_a_missing_token_is_seen(self, scene: Scene) -> None:
-        whole = scene.answers[0]
-        scene.answers[0] = whole._replace(text=whole.text[:-4])
-        assert scene.faults() == {"not_whole"}
-
-    def test_a_moved_session_is_seen(self, scene: Scene) -> None:
-        scene.answers[1] = answered(chat("b", "s"), WITHDRAWN)
-        assert scene.faults() == {"sessions_moved"}
-
-    def test_a_run_after_the_withdrawal_is_seen(self, scene: Scene) -> None:
-        scene.marks = scene.marks._replace(leaving_server="large-1")
-        run(scene.engine, "a", WITHDRAWN)
-        assert scene.faults() == {"runs_after_withdrawal"}
-
-    def test_a_run_after_the_leaving_is_seen(self, scene: Scene) -> None:
-        run(scene.engine, "a", CHEAP)
-        assert scene.faults() == {"runs_after_leaving"}
-
-    def test_a_run_on_a_version_not_allowed_is_seen(
-        self, scene: Scene
+    def test_faultless_run_has_no_fault(
+        self, result: QuickstartResult
     ) -> None:
-        scene.marks = scene.marks._replace(leaving_server="large-1")
-        run(scene.engine, "a", "nest-large@2")
-        assert scene.faults() == {"runs_disallowed"}
+        assert result.faults() == set()
 
-    def test_an_order_that_ran_twice_is_seen(self, scene: Scene) -> None:
+    def test_answer_of_another_request_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        spoilt = result.answers[0]._replace(text=result.answers[1].text)
+        result.answers[0] = spoilt
+        assert result.faults() == {"not_whole"}
+
+    def test_truncated_answer_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        whole = result.answers[0]
+        result.answers[0] = whole._replace(text=whole.text[:-4])
+        assert result.faults() == {"not_whole"}
+
+    def test_session_on_two_versions_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        result.answers[1] = answered(chat("b", "s"), WITHDRAWN)
+        assert result.faults() == {"sessions_moved"}
+
+    def test_run_after_withdrawal_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        result.marks = result.marks._replace(leaving_server="large-1")
+        record_run(result.engine, "a", WITHDRAWN)
+        assert result.faults() == {"runs_after_withdrawal"}
+
+    def test_run_on_left_server_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        record_run(result.engine, "a", CHEAP)
+        assert result.faults() == {"runs_after_leaving"}
+
+    def test_run_on_disallowed_version_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        result.marks = result.marks._replace(leaving_server="large-1")
+        record_run(result.engine, "a", "nest-large@2")
+        assert result.faults() == {"runs_disallowed"}
+
+    def test_order_that_ran_twice_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
         record = ServiceRecord("o", "dalton", "POST", "/orders/o", b"")
-        scene.service.records += [record, record]
-        assert scene.faults() == {"doubled_runs"}
+        result.service.records += [record, record]
+        assert result.faults() == {"doubled_runs"}
 
     @pytest.mark.parametrize(
         ("bills", "fault"),
@@ -117,12 +131,14 @@
             ([bill("a"), bill("b"), bill("c")], "charges_unasked"),
         ],
     )
-    def test_each_wrong_charge_is_seen(
-        self, scene: Scene, bills: list[dict[str, Any]], fault: str
+    def test_wrong_charge_is_counted(
+        self, result: QuickstartResult, bills: list[dict[str, Any]], fault: str
     ) -> None:
-        scene.bills = bills
-        assert scene.faults() == {fault}
+        result.bills = bills
+        assert result.faults() == {fault}
 
-    def test_a_request_without_an_answer_is_seen(self, scene: Scene) -> None:
-        scene.answers.append(Answer(chat("c"), "not_run", "overloaded"))
-        assert scene.faults() == {"unanswered"}
+    def test_unanswered_request_is_counted(
+        self, result: QuickstartResult
+    ) -> None:
+        result.answers.append(Answer(chat("c"), "not_run", "overloaded"))
+        assert result.faults() == {"unanswered"}
--- a/packages/sycamorestand-bench/tests/soak/test_checks.py
+++ b/packages/sycamorestand-bench/tests/soak/test_checks.py
@@ -9,34 +9,34 @@
 
 from sycamorestand_bench.fakes.engine import expected_text
 from sycamorestand_bench.quickstart.caller import Answer
+from sycamorestand_bench.quickstart.caller import Attempt
 from sycamorestand_bench.quickstart.caller import Call
-from sycamorestand_bench.quickstart.caller import Try
 from sycamorestand_bench.soak.checks import check
+from sycamorestand_bench.soak.checks import Observations
 from sycamorestand_bench.soak.checks import Run
-from sycamorestand_bench.soak.checks import Seen
 from sycamorestand_bench.soak.injector import Event
 from sycamorestand_bench.soak.injector import PlannedStop
-from sycamorestand_bench.soak.operating import Withdrawn
+from sycamorestand_bench.soak.operator import WithdrawnPeriod
 from sycamorestand_bench.system.changes import Accepted
 from sycamorestand_bench.system.changes import Change
 
 SMALL = "nest-small@3"
 NEW = "nest-small@4"
 ENTRY = "127.0.0.1:4000"
-CALM = Try("answered", "", ENTRY, 1.0, 2.0)
-CUT = Try("cut", "ReadError", ENTRY, 101.0, 102.0)
-REFUSED = Try("not_run", "no_lease", ENTRY, 1.0, 1.1)
+BEFORE_STOP = Attempt("answered", "", ENTRY, 1.0, 2.0)
+CUT = Attempt("cut", "ReadError", ENTRY, 101.0, 102.0)
+REFUSED = Attempt("not_run", "no_lease", ENTRY, 1.0, 1.1)
 
-Spoil = Callable[[Seen], Seen]
+AddFault = Callable[[Observations], Observations]
 
 
 def chat(key: str, version: str = SMALL, session: str = "s") -> Answer:
     call = Call("chat", "dalton", key, tokens=4, session=session)
     text = expected_text(version, key, 4)
-    return Answer(call, "answered", "", text, version, tries=(CALM,))
+    return Answer(call, "answered", "", text, version, tries=(BEFORE_STOP,))
 
 
-def order(key: str, *tries: Try) -> Answer:
+def order(key: str, *tries: Attempt) -> Answer:
     call = Call("order", "dalton", key, path=f"/orders/{key}")
     return Answer(call, tries[-1].run, text=call.path, tries=tries)
 
@@ -45,11 +45,11 @@
     return {"customer": "dalton", "request_key": key}
 
 
-def seen() -> Seen:
+def faultless_observations() -> Observations:
     """Return a soak without a fault, which each test spoils in one way."""
     change = Change("c1", "withdraw", 1)
-    return Seen(
-        answers=[chat("a"), chat("b"), order("o", CALM)],
+    return Observations(
+        answers=[chat("a"), chat("b"), order("o", BEFORE_STOP)],
         runs=[
             Run("dalton", "a", SMALL, "POST"),
             Run("dalton", "b", SMALL, "POST"),
@@ -59,7 +59,7 @@
             {"customer": "dalton", "request_key": key}
             for key in ("a", "b", "o")
         ],
-        withdrawn=[Withdrawn(NEW, 10.0, 11.0, 0)],
+        withdrawn=[WithdrawnPeriod(NEW, 10.0, 11.0, 0)],
         runs_after_leaving={"small-1": 0},
         accepted=[Accepted(change, 7, 1)],
         audits={"control-1": [{"change_id": "c1", "revision": 7}]},
@@ -70,55 +70,55 @@
     )
 
 
-def add_run(run: Run) -> Spoil:
+def add_run(run: Run) -> AddFault:
     return lambda s: s._replace(runs=[*s.runs, run])
 
 
-def add_answer(answer: Answer) -> Spoil:
+def add_answer(answer: Answer) -> AddFault:
     return lambda s: s._replace(answers=[*s.answers, answer])
 
 
-def add_bill(key: str) -> Spoil:
+def add_bill(key: str) -> AddFault:
     return lambda s: s._replace(bills=[*s.bills, bill(key)])
 
 
-def drop_bill(s: Seen) -> Seen:
+def drop_bill(s: Observations) -> Observations:
     return s._replace(bills=s.bills[1:])
 
 
-def cut_text(s: Seen) -> Seen:
+def truncate_answer(s: Observations) -> Observations:
     half = s.answers[0]._replace(text=s.answers[0].text[:-1])
     return s._replace(answers=[half, *s.answers[1:]])
 
 
-def refuse_what_ran(s: Seen) -> Seen:
+def add_refused_order_that_ran(s: Observations) -> Observations:
     spoilt = add_answer(order("r", REFUSED, REFUSED))(s)
     return add_run(Run("dalton", "r", "portal", "POST"))(spoilt)
 
 
-def cut_in_the_stop(s: Seen) -> Seen:
-    cut = s.answers[0]._replace(tries=(CUT, CALM))
+def add_cut_during_stop(s: Observations) -> Observations:
+    cut = s.answers[0]._replace(tries=(CUT, BEFORE_STOP))
     return s._replace(answers=[cut, *s.answers[1:]])
 
 
-FAULTS: list[tuple[str, Spoil]] = [
+FAULTS: list[tuple[str, AddFault]] = [
     ("allowed version", add_run(Run("dalton", "a", NEW, "POST"))),
     (
         "withdrawn version",
-        lambda s: s._replace(withdrawn=[Withdrawn(NEW, 1.0, 2.0, 3)]),
+        lambda s: s._replace(withdrawn=[WithdrawnPeriod(NEW, 1.0, 2.0, 3)]),
     ),
     ("session keeps its version", add_answer(chat("a", NEW))),
     ("billed once", add_bill("a")),
     ("billed once", add_bill("x")),
     ("billed once", drop_bill),
-    ("whole answer", cut_text),
-    ("not run is true", refuse_what_ran),
+    ("whole answer", truncate_answer),
+    ("not run is true", add_refused_order_that_ran),
     ("at most once", add_run(Run("dalton", "o", "portal", "POST"))),
     (
         "leaving server",
         lambda s: s._replace(runs_after_leaving={"small-1": 2}),
     ),
-    ("planned stop", cut_in_the_stop),
+    ("planned stop", add_cut_during_stop),
     (
         "planned stop",
         lambda s: s._replace(stops=[PlannedStop("entry-1", 100.0, 104.0, -9)]),
@@ -134,31 +134,36 @@
 
 
 class TestCheck:
-    def test_nothing_is_found_where_nothing_is(self) -> None:
-        assert check(seen()) == []
+    def test_no_findings_without_fault(self) -> None:
+        assert check(faultless_observations()) == []
 
     @pytest.mark.parametrize(("promise", "spoil"), FAULTS)
     def test_each_broken_promise_is_found(
-        self, promise: str, spoil: Spoil
+        self, promise: str, spoil: AddFault
     ) -> None:
-        found = {finding.promise for finding in check(spoil(seen()))}
+        found = {
+            finding.promise
+            for finding in check(spoil(faultless_observations()))
+        }
         assert found == {promise}
 
-    def test_a_cut_beside_another_fault_is_not_the_stop(self) -> None:
+    def test_cut_during_another_fault_is_not_blamed_on_stop(self) -> None:
         # A backend server is harmed during the stop: the stream may have
         # broken off for that.
         harmed = Event(101.0, "server_cut", "small-1")
-        spoilt = cut_in_the_stop(seen())
+        spoilt = add_cut_during_stop(faultless_observations())
         spoilt = spoilt._replace(events=[*spoilt.events, harmed])
         assert check(spoilt) == []
 
     @pytest.mark.parametrize(("after_s", "count"), [(0.9, 0), (5.0, 1)])
-    def test_a_stop_before_the_process_takes_signals(
+    def test_sigterm_status_is_a_finding_only_after_start_up(
         self, after_s: float, count: int
     ) -> None:
         # The interpreter is still importing: the signal ends it, and it
         # had begun nothing. Later on that status is a fault.
         start = Event(100.0 - after_s, "start", "entry-1")
         stop = PlannedStop("entry-1", 100.0, 100.1, -SIGTERM)
-        spoilt = seen()._replace(stops=[stop], events=[start])
+        spoilt = faultless_observations()._replace(
+            stops=[stop], events=[start]
+        )
         assert len(check(spoilt)) == count
--- a/packages/sycamorestand-bench/tests/soak/test_schedule.py
+++ b/packages/sycamorestand-bench/tests/soak/test_schedule.py
@@ -10,7 +10,7 @@
 from sycamorestand_bench.soak.schedule import decode
 from sycamorestand_bench.soak.schedule import draw
 from sycamorestand_bench.soak.schedule import encode
-from sycamorestand_bench.soak.schedule import KINDS
+from sycamorestand_bench.soak.schedule import FAULT_KINDS
 from sycamorestand_bench.soak.schedule import WIPE_INTERVAL_S
 
 SEEDS = strategies.integers(min_value=0, max_value=2**32)
@@ -22,7 +22,7 @@
         assert draw(7, 20.0, targets()) != draw(8, 20.0, targets())
 
     @given(SEEDS)
-    def test_no_two_disks_are_lost_at_once(self, seed: int) -> None:
+    def test_wipes_leave_time_for_repair(self, seed: int) -> None:
         # Two of three voters with empty disks have lost what was
         # accepted; no system with three could keep it.
         steps = draw(seed, 60.0, targets()).steps
@@ -30,18 +30,18 @@
         for before_s, after_s in zip(wiped, wiped[1:], strict=False):
             assert after_s - before_s >= WIPE_INTERVAL_S
 
-    def test_every_kind_of_fault_comes(self) -> None:
+    def test_every_kind_of_fault_is_drawn(self) -> None:
         drawn = {
             step.fault
             for seed in range(40)
             for step in draw(seed, 20.0, targets()).steps
         }
-        assert drawn == set(KINDS)
+        assert drawn == set(FAULT_KINDS)
 
 
 class TestFile:
     @given(SEEDS)
-    def test_a_schedule_comes_back_as_it_was(self, seed: int) -> None:
+    def test_decode_returns_the_encoded_schedule(self, seed: int) -> None:
         schedule = draw(seed, 20.0, targets())
         again = decode(encode(schedule))
         assert again.steps == schedule.steps
@@ -50,6 +50,6 @@
     @pytest.mark.parametrize(
         "text", [b"", b"seed 1\n", b"seed 1 length_s 5\n1.0 melt entry-1 2\n"]
     )
-    def test_what_cannot_be_read_is_named(self, text: bytes) -> None:
+    def test_unreadable_schedule_raises_value_error(self, text: bytes) -> None:
         with pytest.raises(ValueError, match="not"):
             decode(text)
--- a/packages/sycamorestand-bench/tests/soak/test_soak.py
+++ b/packages/sycamorestand-bench/tests/soak/test_soak.py
@@ -44,7 +44,7 @@
         assert outcome.figures["answered"] > 0
 
     @pytest.mark.parametrize("case", CASES, ids=lambda path: path.stem)
-    def test_a_schedule_that_once_failed(
+    def test_promises_hold_for_regression_schedule(
         self, tmp_path: Path, case: Path
     ) -> None:
         """Each file begins with a line on what it showed and the cause."""
@@ -53,7 +53,7 @@
 
 
 class TestLogs:
-    def test_a_folder_that_is_not_there_is_made(self, tmp_path: Path) -> None:
+    def test_missing_log_folder_is_created(self, tmp_path: Path) -> None:
         """The command ended with a traceback before it played anything."""
         folder = make_folder(tmp_path / "new" / "logs")
         assert folder.is_dir()
