--- a/packages/sycamorestand-bench/src/sycamorestand_bench/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes, load tool, bench scenarios and reports."""
+"""Provide fakes, load generators, bench scenarios and reports."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/__main__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the scenario named first: ``dev/bench NAME [options]``."""
+"""Run a scenario by its name: ``dev/bench NAME [options]``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one scenario with the remaining arguments; return its status."""
+    """Run the scenario that the first argument names.
+
+    The scenario gets the remaining arguments. Return its exit status, or 2
+    where the name is missing or unknown.
+    """
     names = sorted(m.name for m in pkgutil.iter_modules(scenarios.__path__))
     if not arguments or arguments[0] not in names:
         print(f"usage: dev/bench NAME [options]; NAME is one of {names}")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/addresses.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on loopback that are free now."""
+"""Find free TCP addresses on loopback."""
 
 from __future__ import annotations
 
@@ -7,25 +7,31 @@
 import socket
 from typing import Final
 
-# Below the ports that outgoing connections get: while a process was down,
-# such a connection of anybody took its port, and it could not start again.
+# Below the ephemeral ports: an outgoing connection of any process could
+# otherwise take the port of a process that is down, which then could not
+# start again.
 FIRST_PORT: Final = 12_000
-# Each process of tests draws from a part of its own, as two that run at
-# once would take each other's ports while a process is down.
+# Each test process draws from a range that depends on its process id. Two
+# test runs at once could otherwise take each other's ports while a process
+# under test is down.
 PORT_RANGES: Final = 40
 PORTS_PER_RANGE: Final = 500
 _ASSIGNED: Final[set[int]] = set()
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on, another one each time."""
+    """Return a port that no process listens on.
+
+    A port is not returned again until half of the range has been assigned.
+    """
     first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_PER_RANGE
     if len(_ASSIGNED) > PORTS_PER_RANGE // 2:
-        # Those of the first tests are free again by now.
+        # The processes of the first tests have ended, so their ports are
+        # free again.
         _ASSIGNED.clear()
-    draw = SystemRandom()
+    random = SystemRandom()
     while True:
-        port = first + draw.randrange(PORTS_PER_RANGE)
+        port = first + random.randrange(PORTS_PER_RANGE)
         if port not in _ASSIGNED and _is_free(port):
             _ASSIGNED.add(port)
             return port
@@ -41,7 +47,7 @@
         try:
             probe.bind(("127.0.0.1", port))
         except OSError:
-            # Somebody has it; another one is drawn.
+            # Another process uses the port; the caller draws another one.
             return False
     return True
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts the product's own processes on loopback, as an operator would."""
+"""Start control and entry processes on loopback, as an operator does."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ControlNode(NamedTuple):
-    """A control process that was started, and where it listens."""
+    """A control process, its listen addresses and its data folder."""
 
     vm: str
     data_centre: str
@@ -39,7 +39,7 @@
 
 
 class EntryNode(NamedTuple):
-    """An entry process that was started, and where it listens."""
+    """An entry process and its listen addresses."""
 
     vm: str
     data_centre: str
@@ -48,9 +48,10 @@
 
 
 class Cluster:
-    """Processes of one system below a folder; leaving it ends them.
+    """Control and entry processes whose files lie below one folder.
 
-    Only processes that it started itself are ended, by their id.
+    Leaving the context kills the processes that this cluster started and
+    that still run, each by its id. It touches no other process.
     """
 
     def __init__(self, folder: Path, log_level: str = "INFO") -> None:
@@ -86,7 +87,10 @@
         voters_wanted: int = 3,
         ledger_shards: int = 1,
     ) -> ControlNode:
-        """Start a control process; a known name starts on its old data."""
+        """Start a control process.
+
+        A name that was started before keeps its addresses and data folder.
+        """
         node = self.controls.get(vm)
         if node is None:
             data_folder = self.folder / vm
@@ -119,7 +123,10 @@
         rating_url: str = "",
         address_ttl_s: float = 1.0,
     ) -> EntryNode:
-        """Start an entry process that knows every control process."""
+        """Start an entry process with the addresses of all control processes.
+
+        A name that was started before keeps its addresses.
+        """
         node = self.entries.get(vm)
         if node is None:
             node = EntryNode(vm, data_centre, free_address(), free_port())
@@ -139,48 +146,58 @@
         return node
 
     def pid(self, name: str) -> int:
-        """Return the process id of a running node."""
+        """Return the process id of a running process."""
         return self._running[name].pid
 
     def send_signal(self, name: str, number: Signals) -> None:
-        """Send a signal to one node, for example SIGSTOP."""
+        """Send a signal to one process, for example SIGSTOP."""
         self._running[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a node at once, as a lost VM does."""
+        """Kill a process at once, as the loss of its VM does."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def stop(self, name: str) -> int:
-        """Ask a node to stop as planned; return its exit status."""
+        """Send SIGTERM for a planned stop and return the exit status.
+
+        Raises `subprocess.TimeoutExpired` after `STOP_TIMEOUT_S`.
+        """
         process = self._running.pop(name)
         process.terminate()
         return process.wait(timeout=STOP_TIMEOUT_S)
 
     def terminate(self, name: str) -> None:
-        """Ask a node to stop as planned, without waiting for its end."""
+        """Send SIGTERM for a planned stop without waiting for the end."""
         self._running[name].terminate()
 
     def exit_status(self, name: str) -> int | None:
-        """Return how a node has ended, None while it runs."""
+        """Return the exit status of a process.
+
+        Return None while the process runs and for an unknown name.
+        """
         process = self._running.get(name)
         return None if process is None else process.poll()
 
     def is_started(self, name: str) -> bool:
-        """Tell whether a node was started and not ended from here."""
+        """Tell whether a process was started and not yet removed or killed."""
         return name in self._running
 
     def remove_ended(self, name: str) -> None:
-        """Take a node that has ended off the list of running ones."""
+        """Remove a process that has ended from the running ones."""
         del self._running[name]
 
     def log_text(self, name: str) -> str:
-        """Return what a node has logged."""
+        """Return the whole log of a process."""
         return (self.folder / f"{name}.log").read_text()
 
     def wait_ready(self, *names: str) -> None:
-        """Wait until nodes answer their readiness question with 200."""
+        """Wait until ``/readyz`` of each process answers with 200.
+
+        Raises `RuntimeError` with the log of a process that ends or is not
+        ready after `READY_TIMEOUT_S`.
+        """
         for name in names:
             port = (
                 self.controls[name].operator_port
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/__init__.py
@@ -1,1 +1,1 @@
-"""What tests of the whole system need: processes, gates and callers."""
+"""Provide processes, fault proxies and callers to system tests."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/calls.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/calls.py
@@ -1,4 +1,4 @@
-"""One call at one entry, without the retries that callers make."""
+"""Make single calls at one entry, without the retries of real callers."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 
 
 class Reply(NamedTuple):
-    """What the caller got; ``run`` is `ANSWERED` or what a refusal says.
+    """The outcome of a call.
 
-    ``run`` is ``cut`` where the connection or the stream broke off.
+    ``run`` is `ANSWERED`, the ``run`` field of a refusal, or ``cut`` where
+    the connection or the stream ended early.
     """
 
     run: str
@@ -38,7 +39,7 @@
 
 
 class Response(NamedTuple):
-    """The parts of an HTTP answer that say how a call ended."""
+    """Status, headers with lower-case names, and body of an HTTP answer."""
 
     status: int
     headers: Mapping[str, str]
@@ -46,7 +47,7 @@
 
 
 class Pending(NamedTuple):
-    """A call whose request is written and whose answer is not read."""
+    """A call whose request is written and whose answer is not yet read."""
 
     connection: HTTPConnection
     read: Callable[[Response], Reply]
@@ -59,7 +60,7 @@
     session: str = "",
     tokens: int = 8,
 ) -> Reply:
-    """Make one streamed chat call and read its answer to the end."""
+    """Make one streamed chat call and return its outcome."""
     pending = begin_chat(address, request_key, session=session, tokens=tokens)
     return finish(pending)
 
@@ -71,7 +72,11 @@
     session: str = "",
     tokens: int = 8,
 ) -> Pending | Reply:
-    """Write a chat call's request, also where nobody reads it yet."""
+    """Write the request of a chat call without waiting for the answer.
+
+    This also works while the entry is suspended: the kernel accepts the
+    connection and the request. Return a `Reply` where writing fails.
+    """
     headers = _headers(request_key)
     if session:
         headers["X-Session"] = session
@@ -86,7 +91,7 @@
 
 
 def order(address: str, request_key: str) -> Reply:
-    """Order a sheet, which must not be done twice for one key."""
+    """Order a sheet; the service must run an order once for each key."""
     path = f"/services/portal/orders/{request_key}"
     headers = _headers(request_key)
     body = {"sheet": "16ga"}
@@ -94,7 +99,7 @@
 
 
 def finish(pending: Pending | Reply) -> Reply:
-    """Read the answer to a call."""
+    """Read the answer to a pending call; return a `Reply` as it is."""
     if isinstance(pending, Reply):
         return pending
     try:
@@ -107,7 +112,7 @@
 
 
 def readiness(address: str, timeout_s: float = TIMEOUT_S) -> dict[str, Any]:
-    """Return an entry's own word on its lease and its revision."""
+    """Return the body of an entry's ``/readyz``: its lease and revision."""
     connection = HTTPConnection(address, timeout=timeout_s)
     connection.request("GET", "/readyz")
     content: dict[str, Any] = msgspec.json.decode(
@@ -117,7 +122,7 @@
 
 
 def is_whole(reply: Reply, request_key: str, tokens: int) -> bool:
-    """Tell whether a chat answer is all of its own request's answer."""
+    """Tell whether a chat answer is complete and belongs to the request."""
     expected = expected_text(reply.version, request_key, tokens)
     return reply.run == ANSWERED and reply.text == expected
 
@@ -140,9 +145,9 @@
 
 def _read_response(connection: HTTPConnection) -> Response:
     try:
-        found = connection.getresponse()
-        headers = {name.lower(): text for name, text in found.getheaders()}
-        return Response(found.status, headers, found.read())
+        answer = connection.getresponse()
+        headers = {name.lower(): text for name, text in answer.getheaders()}
+        return Response(answer.status, headers, answer.read())
     finally:
         connection.close()
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
@@ -1,4 +1,4 @@
-"""A stream of changes that an operator resends until they are accepted."""
+"""Send a stream of changes, each one again until it is accepted."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Change(NamedTuple):
-    """A change as it was sent, each time with the same content."""
+    """A change; every attempt sends the same content."""
 
     change_id: str
     kind: str
@@ -28,7 +28,7 @@
 
 
 class Accepted(NamedTuple):
-    """A change and the revision that its operator was told."""
+    """An accepted change and the revision in the answer to its operator."""
 
     change: Change
     revision: int
@@ -36,10 +36,11 @@
 
 
 class ChangeStream:
-    """Withdraws and reinstates a version in turn, at control processes.
+    """Withdraws and reinstates a version in turn.
 
-    The ports are asked in turn, the next one on any answer that is not
-    final. ``accepted`` holds what the operator knows to be accepted.
+    A change goes to the operator ports in turn: on any answer that is not
+    final, the next port gets it. ``accepted`` holds the changes whose
+    acceptance the operator has seen.
     """
 
     def __init__(self, prefix: str, ports: Sequence[int], base: int) -> None:
@@ -49,7 +50,11 @@
         self._base = base
 
     def send(self, count: int) -> None:
-        """Send changes; each one builds on the one before."""
+        """Send ``count`` changes, each based on the revision of the last.
+
+        Raises `AssertionError` where a change is refused with 409 or 422,
+        or is not accepted after `MAX_ATTEMPTS`.
+        """
         for _ in range(count):
             accepted = self._send_one(len(self.accepted))
             self.accepted.append(accepted)
@@ -63,14 +68,14 @@
             answer = send_change(port, sent)
             if answer.status == 200:
                 return Accepted(sent, answer.body["revision"], tries)
-            # A final refusal of a change that is right is a fault.
+            # Control must never finally refuse a valid change.
             assert answer.status not in (409, 422), (sent, answer)
             time.sleep(RESEND_PAUSE_S)
-        raise AssertionError(f"nobody accepted {sent}")
+        raise AssertionError(f"no control process accepted {sent}")
 
 
 def send_change(port: int, sent: Change, subject: str = SUBJECT) -> Answer:
-    """Send a change to one control process, once."""
+    """Send a change once, to one control process."""
     return change(port, sent.change_id, sent.kind, subject, sent.base_revision)
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/fault_proxy.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A TCP gate before one process, which harms what passes through it.
+"""Inject faults into the TCP connections to one process.
 
-Connections can be closed, refused, silenced for good, held up in one
-direction or both, and delayed, for one sender or for everybody.
+The proxy can close, refuse or blackhole connections and hold back one
+direction, for one sender or for all. It can delay all connections.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from anyio.abc import SocketStream
 from anyio.abc import TaskStatus
 
-# A frame between processes names its sender in the first bytes: 8 bytes of
-# handshake, 8 of length, 16 of authentication code and 2 of msgpack.
+# The sender's address follows the handshake (8 bytes), the length (8), the
+# authentication code (16) and msgpack's markers (2), so that it lies within
+# the first bytes of a connection.
 SENDER_SEARCH_BYTES: Final = 64
 CHUNK_BYTES: Final = 65_536
-# How often what is held up looks whether it may go on.
+# Interval at which held data checks whether `heal` has released it.
 HOLD_POLL_INTERVAL_S: Final = 0.02
 ALL_SENDERS: Final = ""
 UNKNOWN: Final = "unknown"
@@ -29,10 +30,10 @@
 
 
 class FaultProxy:
-    """Passes connections on to ``target``, for each sender or not.
+    """Forwards connections from ``listen`` to ``target`` with faults.
 
-    Every method that names a sender takes `EVERYBODY` too. They are
-    called in the gate's event loop.
+    A sender is the peer address of a process; `ALL_SENDERS` stands for
+    all of them. Call all methods in the event loop that runs the proxy.
     """
 
     def __init__(self, listen: str, target: str) -> None:
@@ -44,15 +45,15 @@
         self._open_connections: list[_Connection] = []
 
     def cut(self, sender: str = ALL_SENDERS) -> None:
-        """Close a sender's connections and refuse it new ones."""
+        """Close a sender's connections and refuse new ones, until `heal`."""
         self._refused_senders.add(sender)
         for connection in self._connections_of(sender):
             connection.scope.cancel()
 
     def reset(self, sender: str = ALL_SENDERS) -> int:
-        """Close a sender's open connections; new ones work.
+        """Close a sender's open connections and return their number.
 
-        Returns how many were closed.
+        New connections work.
         """
         connections = self._connections_of(sender)
         for connection in connections:
@@ -60,28 +61,29 @@
         return len(connections)
 
     def hold(self, inward: bool, sender: str = ALL_SENDERS) -> None:
-        """Keep back what goes in one direction, until `heal`.
+        """Hold back the data of one direction, until `heal`.
 
-        Nothing is lost: as on a link that drops packets one way, what was
-        kept back arrives late. The other direction goes on.
+        ``inward`` is the direction to the target. The data arrives late
+        and none is lost, as on a TCP connection over a link that drops
+        the packets of one direction. The other direction still works.
         """
         self._held_senders[inward].add(sender)
 
     def delay(self, delay_s: float) -> None:
-        """Pass everything on so much later, until `heal`."""
+        """Delay all data in both directions, until `heal`."""
         self._delay_s = delay_s
 
     def heal(self) -> None:
-        """End every fault but for connections that were silenced."""
+        """End every fault; blackholed connections stay silent."""
         self._refused_senders.clear()
         self._held_senders[True].clear()
         self._held_senders[False].clear()
         self._delay_s = 0.0
 
     def blackhole(self, sender: str = ALL_SENDERS) -> int:
-        """Keep a sender's open connections and deliver nothing of them.
+        """Drop all data of a sender's open connections and keep them open.
 
-        New ones work. Returns how many went silent.
+        New connections work. Return the number of silent connections.
         """
         connections = self._connections_of(sender)
         for connection in connections:
@@ -91,7 +93,7 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled."""
+        """Accept and forward connections until cancelled."""
         host, _, port = self.listen.rpartition(":")
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=int(port)
@@ -107,52 +109,62 @@
             if sender in (ALL_SENDERS, c.sender)
         ]
 
-    async def _handle_connection(self, near: SocketStream) -> None:
+    async def _handle_connection(self, client: SocketStream) -> None:
         connection = _Connection()
         try:
-            async with near:
+            async with client:
                 if ALL_SENDERS not in self._refused_senders:
-                    await self._connect_target(connection, near)
+                    await self._connect_target(connection, client)
         except* CONNECTION_ERRORS:
             pass
 
     async def _connect_target(
-        self, connection: _Connection, near: SocketStream
+        self, connection: _Connection, client: SocketStream
     ) -> None:
         host, _, port = self.target.rpartition(":")
-        async with await anyio.connect_tcp(host, int(port)) as far:
+        async with await anyio.connect_tcp(host, int(port)) as server:
             with connection.scope:
-                await self._relay(connection, near, far)
+                await self._relay(connection, client, server)
 
     async def _relay(
-        self, connection: _Connection, near: SocketStream, far: SocketStream
+        self,
+        connection: _Connection,
+        client: SocketStream,
+        server: SocketStream,
     ) -> None:
         self._open_connections.append(connection)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._copy, connection, far, near, False)
-                await self._identify_sender(connection, near, far)
-                await self._copy(connection, near, far, True)
+                tasks.start_soon(self._copy, connection, server, client, False)
+                await self._identify_sender(connection, client, server)
+                await self._copy(connection, client, server, True)
                 tasks.cancel_scope.cancel()
         finally:
             self._open_connections.remove(connection)
 
     async def _identify_sender(
-        self, connection: _Connection, near: SocketStream, far: SocketStream
+        self,
+        connection: _Connection,
+        client: SocketStream,
+        server: SocketStream,
     ) -> None:
-        """Find out who the sender is before any of its frames passes."""
+        """Read the sender from its first frame before forwarding the frame.
+
+        Forward the handshake at once: the sender sends its first frame only
+        after the target's handshake.
+        """
         head = b""
         handshake_bytes = 8
         while len(head) < SENDER_SEARCH_BYTES + handshake_bytes:
-            chunk = await near.receive(CHUNK_BYTES)
+            chunk = await client.receive(CHUNK_BYTES)
             if not head:
-                await far.send(chunk[:handshake_bytes])
+                await server.send(chunk[:handshake_bytes])
             head += chunk
         connection.sender = _parse_sender(head)
         if connection.sender in self._refused_senders:
             connection.scope.cancel()
             await anyio.sleep(0)
-        await far.send(head[handshake_bytes:])
+        await server.send(head[handshake_bytes:])
 
     async def _copy(
         self,
@@ -194,7 +206,8 @@
     start = head.find(marker, 0, SENDER_SEARCH_BYTES)
     if start < 1:
         return UNKNOWN
-    # The byte before is msgpack's: the length of a short string.
+    # The byte before the address is msgpack's marker of a short string,
+    # whose low 5 bits are the length.
     length = head[start - 1] & 0x1F
     return head[start : start + length].decode()
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/operators.py
@@ -1,4 +1,7 @@
-"""Operators of the tests: ``sycactl``, and one control process alone."""
+"""Operate the system under test.
+
+Commands run through ``sycactl``; requests go to a single control process.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 class CommandResult(NamedTuple):
-    """How a command ended and what it printed."""
+    """Exit status, decoded output and error text of a command."""
 
     status: int
     answer: Any
@@ -36,7 +39,7 @@
 
 
 class Answer(NamedTuple):
-    """A control process's answer; `NO_ANSWER` where there was none."""
+    """Status and body of an answer; status `NO_ANSWER` if none came."""
 
     status: int
     body: Any
@@ -45,7 +48,7 @@
 def sycactl(
     folder: Path, ports: list[int], *arguments: str, key: str = ADMIN_KEY
 ) -> CommandResult:
-    """Run one command against control processes and wait for its end."""
+    """Run one ``sycactl`` command against the given operator ports."""
     key_file = folder / f"{key}.key"
     key_file.write_text(key)
     environment = dict(
@@ -54,19 +57,26 @@
         SYCACTL_KEY_FILE=str(key_file),
     )
     program = Path(sys.executable).parent / "sycactl"
-    done = subprocess.run(
+    completed = subprocess.run(
         [str(program), *arguments, "--json"],
         env=environment,
         capture_output=True,
         timeout=COMMAND_TIMEOUT_S,
         check=False,
     )
-    answer = msgspec.json.decode(done.stdout) if done.stdout else None
-    return CommandResult(done.returncode, answer, done.stderr.decode())
+    answer = (
+        msgspec.json.decode(completed.stdout) if completed.stdout else None
+    )
+    return CommandResult(
+        completed.returncode, answer, completed.stderr.decode()
+    )
 
 
 def query(port: int, path: str) -> Answer:
-    """Ask one control process, which may be lost."""
+    """Send a GET to one control process.
+
+    The answer has the status `NO_ANSWER` where the process is unreachable.
+    """
     return _request("GET", port, path, None)
 
 
@@ -77,7 +87,7 @@
     subject: str,
     base_revision: int | None = None,
 ) -> Answer:
-    """Send one change to one control process, once."""
+    """Send one change once, to one control process."""
     body: dict[str, Any] = {
         "change_id": change_id,
         "kind": kind,
@@ -90,7 +100,7 @@
 
 
 def transfer_leadership(port: int) -> Answer:
-    """Have the leader hand the configuration's log to another voter."""
+    """Ask the leader of the configuration log to transfer leadership."""
     return _request("POST", port, "/transfer-leadership", {})
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
@@ -1,4 +1,8 @@
-"""A whole system on loopback: three voters, entries, fakes behind them."""
+"""Run a whole system on loopback for tests.
+
+It has three control processes, all voters, three entries, and fake backend
+servers.
+"""
 
 from __future__ import annotations
 
@@ -50,10 +54,10 @@
 WAIT_TIMEOUT_S: Final = 30.0
 POLL_INTERVAL_S: Final = 0.05
 MAX_CALLERS: Final = 24
-# Under the bound that control processes set, 10 s.
+# Control processes accept leases of at most 10 s.
 LONG_LEASE_S: Final = 9.0
 PROBE_PREFIX: Final = "ready"
-# One step, so that a chat runs on the version that the test expects.
+# A single step lets a chat run on the version that the test expects.
 ONE_STEP_PROFILE: Final = """\
 [profiles.quote-helper]
 steps = [{ model = "nest-small" }]
@@ -63,7 +67,7 @@
 
 
 class ProxiedCluster(Cluster):
-    """A cluster in which every process is reached through a gate."""
+    """A cluster with a fault proxy before the peer port of each process."""
 
     def __init__(
         self, folder: Path, start_proxy: Callable[[FaultProxy], None]
@@ -73,19 +77,19 @@
         self._start_proxy = start_proxy
 
     def _start(self, name: str, role: str, **settings: str) -> None:
-        gate = self.proxies.get(name)
-        if gate is None:
-            gate = FaultProxy(settings["peer_address"], free_address())
-            self.proxies[name] = gate
-            self._start_proxy(gate)
-        settings["peer_listen"] = gate.target
+        proxy = self.proxies.get(name)
+        if proxy is None:
+            proxy = FaultProxy(settings["peer_address"], free_address())
+            self.proxies[name] = proxy
+            self._start_proxy(proxy)
+        settings["peer_listen"] = proxy.target
         super()._start(name, role, **settings)
 
 
 class System:
-    """Starts everything; leaving it ends everything.
+    """Starts processes, fakes and proxies; leaving the context ends them.
 
-    Fakes and gates run in an event loop of a thread of their own, so that
+    Fakes and proxies run in an event loop in a separate thread, so that
     tests are plain functions.
     """
 
@@ -123,33 +127,33 @@
         return self.cluster.controls[control].operator_port
 
     def entry(self, name: str) -> str:
-        """Return where callers reach an entry."""
+        """Return the address at which callers reach an entry."""
         return f"127.0.0.1:{self.cluster.entries[name].port}"
 
     def sycactl(self, *arguments: str) -> CommandResult:
-        """Run a command that has to succeed."""
+        """Run a ``sycactl`` command and assert that it succeeds."""
         done = sycactl(self.folder, self.ports, *arguments)
         assert done.status == 0, (arguments, done)
         return done
 
     def status(self, control: str) -> dict[str, Any]:
-        """Return a control process's status, empty where it is lost."""
+        """Return a control process's status, or {} if it does not answer."""
         answer = query(self.port(control), "/status")
         return answer.body if answer.status == 200 else {}
 
     def query(self, control: str, path: str) -> dict[str, Any]:
-        """Return a control process's answer to a question."""
+        """Return the body of a control process's answer to a GET."""
         answer = query(self.port(control), path)
         assert answer.status == 200, answer
         content: dict[str, Any] = answer.body
         return content
 
     def leader(self) -> str:
-        """Wait for the control process that leads and return its name."""
+        """Wait until a control process leads and return its name."""
         return wait_for(self._find_leader, "a leader")
 
     def restart_control(self, name: str) -> None:
-        """Start a control process on the data that it had."""
+        """Start a control process on its existing data folder."""
         node = self.cluster.controls[name]
         self.cluster.start_control(name, node.data_centre)
 
@@ -163,11 +167,15 @@
     def call_in_loop(
         self, function: Callable[..., Any], *arguments: Any
     ) -> Any:
-        """Call a function where the fakes and gates run."""
+        """Call a function in the event loop of the fakes and proxies."""
         return self._portal.call(function, *arguments)
 
     def replacement_id(self, at: str, control: str) -> str:
-        """Return the id under which a process waits, empty if it doesn't."""
+        """Return the id with which a process waits to replace a voter.
+
+        ``at`` is the control process whose alarms are read. Return "" if
+        they don't name ``control``.
+        """
         for alarm in self.status(at).get("alarms", ()):
             if alarm.startswith(control) and "waits to replace" in alarm:
                 identity: str = alarm.partition("(")[2].partition(")")[0]
@@ -175,7 +183,7 @@
         return ""
 
     def audit(self, control: str) -> list[dict[str, Any]]:
-        """Return a control process's whole audit trail."""
+        """Return all audit entries of a control process, page by page."""
         entries: list[dict[str, Any]] = []
         after = 0
         while True:
@@ -207,11 +215,11 @@
                 return rows
 
     def charges_by_key(self) -> Counter[str]:
-        """Return how many charges each request key has at the leader."""
+        """Return the number of charges of each request key at the leader."""
         return Counter(row["request_key"] for row in self.bills())
 
     def order_run_count(self, request_key: str) -> int:
-        """Return how often the services ran an order."""
+        """Return how many times the services have run an order."""
         return sum(
             record.request_key == request_key and record.method == "POST"
             for service in self.world.services
@@ -221,7 +229,11 @@
     def start_long_lease_engine(
         self, entry: str, versions: tuple[str, ...]
     ) -> None:
-        """Start an engine that an entry knows of through a long cut."""
+        """Start an engine that stays known to an entry while it is cut off.
+
+        The engine announces itself once, to that entry alone, with a lease
+        of `LONG_LEASE_S`.
+        """
         engine = FakeEngine("steady", versions)
         self.world.engines.append(engine)
         address = self._portal.call(
@@ -244,9 +256,10 @@
         assert status == 200, status
 
     def declare_fallback(self) -> None:
-        """Say which version takes over when the cheap one is withdrawn.
+        """Declare version 4 as the fallback of the cheap model's version 3.
 
-        A roll-out that has not begun does not.
+        Without a declared fallback, no version replaces a withdrawn one: a
+        roll-out that has not started does not provide one.
         """
         model = self.declarations / "models" / "nest-small.toml"
         stable = 'stable = "3"'
@@ -256,7 +269,7 @@
         self.sycactl("apply", str(self.declarations), "--wait")
 
     def wait_serving(self, *entries: str) -> None:
-        """Wait until entries answer a chat and order call."""
+        """Wait until each entry answers a chat call and an order."""
         for name in entries:
             wait_for(
                 functools.partial(self._is_serving, name), f"{name} serves"
@@ -269,17 +282,18 @@
         self._exit_stack.callback(self._portal.call, tasks.cancel_scope.cancel)
         self.cluster = ProxiedCluster(
             self.folder,
-            lambda gate: self._portal.call(tasks.start, gate.run),
+            lambda proxy: self._portal.call(tasks.start, proxy.run),
         )
         self.pool = self._exit_stack.enter_context(
             ThreadPoolExecutor(MAX_CALLERS)
         )
-        # Ended before the pool, so that no caller waits for a lost entry.
+        # The cluster ends before the pool, so that no caller in the pool
+        # still waits for an entry.
         self._exit_stack.enter_context(self.cluster)
         self._start_processes()
         self._apply_declarations()
-        # An entry that tests suspend or kill would hold the announcers up;
-        # it hears of the servers through control.
+        # Announcing to an entry that tests suspend or kill would block the
+        # announcers. That entry learns of the servers through control.
         addresses = [self.entry(n) for n in ENTRIES if n != VICTIM]
         self._portal.call(self.world.start_engines, tasks, addresses)
         self._portal.call(self.world.start_services, tasks, addresses)
@@ -337,26 +351,32 @@
 
 
 def is_probe(request_key: str) -> bool:
-    """Tell whether a key is of a call that asks whether an entry serves."""
+    """Tell whether a request key belongs to a call of `wait_serving`."""
     return request_key.startswith(f"{PROBE_PREFIX}-")
 
 
 def wait_for(condition: Callable[[], Any], awaited: str) -> Any:
-    """Return what a condition returns as soon as that is true."""
+    """Poll a condition and return its first true result.
+
+    Raises `AssertionError`, which names what is ``awaited``, after
+    `WAIT_TIMEOUT_S`.
+    """
     until_s = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < until_s:
         found = condition()
         if found:
             return found
         time.sleep(POLL_INTERVAL_S)
-    raise AssertionError(f"waited {WAIT_TIMEOUT_S} s in vain for {awaited}")
+    raise AssertionError(
+        f"timed out after {WAIT_TIMEOUT_S} s waiting for {awaited}"
+    )
 
 
 __all__ = [
     "CONTROLS",
     "ENTRIES",
-    "ProxiedCluster",
     "is_probe",
+    "ProxiedCluster",
     "System",
     "VICTIM",
     "wait_for",
