--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/__init__.py
@@ -1,1 +1,1 @@
-"""Three VMs on loopback, mixed requests, faults, every promise checked."""
+"""Run three VMs on loopback under load and faults, and check promises."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/caller.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the quickstart, as a service at a user would call."""
+"""Call the system as a service of a customer does, with retries."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 RETRY_PAUSE_S: Final = 0.3
 MAX_PAUSE_S: Final = 2.0
 ADDRESSES_TTL_S: Final = 1.0
-# The session's version was withdrawn: asking again cannot help.
+# The session's version is withdrawn, so that a retry cannot succeed.
 FINAL_CODES: Final = ("session_version_withdrawn",)
 TIMEOUT: Final = {"connect": 2.0, "read": 30.0, "write": 5.0, "pool": 30.0}
 
@@ -29,7 +29,7 @@
 
 
 class Call(NamedTuple):
-    """One request as its caller means it, whatever attempts it takes."""
+    """One request of a caller; all its attempts use the same request key."""
 
     kind: str
     customer: str
@@ -42,7 +42,7 @@
 
 
 class Attempt(NamedTuple):
-    """How one attempt ended, at which entry, and when by the clock."""
+    """Outcome, entry and times of one attempt, by `time.monotonic`."""
 
     run: str
     code: str
@@ -52,7 +52,7 @@
 
 
 class Waiting(NamedTuple):
-    """An attempt that has no answer yet, and since when by the clock."""
+    """An attempt without an answer and its start, by `time.monotonic`."""
 
     request_key: str
     address: str
@@ -60,11 +60,12 @@
 
 
 class Answer(NamedTuple):
-    """The last answer that a caller got.
+    """The outcome of a call's last attempt.
 
-    ``run`` is ``answered``, or what the refusal said: ``not_run``,
-    ``ran`` or ``unknown``; ``cut`` where a stream ended without its end.
-    ``tries`` has every attempt, the last one too.
+    ``run`` is ``answered``, the ``run`` field of a refusal (``not_run``,
+    ``ran`` or ``unknown``), or ``cut`` where the connection broke or a
+    stream ended without its last event. ``tries`` has every attempt,
+    including the last one.
     """
 
     call: Call
@@ -78,11 +79,15 @@
     @property
     def cuts(self) -> tuple[Attempt, ...]:
         """Return the attempts that ended without an answer or refusal."""
-        return tuple(one for one in self.tries if one.run == "cut")
+        return tuple(each for each in self.tries if each.run == "cut")
 
 
 class Callers:
-    """Asks the system which addresses to use and keeps the answer."""
+    """Makes calls at the addresses that the system publishes.
+
+    The addresses are cached for `ADDRESSES_TTL_S`. ``waiting`` has the
+    attempts without an answer, by number of their call.
+    """
 
     def __init__(self, first_addresses: Iterable[str]) -> None:
         self._initial_addresses = list(first_addresses)
@@ -94,7 +99,11 @@
         self.waiting: dict[int, Waiting] = {}
 
     async def call(self, call: Call, at: str | None = None) -> Answer:
-        """Make a call until it is answered, with the same request key."""
+        """Make a call, with up to `MAX_ATTEMPTS` attempts.
+
+        ``at`` is the address for the first attempt. Return the first
+        answer or final refusal, or else the outcome of the last attempt.
+        """
         call_number = self._call_count = self._call_count + 1
         try:
             return await self._call(call, at, call_number)
@@ -171,7 +180,7 @@
             code = type(error).__name__
             return Answer(call, "cut", code), RETRY_PAUSE_S
         except (msgspec.DecodeError, UnicodeDecodeError):
-            # A backend server's garbage came with a status of success.
+            # A backend server sent garbage with a successful status.
             return Answer(call, "unknown", "unreadable"), RETRY_PAUSE_S
 
     async def _call_chat(
@@ -196,12 +205,12 @@
             content = await response.aread()
         if response.status != 200:
             return _read_refusal(call, response.headers, content)
-        told = _decode_headers(response.headers)
+        answer_headers = _decode_headers(response.headers)
         if call.stream:
-            return _read_stream(call, content, told)
+            return _read_stream(call, content, answer_headers)
         message = msgspec.json.decode(content)
         text = message["choices"][0]["message"]["content"]
-        version = told.get("x-version", "")
+        version = answer_headers.get("x-version", "")
         return Answer(call, "answered", "", text, version), 0.0
 
     async def _call_service(
@@ -222,7 +231,7 @@
 
 
 def new_key(prefix: str) -> str:
-    """Return a request key that no other caller chooses."""
+    """Return a random request key, unique among all callers."""
     return f"{prefix}-{secrets.token_hex(6)}"
 
 
@@ -250,7 +259,7 @@
 
 
 def _read_stream(
-    call: Call, content: bytes, told: dict[str, str]
+    call: Call, content: bytes, answer_headers: dict[str, str]
 ) -> tuple[Answer, float]:
     parts: list[str] = []
     ended = False
@@ -270,7 +279,7 @@
             parts.append(choice["delta"].get("content") or "")
     if not ended:
         return Answer(call, "cut", "no_end"), 0.1
-    version = told.get("x-version", "")
+    version = answer_headers.get("x-version", "")
     return Answer(call, "answered", "", "".join(parts), version), 0.0
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
@@ -1,4 +1,4 @@
-"""Compares what callers got with what the fakes ran and what was billed."""
+"""Compare the callers' answers with the fakes' runs and the bills."""
 
 from __future__ import annotations
 
@@ -35,7 +35,11 @@
 
 
 class Baselines(NamedTuple):
-    """Counts of runs taken when something had to be over."""
+    """Counts of runs at a withdrawal and a server's leaving.
+
+    A run that begins later breaks a promise. The last two fields are the
+    exit status of the planned stop and the attempts that it cut.
+    """
 
     withdrawn_version: str
     runs_at_withdrawal: int
@@ -53,16 +57,16 @@
     allowed: Mapping[str, frozenset[str]],
     strong_micros: int,
 ) -> dict[str, Any]:
-    """Return every figure of the quickstart's last line.
+    """Return the figures of the quickstart's last line.
 
-    Duplicate requests of one key count as one request here; each of them
-    must have got the same whole answer.
+    The charges of a request key are compared with its calls together: two
+    answered calls with one key must have one charge.
     """
     answered = [answer for answer in answers if answer.run == "answered"]
     ended = sum(answer.code in FINAL_CODES for answer in answers)
     charges = Counter((row["customer"], row["request_key"]) for row in bills)
-    asked = {(a.call.customer, a.call.request_key) for a in answers}
-    owed = {(a.call.customer, a.call.request_key) for a in answered}
+    requested = {(a.call.customer, a.call.request_key) for a in answers}
+    chargeable = {(a.call.customer, a.call.request_key) for a in answered}
     paid_micros = sum(row["cost_micros"] for row in bills)
     return {
         "requests": len(answers),
@@ -84,9 +88,9 @@
             world.runs_on_server(marks.leaving_server) - marks.runs_at_leaving
         ),
         "sessions_moved": _count_moved_sessions(answered),
-        "charges_missing": len(owed - set(charges)),
+        "charges_missing": len(chargeable - set(charges)),
         "charges_doubled": sum(n > 1 for n in charges.values()),
-        "charges_unasked": len(set(charges) - asked),
+        "charges_unasked": len(set(charges) - requested),
         "planned_stop_status": marks.planned_stop_status,
         "cut_by_planned_stop": marks.cut_by_planned_stop,
         "cost_micros": paid_micros,
@@ -96,7 +100,7 @@
 
 
 def is_whole(answer: Answer) -> bool:
-    """Tell whether an answer is all of its own request's answer."""
+    """Tell whether an answer is complete and belongs to its request."""
     call = answer.call
     if call.kind != "chat":
         return call.path in answer.text
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
@@ -1,4 +1,4 @@
-"""The mixed requests of the quickstart."""
+"""Generate the mixed load of the quickstart and the soak."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Load:
-    """Sends requests until told to stop and keeps every answer."""
+    """Sends chats, sessions and orders until stopped; keeps all answers."""
 
     def __init__(
         self, callers: Callers, entries: Callable[[], list[str]], seed: int
@@ -44,11 +44,11 @@
         self._stop = False
 
     def stop(self) -> None:
-        """Send nothing new; requests under way end."""
+        """Send no new requests; the requests under way still end."""
         self._stop = True
 
     async def run(self) -> None:
-        """Send until `stop`; returns when all requests have ended."""
+        """Send requests until `stop`; return when all of them have ended."""
         async with anyio.create_task_group() as tasks:
             for worker in range(CHAT_WORKERS):
                 tasks.start_soon(self._chat_worker, worker)
@@ -75,7 +75,7 @@
             await anyio.sleep(PAUSE_S * 4)
 
     async def _order_worker(self, worker: int) -> None:
-        """Order a sheet twice at once, at two entries, with one key."""
+        """Send each order to two entries at once, with the same key."""
         while not self._stop:
             customer = CUSTOMERS[worker % len(CUSTOMERS)]
             key = new_key("order")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
@@ -1,4 +1,4 @@
-"""The operator of the quickstart: runs ``sycactl`` as people do."""
+"""Run ``sycactl`` as an operator of the quickstart's system."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 import anyio
 import msgspec
 
-# An admin of the example, so that the first apply does not remove the
-# operator who runs it.
+# The key of an admin whom the example declares. Any other operator would be
+# removed by the first apply, which the same operator runs.
 ADMIN_KEY: Final = "demo-guild-admin"
 COMMAND_TIMEOUT_S: Final = 40
 
 
 class CommandFailed(Exception):
-    """``sycactl`` ended with another status than expected."""
+    """Raised when ``sycactl`` ends with a status other than 0."""
 
 
 class Operator:
-    """Runs commands against the control processes' addresses."""
+    """Runs ``sycactl`` commands against control processes."""
 
     def __init__(self, folder: Path, controls: list[str]) -> None:
         self._key_file = folder / "operator.key"
@@ -31,28 +31,36 @@
         self._controls = controls
 
     async def run(self, *arguments: str) -> Any:
-        """Run one command with ``--json`` and return what it printed."""
+        """Run one command in a thread and return its decoded output.
+
+        Raises `CommandFailed` with the command's messages.
+        """
         return await anyio.to_thread.run_sync(self.run_blocking, *arguments)
 
     def run_blocking(self, *arguments: str) -> Any:
-        """Run one command; raises `CommandFailed` with its messages."""
+        """Run one command with ``--json`` and return its decoded output.
+
+        Raises `CommandFailed` with the command's messages.
+        """
         environment = dict(
             os.environ,
             SYCACTL_CONTROLS=",".join(self._controls),
             SYCACTL_KEY_FILE=str(self._key_file),
         )
         program = Path(sys.executable).parent / "sycactl"
-        done = subprocess.run(
+        completed = subprocess.run(
             [str(program), *arguments, "--json"],
             env=environment,
             capture_output=True,
             timeout=COMMAND_TIMEOUT_S,
             check=False,
         )
-        if done.returncode != 0:
-            said = (done.stdout + done.stderr).decode()
-            raise CommandFailed(f"{arguments}: {done.returncode}: {said}")
-        return msgspec.json.decode(done.stdout)
+        if completed.returncode != 0:
+            messages = (completed.stdout + completed.stderr).decode()
+            raise CommandFailed(
+                f"{arguments}: {completed.returncode}: {messages}"
+            )
+        return msgspec.json.decode(completed.stdout)
 
 
 __all__ = ["ADMIN_KEY", "CommandFailed", "Operator"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -1,4 +1,4 @@
-"""The quickstart's order of events."""
+"""Run the quickstart's events in order."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
 BILLS_PER_PAGE: Final = 500
 TOKENS_PER_PRICE: Final = 1_000_000
 START_TIMEOUT_S: Final = 30.0
-# What one real minute of a roll-out is in the quickstart.
+# A roll-out whose steps may follow after 2 s, so that it advances within the
+# quickstart.
 FAST_ROLLOUT: Final = """\
 [rollouts.nest-small]
 version = "4"
@@ -48,14 +49,15 @@
 async def run_quickstart(
     examples: Path, folder: Path, requests: int, seed: int
 ) -> dict[str, Any]:
-    """Run everything and return the figures of the last line."""
+    """Start a system, run all events and return the last line's figures."""
     with Cluster(folder) as cluster:
         _print_progress("starting three control processes and three entries")
         _start_processes(cluster)
         async with anyio.create_task_group() as tasks:
             world = World()
             rating_url = await world.start_rating(tasks)
-            # Ratings: the cheap model passes most of the time.
+            # The rating of each version's answers. Most answers of the
+            # cheap model pass.
             world.rating.ratings = {
                 "nest-small@3": 0.9,
                 "nest-small@4": 0.9,
@@ -91,7 +93,7 @@
         await _wait_for_backends(operator, len(world.servers))
         tasks.start_soon(load.run)
         marks = await _inject_faults(cluster, world, entries, operator, load)
-        _print_progress("going on until the load has its size")
+        _print_progress("waiting until the load has enough answers")
         while len(load.answers) < requests:
             await anyio.sleep(0.1)
         load.stop()
@@ -114,7 +116,7 @@
 def _always_strong_micros(
     bills: list[dict[str, Any]], declared: Declarations
 ) -> int:
-    """Return what the billed tokens cost on the strong model alone."""
+    """Return the cost of the billed tokens on the strong model alone."""
     strong = declared.models[STRONG_MODEL]
     price = strong.versions[strong.stable]
     micros = sum(
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/world.py
@@ -1,4 +1,4 @@
-"""The fake backend servers of the quickstart and their announcements."""
+"""Run and announce the quickstart's fake backend servers."""
 
 from __future__ import annotations
 
@@ -34,14 +34,17 @@
 
 
 class Server(NamedTuple):
-    """A fake and the scope that ends its announcements as a leaving."""
+    """The name of a fake and the scope of its announcements.
+
+    Cancelling the scope announces that the server leaves.
+    """
 
     name: str
     announcing: anyio.CancelScope
 
 
 class World:
-    """Every fake that stands behind the entries."""
+    """All fake backend servers, and the fake rating service."""
 
     def __init__(self) -> None:
         self.engines: list[FakeEngine] = []
@@ -49,13 +52,14 @@
         self.rating = FakeRating({})
         self.rating_address = ""
         self.servers: dict[str, Server] = {}
-        # Returns the address to announce for one that was served.
+        # Gets the name and the address of a server that has started, and
+        # returns the address to announce, such as that of a proxy.
         self.expose_server: Callable[[str, str], Awaitable[str]] = (
             _announce_served_address
         )
 
     async def start_rating(self, tasks: TaskGroup) -> str:
-        """Serve the rating service; return its URL."""
+        """Start the rating service and return its URL."""
         address = await tasks.start(serve_application, self.rating.application)
         self.rating_address = f"http://{address}"
         return self.rating_address
@@ -63,7 +67,7 @@
     async def start_engines(
         self, tasks: TaskGroup, entries: list[str]
     ) -> None:
-        """Serve and announce four cheap and two strong engines."""
+        """Start and announce four cheap and two strong engines."""
         names = [(f"small-{n}", SMALL_VERSIONS) for n in range(1, 5)]
         names += [(f"large-{n}", LARGE_VERSIONS) for n in range(1, 3)]
         for number, (name, versions) in enumerate(names):
@@ -88,7 +92,7 @@
     async def start_services(
         self, tasks: TaskGroup, entries: list[str]
     ) -> None:
-        """Serve and announce two portal servers."""
+        """Start and announce two servers of the portal service."""
         for number in range(2):
             name = f"portal-{number + 1}"
             service = FakeService(name, ("portal",))
@@ -109,11 +113,11 @@
             self._announce(tasks, entries, announcement)
 
     def announce_leave(self, name: str) -> None:
-        """Have a server announce that it leaves; it goes on serving."""
+        """Announce that a server leaves; it still answers requests."""
         self.servers[name].announcing.cancel()
 
     def runs_on_version(self, version: str) -> int:
-        """Return how many runs of a version the engines have begun."""
+        """Return the number of runs of a version that the engines began."""
         return sum(
             record.version == version
             for engine in self.engines
@@ -121,7 +125,7 @@
         )
 
     def runs_on_server(self, name: str) -> int:
-        """Return how many runs a server has begun."""
+        """Return the number of runs that a server began."""
         return sum(
             len(server.records)
             for server in self._all_servers()
@@ -129,7 +133,7 @@
         )
 
     def server(self, name: str) -> FakeEngine | FakeService:
-        """Return a fake by its name; raises `StopIteration`."""
+        """Return a fake by its name; raise `StopIteration` if unknown."""
         return next(s for s in self._all_servers() if s.name == name)
 
     def _all_servers(self) -> list[FakeEngine | FakeService]:
@@ -152,7 +156,7 @@
 
 
 async def _announce_served_address(name: str, address: str) -> str:
-    """Announce a server where it is served."""
+    """Return the address at which a server listens."""
     return address
 
 
--- a/packages/sycamorestand-bench/tests/quickstart/test_checks.py
+++ b/packages/sycamorestand-bench/tests/quickstart/test_checks.py
@@ -1,4 +1,4 @@
-"""The quickstart's checks must see each kind of fault."""
+"""Tests that the quickstart's checks count each kind of fault."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class QuickstartResult:
-    """A run without a fault, which each test spoils in one way."""
+    """A result without a fault, to which each test adds one."""
 
     def __init__(self) -> None:
         self.world = World()
@@ -79,15 +79,15 @@
     def test_answer_of_another_request_is_counted(
         self, result: QuickstartResult
     ) -> None:
-        spoilt = result.answers[0]._replace(text=result.answers[1].text)
-        result.answers[0] = spoilt
+        swapped = result.answers[0]._replace(text=result.answers[1].text)
+        result.answers[0] = swapped
         assert result.faults() == {"not_whole"}
 
     def test_truncated_answer_is_counted(
         self, result: QuickstartResult
     ) -> None:
-        whole = result.answers[0]
-        result.answers[0] = whole._replace(text=whole.text[:-4])
+        complete = result.answers[0]
+        result.answers[0] = complete._replace(text=complete.text[:-4])
         assert result.faults() == {"not_whole"}
 
     def test_session_on_two_versions_is_counted(
