--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, promises."""
+"""Run real processes under random faults and check promises."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/checks.py
@@ -1,4 +1,4 @@
-"""Compares what everybody saw with what the system promises."""
+"""Check the observations of a soak against the system's promises."""
 
 from __future__ import annotations
 
@@ -28,17 +28,20 @@
 
 ANSWERED: Final = "answered"
 NOT_RUN: Final = "not_run"
-# A planned stop is held against the system only where nothing else was
-# harmed from this long before it.
+# A cut during a planned stop counts as a finding only if no other fault was
+# injected from this long before the stop until its end.
 UNDISTURBED_S: Final = 8.0
-# What a process imports before it can take a signal takes up to so long on
-# a busy machine.
+# On a busy machine, a process may take this long for its imports before it
+# can handle a signal.
 START_UP_S: Final = 2.0
 CONNECT_ERRORS: Final = ("ConnectError", "ConnectTimeout")
 
 
 class Run(NamedTuple):
-    """One run that a backend server began."""
+    """One run that a backend server began.
+
+    ``target`` is the version, or ``portal`` for a run at the service.
+    """
 
     customer: str
     request_key: str
@@ -47,7 +50,11 @@
 
 
 class Observations(NamedTuple):
-    """Everything that was seen in a soak."""
+    """All observations of a soak.
+
+    ``allowed`` has the versions that each customer may use, ``addresses``
+    the address of each entry.
+    """
 
     answers: Sequence[Answer]
     runs: Sequence[Run]
@@ -63,7 +70,7 @@
 
 
 def collect_runs(world: World) -> list[Run]:
-    """Return every run that the fakes began."""
+    """Return every run that the fake engines and services began."""
     runs = [
         Run(r.customer, r.request_key, r.version, "POST")
         for engine in world.engines
@@ -77,31 +84,33 @@
     return runs
 
 
-def check(seen: Observations) -> list[Finding]:
-    """Return every broken promise, all of them together."""
+def check(observations: Observations) -> list[Finding]:
+    """Return the findings of all checks."""
     findings: list[Finding] = []
     for name, examine in _CHECKS.items():
-        findings += [Finding(name, what) for what in examine(seen)]
+        findings += [Finding(name, detail) for detail in examine(observations)]
     return findings
 
 
-def _check_allowed_versions(seen: Observations) -> Iterable[str]:
-    for run in seen.runs:
+def _check_allowed_versions(observations: Observations) -> Iterable[str]:
+    for run in observations.runs:
         if run.target == "portal":
             continue
-        if run.target not in seen.allowed.get(run.customer, frozenset()):
+        if run.target not in observations.allowed.get(
+            run.customer, frozenset()
+        ):
             yield f"{run.request_key} of {run.customer} ran on {run.target}"
 
 
-def _check_withdrawals(seen: Observations) -> Iterable[str]:
-    for period in seen.withdrawn:
+def _check_withdrawals(observations: Observations) -> Iterable[str]:
+    for period in observations.withdrawn:
         if period.runs:
             yield f"{period.runs} runs on {period.version} while withdrawn"
 
 
-def _check_sessions(seen: Observations) -> Iterable[str]:
+def _check_sessions(observations: Observations) -> Iterable[str]:
     versions: dict[tuple[str, str, str], set[str]] = defaultdict(set)
-    for answer in seen.answers:
+    for answer in observations.answers:
         call = answer.call
         if call.session and answer.run == ANSWERED:
             key = (call.customer, call.profile, call.session)
@@ -111,44 +120,48 @@
             yield f"{session} was answered by {sorted(found)}"
 
 
-def _check_charges(seen: Observations) -> Iterable[str]:
-    charges = Counter((r["customer"], r["request_key"]) for r in seen.bills)
-    asked = {(a.call.customer, a.call.request_key) for a in seen.answers}
-    owed = {
+def _check_charges(observations: Observations) -> Iterable[str]:
+    charges = Counter(
+        (r["customer"], r["request_key"]) for r in observations.bills
+    )
+    requested = {
+        (a.call.customer, a.call.request_key) for a in observations.answers
+    }
+    chargeable = {
         (a.call.customer, a.call.request_key)
-        for a in seen.answers
+        for a in observations.answers
         if a.run == ANSWERED
     }
     for key, count in charges.items():
         if count > 1:
             yield f"{key} is charged {count} times"
-    for key in sorted(owed - set(charges)):
+    for key in sorted(chargeable - set(charges)):
         yield f"{key} was answered and is not charged"
-    for key in sorted(set(charges) - asked):
-        yield f"{key} is charged and nobody asked"
+    for key in sorted(set(charges) - requested):
+        yield f"{key} is charged and no caller sent it"
 
 
-def _check_whole_answers(seen: Observations) -> Iterable[str]:
-    for answer in seen.answers:
+def _check_whole_answers(observations: Observations) -> Iterable[str]:
+    for answer in observations.answers:
         if answer.run == ANSWERED and not is_whole(answer):
             yield f"{answer.call.request_key} got {answer.text[:40]!r}"
 
 
-def _check_not_run(seen: Observations) -> Iterable[str]:
+def _check_not_run(observations: Observations) -> Iterable[str]:
     tries: dict[str, list[Attempt]] = defaultdict(list)
-    for answer in seen.answers:
+    for answer in observations.answers:
         tries[answer.call.request_key] += answer.tries
-    ran = {run.request_key for run in seen.runs}
-    for key, all_tries in tries.items():
-        told = all(one.run == NOT_RUN for one in all_tries)
-        if told and key in ran:
-            yield f"{key} ran, and all tries were told that it did not"
+    ran = {run.request_key for run in observations.runs}
+    for key, key_attempts in tries.items():
+        is_refused = all(attempt.run == NOT_RUN for attempt in key_attempts)
+        if is_refused and key in ran:
+            yield f"{key} ran, and all its attempts got the answer not run"
 
 
-def _check_at_most_once(seen: Observations) -> Iterable[str]:
+def _check_at_most_once(observations: Observations) -> Iterable[str]:
     runs = Counter(
         (run.customer, run.request_key)
-        for run in seen.runs
+        for run in observations.runs
         if run.target == "portal" and run.method == "POST"
     )
     for key, count in runs.items():
@@ -156,49 +169,50 @@
             yield f"{key} ran {count} times"
 
 
-def _check_leaving_servers(seen: Observations) -> Iterable[str]:
-    for server, runs in seen.runs_after_leaving.items():
+def _check_leaving_servers(observations: Observations) -> Iterable[str]:
+    for server, runs in observations.runs_after_leaving.items():
         if runs:
             yield f"{runs} runs on {server} after it had left"
 
 
-def _check_planned_stops(seen: Observations) -> Iterable[str]:
-    for stop in seen.stops:
-        if stop.status != 0 and not _was_starting(seen, stop):
+def _check_planned_stops(observations: Observations) -> Iterable[str]:
+    for stop in observations.stops:
+        if stop.status != 0 and not _was_starting(observations, stop):
             yield f"{stop.process} ended with {stop.status}"
-        if not _is_undisturbed(seen, stop):
+        if not _is_undisturbed(observations, stop):
             continue
-        address = seen.addresses.get(stop.process, "")
-        for answer in seen.answers:
+        address = observations.addresses.get(stop.process, "")
+        for answer in observations.answers:
             for cut in answer.cuts:
                 if _is_cut_by(cut, address, stop):
                     key = answer.call.request_key
                     yield f"{stop.process} cut {key}: {cut.code}"
 
 
-def _was_starting(seen: Observations, stop: PlannedStop) -> bool:
-    """Tell whether the signal came before the process could take it.
+def _was_starting(observations: Observations, stop: PlannedStop) -> bool:
+    """Tell whether the signal came before the process could handle it.
 
-    It had begun nothing then, and the interpreter ends by the signal.
+    The process has served no request by then, and the signal ends the
+    interpreter.
     """
     from_s = stop.begun_s - START_UP_S
     return stop.status == -SIGTERM and any(
         event.what == "start"
         and event.target == stop.process
         and from_s <= event.at_s <= stop.begun_s
-        for event in seen.events
+        for event in observations.events
     )
 
 
-def _is_undisturbed(seen: Observations, stop: PlannedStop) -> bool:
+def _is_undisturbed(observations: Observations, stop: PlannedStop) -> bool:
     from_s = stop.begun_s - UNDISTURBED_S
-    harm = [
+    faults = [
         event
-        for event in seen.events
+        for event in observations.events
         if from_s <= event.at_s <= stop.ended_s
         and event.what not in ("stopped", "start")
     ]
-    return len(harm) == 1
+    return len(faults) == 1
 
 
 def _is_cut_by(cut: Attempt, address: str, stop: PlannedStop) -> bool:
@@ -207,15 +221,16 @@
     return cut.ended_s >= stop.begun_s and cut.begun_s <= stop.ended_s
 
 
-def _check_changes_kept(seen: Observations) -> Iterable[str]:
-    for control, trail in seen.audits.items():
-        held = {e["change_id"]: e["revision"] for e in trail}
-        for accepted in seen.accepted:
+def _check_changes_kept(observations: Observations) -> Iterable[str]:
+    for control, entries in observations.audits.items():
+        revisions = {e["change_id"]: e["revision"] for e in entries}
+        for accepted in observations.accepted:
             change_id = accepted.change.change_id
-            if held.get(change_id) != accepted.revision:
+            if revisions.get(change_id) != accepted.revision:
                 yield (
-                    f"{control} holds {change_id} at {held.get(change_id)},"
-                    f" told {accepted.revision}"
+                    f"{control} holds {change_id} at"
+                    f" {revisions.get(change_id)},"
+                    f" accepted at {accepted.revision}"
                 )
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
@@ -1,4 +1,4 @@
-"""Applies a schedule to running processes, from outside of them."""
+"""Inject the faults of a schedule into running processes from outside."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
     from sycamorestand_bench.system.system import System
 
 POLL_INTERVAL_S: Final = 0.02
-# Long against the heartbeat of 0.1 s, short against the time limits.
+# Longer than the heartbeat interval of 0.1 s, shorter than any timeout.
 LINK_DELAY_S: Final = 0.25
 SEGMENTS: Final = "log-*.seg"
-# Half of a frame, as a write leaves it that the loss of power cut off.
+# The first part of a frame, as a write leaves it that a power loss cuts off.
 TORN_BYTES: Final = b"\x00\x00\x01\x7f" + b"\x5a" * 23
-# Any write beyond the first byte of a file fails, as on a full disk.
+# A limit on the file size of the process: every write beyond the first byte
+# of a file fails, as on a full disk.
 FULL_DISK_BYTES: Final = 1
-# A planned stop that takes longer is a finding.
+# A planned stop that takes longer ends with SIGKILL and is a finding.
 STOP_TIMEOUT_S: Final = 45.0
 SERVER_FAULTS: Final[Mapping[str, FaultKind]] = {
     "server_error": "error",
@@ -45,7 +46,10 @@
 
 
 class Event(NamedTuple):
-    """Something that was done, by the clock of the soak."""
+    """A fault, or a start, resumption or planned end of a process.
+
+    ``at_s`` is by `time.monotonic`.
+    """
 
     at_s: float
     what: str
@@ -53,7 +57,7 @@
 
 
 class PlannedStop(NamedTuple):
-    """A planned stop from its signal to its end, and the exit status."""
+    """A planned stop: times of its signal and its end, and exit status."""
 
     process: str
     begun_s: float
@@ -68,9 +72,9 @@
 
 
 class Injector:
-    """Plays one schedule; ``events`` tells what was done and when.
+    """Plays one schedule and records each event in ``events``.
 
-    Signals go only to processes that the system's cluster started.
+    Signals go only to processes that the system's cluster has started.
     """
 
     def __init__(
@@ -88,7 +92,10 @@
         self._action_count = 0
 
     def play(self, schedule: Schedule, begin_s: float) -> None:
-        """Play all steps and return when the last one has ended."""
+        """Play all steps and return when the last fault has ended.
+
+        ``begin_s`` is the start of the load, by `time.monotonic`.
+        """
         for step in schedule.steps:
             self._schedule_at(begin_s + step.at_s, self._make_action(step))
         while self._actions or self._stopping:
@@ -99,18 +106,18 @@
             time.sleep(POLL_INTERVAL_S)
 
     def heal(self) -> None:
-        """End whatever is still harmed and start what is not running."""
-        for gate in (
+        """End the faults of all proxies and start processes that are down."""
+        for proxy in (
             *self._system.cluster.proxies.values(),
             *self._list_server_proxies(),
         ):
-            self._system.call_in_loop(gate.heal)
+            self._system.call_in_loop(proxy.heal)
         for name in self._process_names():
             if not self._cluster.is_started(name):
                 self._start(name)
 
     def is_expected_down(self, name: str) -> bool:
-        """Tell whether the end of a process was caused from here."""
+        """Tell whether the injector has ended or is stopping a process."""
         return name in self._stopping or not self._cluster.is_started(name)
 
     def _list_server_proxies(self) -> list[FaultProxy]:
@@ -169,15 +176,15 @@
             return tuple(self._cluster.entries)
         return self._process_names()
 
-    def _kill(self, name: str, for_s: float, how: str = "kill") -> None:
+    def _kill(self, name: str, for_s: float, fault: str = "kill") -> None:
         if not self._cluster.is_started(name):
             return
         self._stopping.pop(name, None)
         self._cluster.kill(name)
-        if how == "wipe":
+        if fault == "wipe":
             shutil.rmtree(self._cluster.controls[name].data_folder)
             self._cluster.controls[name].data_folder.mkdir()
-        elif how == "torn_tail":
+        elif fault == "torn_tail":
             self._append_torn_frames(name)
         self._schedule_after(for_s, lambda: self._start(name))
 
@@ -200,18 +207,18 @@
             self._cluster.start_entry(name, node.data_centre)
 
     def _freeze(self, name: str, for_s: float) -> None:
-        # Also in the middle of a planned stop.
+        # A freeze may also hit a process during its planned stop.
         if not self._cluster.is_started(name):
             return
         pid = self._cluster.pid(name)
         self._cluster.send_signal(name, SIGSTOP)
 
-        def thaw() -> None:
+        def resume() -> None:
             if self._is_same_process(name, pid):
                 self._cluster.send_signal(name, SIGCONT)
                 self._record_event("thaw", name)
 
-        self._schedule_after(for_s, thaw)
+        self._schedule_after(for_s, resume)
 
     def _is_same_process(self, name: str, pid: int) -> bool:
         started = self._cluster.is_started(name)
@@ -253,31 +260,31 @@
         full = (FULL_DISK_BYTES, unlimited)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, full)
 
-        def free() -> None:
+        def lift_limit() -> None:
             if self._is_same_process(name, pid):
-                room = (unlimited, unlimited)
-                resource.prlimit(pid, resource.RLIMIT_FSIZE, room)
+                no_limit = (unlimited, unlimited)
+                resource.prlimit(pid, resource.RLIMIT_FSIZE, no_limit)
 
-        self._schedule_after(for_s, free)
+        self._schedule_after(for_s, lift_limit)
 
     def _inject_link_fault(self, step: Step) -> None:
         sender, _, receiver = step.target.partition(LINK_SEPARATOR)
-        gate = self._cluster.proxies[receiver]
+        proxy = self._cluster.proxies[receiver]
         address = self._address(sender)
         if step.fault == "silence":
-            self._system.call_in_loop(gate.blackhole, address)
+            self._system.call_in_loop(proxy.blackhole, address)
             return
         if step.fault == "cut":
-            self._system.call_in_loop(gate.cut, address)
+            self._system.call_in_loop(proxy.cut, address)
             back = self._cluster.proxies[sender]
             self._system.call_in_loop(back.cut, self._address(receiver))
             self._schedule_after(
                 step.for_s, lambda: self._system.call_in_loop(back.heal)
             )
         else:
-            self._system.call_in_loop(gate.hold, True, address)
+            self._system.call_in_loop(proxy.hold, True, address)
         self._schedule_after(
-            step.for_s, lambda: self._system.call_in_loop(gate.heal)
+            step.for_s, lambda: self._system.call_in_loop(proxy.heal)
         )
 
     def _address(self, name: str) -> str:
@@ -286,28 +293,28 @@
         return self._cluster.entries[name].peer_address
 
     def _inject_proxy_fault(self, step: Step) -> None:
-        gate = self._server_proxies.get(step.target)
-        is_server = gate is not None
-        if gate is None:
-            gate = self._cluster.proxies[step.target]
+        proxy = self._server_proxies.get(step.target)
+        is_server = proxy is not None
+        if proxy is None:
+            proxy = self._cluster.proxies[step.target]
         if step.fault == "reset":
-            self._system.call_in_loop(gate.reset)
+            self._system.call_in_loop(proxy.reset)
             return
         if step.fault == "delay":
-            self._system.call_in_loop(gate.delay, LINK_DELAY_S)
+            self._system.call_in_loop(proxy.delay, LINK_DELAY_S)
         else:
-            self._system.call_in_loop(gate.cut)
-        harmed = [gate]
+            self._system.call_in_loop(proxy.cut)
+        faulted_proxies = [proxy]
         if step.fault == "isolate" and not is_server:
             address = self._address(step.target)
             for other in self._cluster.proxies.values():
-                if other is not gate:
+                if other is not proxy:
                     self._system.call_in_loop(other.cut, address)
-                    harmed.append(other)
+                    faulted_proxies.append(other)
 
         def heal() -> None:
-            for one in harmed:
-                self._system.call_in_loop(one.heal)
+            for faulted in faulted_proxies:
+                self._system.call_in_loop(faulted.heal)
 
         self._schedule_after(step.for_s, heal)
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
@@ -1,7 +1,7 @@
-"""Looks at every process while the soak runs.
+"""Monitor every process while the soak runs.
 
-What an operator's monitoring would see: that processes live, what memory
-and descriptors they take, and which revision each entry acts on.
+As an operator's monitoring does, it checks that processes run, their memory
+and open file descriptors, and the revision of each entry.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
     from sycamorestand_bench.soak.injector import Injector
 
 POLL_INTERVAL_S: Final = 0.25
-# The target for a node's control is 128 MB; a process that takes twice
-# that under a few dozen callers keeps something for ever.
+# A control process has a target of 128 MB. One that uses twice as much under
+# a few dozen callers has a leak.
 MAX_RESIDENT_BYTES: Final = 256 * 1024 * 1024
 MAX_DESCRIPTORS: Final = 1024
 ANSWER_TIMEOUT_S: Final = 1.0
 
 
 class Finding(NamedTuple):
-    """A broken promise, and what shows it."""
+    """A broken promise and the evidence for it."""
 
     promise: str
     what: str
 
 
 class InForce(NamedTuple):
-    """A revision that was told to be in force everywhere, and when."""
+    """A revision reported as in force everywhere, and the time of that."""
 
     revision: int
     at_s: float
 
 
 class Monitor:
-    """Collects findings until stopped; runs in a thread of its own."""
+    """Collects findings in a separate thread until stopped."""
 
     def __init__(self, cluster: Cluster, injector: Injector) -> None:
         self.findings: list[Finding] = []
@@ -56,18 +56,18 @@
         self._stop = False
 
     def stop(self) -> None:
-        """End `run` after its next look."""
+        """End `run` after its current round."""
         self._stop = True
 
     def run(self) -> None:
-        """Look at every process in turn."""
+        """Check every process in turn, until `stop`."""
         while not self._stop:
             for name in (*self._cluster.controls, *self._cluster.entries):
                 self._check_process(name)
             time.sleep(POLL_INTERVAL_S)
 
     def report(self, promise: str, name: str, what: str) -> None:
-        """Note a finding, once for each promise and process."""
+        """Record a finding, once for each promise and process."""
         if (promise, name) not in self._reported:
             self._reported.add((promise, name))
             self.findings.append(Finding(promise, f"{name}: {what}"))
@@ -77,13 +77,15 @@
             return
         status = self._cluster.exit_status(name)
         if status is not None and not self._injector.is_expected_down(name):
-            self.report("lives", name, f"ended by itself with {status}")
+            self.report(
+                "lives", name, f"ended unexpectedly with status {status}"
+            )
             return
         try:
             pid = self._cluster.pid(name)
             self._check_resources(name, pid)
         except (OSError, KeyError):
-            # It was ended between two looks.
+            # The injector has ended the process since the check above.
             return
         if name in self._cluster.entries:
             self._check_revision(name, pid)
@@ -104,19 +106,23 @@
         in_force = self.in_force
         address = f"127.0.0.1:{self._cluster.entries[name].port}"
         try:
-            told = readiness(address, ANSWER_TIMEOUT_S)
+            answer = readiness(address, ANSWER_TIMEOUT_S)
         except (OSError, HTTPException):
             return
-        revision = told["revision"]
+        revision = answer["revision"]
         before = self._newest_revisions.get((name, pid), 0)
         self._newest_revisions[(name, pid)] = max(revision, before)
         if revision < before:
-            self.report("no revert", name, f"{before} to {revision}")
-        if told["lease_remaining_s"] > 0 and revision < in_force.revision:
+            self.report(
+                "no revert",
+                name,
+                f"revision went from {before} back to {revision}",
+            )
+        if answer["lease_remaining_s"] > 0 and revision < in_force.revision:
             self.report(
                 "in force everywhere",
                 name,
-                f"takes work at {revision}, {in_force.revision} is in force",
+                f"serves at {revision}, {in_force.revision} is in force",
             )
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/__init__.py
@@ -1,1 +1,1 @@
-"""Safeguards that a soak takes out to see whether it notices."""
+"""Disable safeguards, to test whether a soak finds the faults."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Takes one safeguard out of a process of the system, before it runs.
+"""Disable one safeguard in a process of the system, before it starts.
 
-The interpreter loads this module by its name from a folder that a soak
-puts on the path of the processes that it starts, and only there. Each
-mutant breaks one promise; a soak that finds nothing then checks nothing.
+The interpreter imports this module by its name: a soak puts the folder on
+``PYTHONPATH`` of the processes that it starts. Each mutant breaks one
+promise, so that a soak without findings has a faulty check.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from typing import Any
 from typing import Final
 
-# Longer than the system takes to start, so that the load meets it.
-LIVES_S: Final = 25.0
-# Some records of the log: a change takes a few hundred bytes.
-FORGOTTEN_BYTES: Final = 400
+# Longer than the start of the system, so that the process ends under load.
+LIFETIME_S: Final = 25.0
+# The size of some records of the log: a change takes a few hundred bytes.
+REMOVED_BYTES: Final = 400
 MUTANT_VARIABLE: Final = "SYCAMORESTAND_SOAK_MUTANT"
 
 
 def use_withdrawn_versions() -> None:
-    """Offer a version whatever the configuration says of it."""
+    """Offer every version, also one that the configuration withdraws."""
     from sycamorestand_entry import gate
     from sycamorestand_entry import planning
 
@@ -40,14 +40,14 @@
 
 
 def keep_a_lease_for_ever() -> None:
-    """Go on with the configuration that is held, whatever its age."""
+    """Report a valid lease whatever the age of the configuration."""
     from sycamorestand_entry.control.link import ControlLink
 
     _replace(ControlLink, "lease_remaining_s", lambda self: 2.0)
 
 
 def pin_no_session() -> None:
-    """Choose a session's version anew for each request."""
+    """Pin each request to a new session, so that its version may change."""
     from sycamorestand_entry import planning
 
     real: Any = planning.Pin
@@ -59,7 +59,7 @@
 
 
 def charge_another_key() -> None:
-    """Charge each request under a key that nobody sent."""
+    """Charge each request under a request key that no caller sent."""
     from sycamorestand_entry import billing
 
     real = billing.charge_once
@@ -72,7 +72,7 @@
 
 
 def claim_nothing() -> None:
-    """Dispatch a call that must not be repeated, whoever holds its claim."""
+    """Dispatch a non-repeatable call although another entry has its claim."""
     from sycamorestand_entry import claims
     from sycamorestand_entry.errors import RequestError
 
@@ -85,12 +85,13 @@
     _replace(claims, "take_claim", take_claim)
     from sycamorestand_entry.claimed_call import ClaimedCall
 
-    # The record of the dispatch says the same once more.
+    # The answer to the dispatch record also refuses an entry without a
+    # claim.
     _replace(ClaimedCall, "_holds", lambda self, result: True)
 
 
 def lose_the_end() -> None:
-    """Leave out the last character of what a caller is sent."""
+    """Insert a wrong character into the answer that a caller gets."""
     from sycamorestand_entry.http_messages import Responder
 
     real = Responder.write
@@ -102,7 +103,7 @@
 
 
 def say_not_run() -> None:
-    """Tell the caller of any failure that its request has not run."""
+    """Report every failed request to its caller as not run."""
     from sycamorestand_entry.errors import RequestError
 
     real: Any = RequestError.__init__
@@ -115,7 +116,7 @@
 
 
 def use_leaving_servers() -> None:
-    """Take an announcement that a server leaves for a renewal."""
+    """Keep using servers that have announced that they leave."""
     from sycamorestand_entry.control.server_view import ServerView
 
     real = ServerView.servers
@@ -129,26 +130,26 @@
 
 
 def stop_at_once() -> None:
-    """End with the signal of a planned stop, whatever runs."""
+    """End at once on the signal of a planned stop, with requests running."""
     from sycamorestand_entry.server import RunningEntry
 
     _replace(RunningEntry, "begin_stop", lambda self: os._exit(0))
 
 
 def forget_the_newest() -> None:
-    """Lose the last records of each log at every start."""
+    """Cut the last records off each log at every start."""
     folder = os.environ.get("SYCAMORESTAND_DATA_FOLDER", "")
     segments = sorted(Path(folder).rglob("log-*.seg")) if folder else []
     for group in {path.parent for path in segments}:
         newest = max(path for path in segments if path.parent == group)
-        kept_bytes = newest.stat().st_size - FORGOTTEN_BYTES
-        if kept_bytes > FORGOTTEN_BYTES:
+        kept_bytes = newest.stat().st_size - REMOVED_BYTES
+        if kept_bytes > REMOVED_BYTES:
             os.truncate(newest, kept_bytes)
 
 
 def end_by_itself() -> None:
-    """End a few seconds after the start."""
-    timer = threading.Timer(LIVES_S, os._exit, (3,))
+    """End the process `LIFETIME_S` after its start."""
+    timer = threading.Timer(LIFETIME_S, os._exit, (3,))
     timer.daemon = True
     timer.start()
 
@@ -169,7 +170,7 @@
 
 
 def _replace(owner: object, name: str, value: object) -> None:
-    assert hasattr(owner, name), f"{owner} has no {name} to take out"
+    assert hasattr(owner, name), f"{owner} has no {name} to replace"
     setattr(owner, name, value)
 
 
@@ -178,7 +179,7 @@
 
 
 if os.environ.get(MUTANT_VARIABLE):
-    # The argument vector is not set yet where this module is loaded.
+    # The interpreter has not set sys.argv when it imports this module.
     sys.argv = sys.orig_argv[1:] or sys.argv
     if _is_process_of_the_system():
         MUTANTS[os.environ[MUTANT_VARIABLE]][1]()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operator.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operator.py
@@ -1,7 +1,8 @@
-"""The operator of a soak: changes, withdrawals, repairs of voters.
+"""Change the configuration and replace lost voters during a soak.
 
-It sends each change until it is accepted, with the same id, to one control
-process after the other. What it was told is what the system has promised.
+The operator resends a change with the same id to one control process after
+the other until it is accepted. The system must keep every change that it
+has acknowledged.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
     from sycamorestand_bench.system.system import System
 
 PAUSE_S: Final = 0.1
-# What was written to a server before the change was in force may still be
-# on its way to it; a delayed link holds it this long at most.
+# A request sent before the change was in force may reach its server later.
+# A delayed link adds no more than this.
 IN_FLIGHT_S: Final = 0.6
 OBSERVATION_S: Final = 1.0
-# The version that most chats run on; another one has to take over.
+# Most chats run on this version; its fallback has to replace it.
 VERSION: Final = "nest-small@3"
 CONFLICT_STATUSES: Final = (409, 412)
 
 
 class WithdrawnPeriod(NamedTuple):
-    """A version that was out of use, and the runs that began meanwhile."""
+    """A period in which a version was withdrawn, and its runs in it."""
 
     version: str
     from_s: float
@@ -43,7 +44,10 @@
 
 
 class SoakOperator:
-    """Changes the configuration until stopped; runs in its own thread."""
+    """Changes the configuration until stopped.
+
+    `run` and `replace_lost_voters` each need a separate thread.
+    """
 
     def __init__(self, system: System, monitor: Monitor, seed: int) -> None:
         self.accepted: list[Accepted] = []
@@ -53,34 +57,37 @@
         self._monitor = monitor
         self._seed = seed
         self._stop = False
-        self._stop_repairs = False
+        self._stop_replacing = False
         self._port_index = 0
 
     def stop(self) -> None:
-        """End `run` after the change that is under way."""
+        """End `run`; a change that is not accepted yet is given up."""
         self._stop = True
 
-    def stop_repairs(self) -> None:
-        """End `repair_voters`; a lost disk may come with the last fault."""
-        self._stop_repairs = True
+    def stop_replacing(self) -> None:
+        """End `replace_lost_voters`.
+
+        This comes later than `stop`: the last fault may wipe a disk.
+        """
+        self._stop_replacing = True
 
     def run(self) -> None:
-        """Withdraw and reinstate a version in turn."""
+        """Withdraw and reinstate a version in turn and count its runs."""
         while not self._stop:
             if self._change("withdraw") and self._wait_in_force():
                 self._count_runs()
             self._change("reinstate")
             time.sleep(PAUSE_S)
 
-    def repair_voters(self) -> None:
-        """Put processes with empty disks in their old selves' places."""
-        while not self._stop_repairs:
+    def replace_lost_voters(self) -> None:
+        """Replace voters whose process has restarted with an empty disk."""
+        while not self._stop_replacing:
             for name in self._system.cluster.controls:
                 self._replace_voter(name)
             time.sleep(OBSERVATION_S)
 
     def _change(self, kind: str) -> bool:
-        """Send a change until it is accepted or the soak ends."""
+        """Send a change until it is accepted; return False after `stop`."""
         number = len(self.accepted)
         change_id = f"soak-{self._seed}-{number}-{kind}"
         while not self._stop:
@@ -95,7 +102,8 @@
                 if answer.status in CONFLICT_STATUSES:
                     break
                 time.sleep(PAUSE_S)
-            # Somebody else's change, such as a repair, came in between.
+            # Another change, such as a voter's replacement, came first. The
+            # next attempt needs a new id and a new base revision.
             change_id = f"{change_id}+"
         return False
 
@@ -142,10 +150,10 @@
             new_id = _replacement_id(answer.body, name)
             if not new_id or not old_id:
                 continue
-            done = sycactl(
+            completed = sycactl(
                 self._system.folder, [port], "replace-voter", old_id, new_id
             )
-            self.replaced_voters += done.status == 0
+            self.replaced_voters += completed.status == 0
             return
 
     def _address(self, name: str) -> str:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak: system, load, operator, faults, and the comparison."""
+"""Run one soak: start the system, load and faults, and check promises."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     from sycamorestand_bench.soak.injector import Event
     from sycamorestand_bench.soak.schedule import Schedule
 
-# An announcement's lease of 3 s, two more for the way to every entry, and
-# what a delayed or held link may add.
+# The lease of an announcement (3 s), two more seconds until every entry has
+# the news, and the delay that a faulty link may add.
 LEAVING_BOUND_S: Final = 8.0
-# Callers give a request up after twelve tries.
+# Long enough for the twelve attempts after which a caller gives up.
 DRAIN_TIMEOUT_S: Final = 60.0
 LEAVING_OBSERVATION_S: Final = 3.0
 ENGINES: Final = (
@@ -58,7 +58,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one soak found, and how much it did."""
+    """Findings, events and figures of one soak."""
 
     findings: list[Finding]
     events: list[Event]
@@ -66,20 +66,20 @@
 
 
 def targets() -> Targets:
-    """Return what a schedule may harm."""
+    """Return the processes and servers that a schedule may hit."""
     return Targets(CONTROLS, ENTRIES, ENGINES, SERVICES)
 
 
 def play(folder: Path, examples: Path, schedule: Schedule) -> Outcome:
-    """Play a schedule against a system that is started for it."""
+    """Start a system, play a schedule against it and return the outcome."""
     proxies: dict[str, FaultProxy] = {}
     system = System(folder, examples)
 
     async def expose_server(name: str, address: str) -> str:
-        gate = FaultProxy(free_address(), address)
-        proxies[name] = gate
-        await system.tasks.start(gate.run)
-        return gate.listen
+        proxy = FaultProxy(free_address(), address)
+        proxies[name] = proxy
+        await system.tasks.start(proxy.run)
+        return proxy.listen
 
     system.world.expose_server = expose_server
     with system:
@@ -108,7 +108,7 @@
         threads = [
             pool.submit(self._monitor.run),
             pool.submit(self._operator.run),
-            pool.submit(self._operator.repair_voters),
+            pool.submit(self._operator.replace_lost_voters),
         ]
         try:
             self._injector.play(self._schedule, begin_s)
@@ -119,9 +119,10 @@
             self._stop_load(load, load_ended)
             self._wait_caught_up()
         finally:
-            # Else leaving the system would wait for its pool for ever.
+            # Otherwise, leaving the system's context would wait for the
+            # threads of its pool for ever.
             self._operator.stop()
-            self._operator.stop_repairs()
+            self._operator.stop_replacing()
             self._monitor.stop()
             load.stop()
         for thread in threads:
@@ -144,7 +145,7 @@
         return load, ended
 
     def _wait_recovered(self) -> float:
-        """Wait until every entry serves; return how long that took."""
+        """Wait until every entry serves; return the seconds that it took."""
         begin_s = time.monotonic()
         try:
             self._system.wait_serving(*ENTRIES)
@@ -194,7 +195,7 @@
             for model in declared.models.values()
             for version in model.versions
         ]
-        seen = Observations(
+        observations = Observations(
             load.answers,
             collect_runs(system.world),
             [r for r in system.bills() if not is_probe(r["request_key"])],
@@ -212,35 +213,42 @@
             self._injector.events,
             {name: system.entry(name) for name in ENTRIES},
         )
-        # A process that ended by itself explains most of the others.
-        findings = [*self._monitor.findings, *self._findings, *check(seen)]
+        # The findings of the monitor come first: a process that ended
+        # unexpectedly explains most of the others.
+        findings = [
+            *self._monitor.findings,
+            *self._findings,
+            *check(observations),
+        ]
         return Outcome(
-            findings, self._injector.events, self._figures(seen, recovered_s)
+            findings,
+            self._injector.events,
+            self._figures(observations, recovered_s),
         )
 
     def _fetch_audit(self, name: str) -> list[dict[str, Any]]:
-        """Return a control process's audit trail, empty without answer."""
+        """Return a control process's audit entries; none if it fails."""
         try:
             return self._system.audit(name)
         except AssertionError as error:
-            what = f"{name} does not tell its audit trail: {error}"
+            what = f"{name} does not return its audit entries: {error}"
             self._findings.append(Finding("service is back", what))
             return []
 
     def _figures(
-        self, seen: Observations, recovered_s: float
+        self, observations: Observations, recovered_s: float
     ) -> dict[str, float]:
-        answered = [a for a in seen.answers if a.run == "answered"]
+        answered = [a for a in observations.answers if a.run == "answered"]
         return {
             "steps": len(self._schedule.steps),
-            "requests": len(seen.answers),
+            "requests": len(observations.answers),
             "answered": len(answered),
-            "runs": len(seen.runs),
-            "charges": len(seen.bills),
-            "changes": len(seen.accepted),
-            "withdrawals_looked_at": len(seen.withdrawn),
+            "runs": len(observations.runs),
+            "charges": len(observations.bills),
+            "changes": len(observations.accepted),
+            "withdrawals_looked_at": len(observations.withdrawn),
             "voters_replaced": self._operator.replaced_voters,
-            "planned_stops": len(seen.stops),
+            "planned_stops": len(observations.stops),
             "recovered_s": round(recovered_s, 2),
             "peak_mb": round(self._monitor.peak_bytes / 1e6, 1),
             "peak_descriptors": self._monitor.peak_descriptors,
@@ -248,26 +256,29 @@
 
     def _all_caught_up(self) -> bool:
         newest = self._operator.accepted[-1:]
-        told = newest[0].revision if newest else 0
+        accepted_revision = newest[0].revision if newest else 0
         statuses = [self._system.status(name) for name in CONTROLS]
-        return all(s.get("revision", -1) >= told for s in statuses)
+        return all(
+            s.get("revision", -1) >= accepted_revision for s in statuses
+        )
 
 
 def find_unanswered(
     waiting: Iterable[Waiting], names: Mapping[str, str], now_s: float
 ) -> list[Finding]:
-    """Return a finding for each attempt that nobody has answered.
+    """Return a finding for each attempt without an answer.
 
-    ``names`` has the entries by the address that callers use.
+    ``names`` maps the addresses that callers use to the entries' names.
+    ``now_s`` is by `time.monotonic`.
     """
     return [
         Finding(
             "every call is answered",
-            f"{one.request_key} has waited at"
-            f" {names.get(one.address, one.address)} for"
-            f" {now_s - one.begun_s:.1f} s",
+            f"{attempt.request_key} has waited at"
+            f" {names.get(attempt.address, attempt.address)} for"
+            f" {now_s - attempt.begun_s:.1f} s",
         )
-        for one in waiting
+        for attempt in waiting
     ]
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
@@ -1,7 +1,6 @@
-"""What is done to the system and when, drawn from a seed.
+"""Draw a schedule of faults from a seed, and read and write schedules.
 
-A schedule is data: it can be printed, kept as a file, shortened by hand
-and played again.
+A schedule can be printed, stored in a file, shortened by hand and replayed.
 """
 
 from __future__ import annotations
@@ -13,22 +12,23 @@
 import msgspec
 
 LINK_SEPARATOR: Final = ">"
-# Fewer than one fault in three seconds leaves most recoveries undisturbed;
-# more than two a second and nobody is ever served.
+# With fewer than one fault in three seconds, most recoveries see no further
+# fault. With more than two a second, no request is served.
 STEPS_PER_S: Final = 0.7
-# A step that hits the same target again while it recovers.
+# Share of steps after which a second fault hits the same process while it
+# recovers.
 REPEAT_PROBABILITY: Final = 0.3
 REPEAT_WITHIN_S: Final = 2.0
-# One lost disk of three is what the system bears. The next one is taken
-# only when the first has surely been repaired.
+# The system tolerates one lost disk of three. A second wipe has to come after
+# the replacement of the first voter.
 WIPE_INTERVAL_S: Final = 25.0
 
 
 class Step(NamedTuple):
-    """One fault: its begin from the start of the load, and its length.
+    """One fault: its time since the start of the load and its duration.
 
-    ``target`` is a process, a backend server, or ``sender>receiver`` for
-    what one process sends to another.
+    ``target`` is a process, a group of processes, a backend server, or
+    ``sender>receiver`` for the link from one process to another.
     """
 
     at_s: float
@@ -38,7 +38,7 @@
 
 
 class Schedule(NamedTuple):
-    """All faults of a run, in their order."""
+    """All faults of a run, ordered by time."""
 
     seed: int
     length_s: float
@@ -46,7 +46,7 @@
 
 
 class Targets(NamedTuple):
-    """What may be harmed, by name."""
+    """The names of processes and backend servers that faults may hit."""
 
     controls: tuple[str, ...]
     entries: tuple[str, ...]
@@ -66,7 +66,8 @@
     longest_s: float
 
 
-# Lengths reach from below a heartbeat to beyond every lease and time limit.
+# Durations range from less than a heartbeat interval to more than any lease
+# or timeout.
 FAULT_KINDS: Final = {
     "kill": _FaultKind(4, "process", 0.1, 5.0),
     "kill_all": _FaultKind(1, "group", 0.1, 2.0),
@@ -84,7 +85,7 @@
     "server_error": _FaultKind(1, "server", 0.5, 5.0),
     "server_cut": _FaultKind(1, "server", 0.5, 5.0),
     "server_silent": _FaultKind(1, "server", 0.5, 5.0),
-    # A plain service's garbage is its answer: nobody between can tell.
+    # Not for plain services: no process can tell garbage from their answers.
     "server_garbage": _FaultKind(1, "engine", 0.5, 5.0),
     "server_refuse": _FaultKind(1, "server", 0.5, 5.0),
     "server_leaves": _FaultKind(1, "engine", 0.0, 0.0),
@@ -92,35 +93,39 @@
 
 
 def draw(seed: int, length_s: float, targets: Targets) -> Schedule:
-    """Return the schedule of a seed; equal seeds give equal schedules."""
+    """Draw the schedule of a seed; equal seeds give equal schedules.
+
+    Wipes lie at least `WIPE_INTERVAL_S` apart, and at most one server
+    leaves.
+    """
     random = Random(seed)
     steps: list[Step] = []
-    wiped_s = -WIPE_INTERVAL_S
-    left = False
+    last_wipe_s = -WIPE_INTERVAL_S
+    has_leaving_server = False
     for _ in range(max(1, int(length_s * STEPS_PER_S))):
         step = _draw_step(random, length_s, targets)
         steps.append(step)
         if random.random() < REPEAT_PROBABILITY:
             end_s = step.at_s + step.for_s
-            again_s = end_s + random.uniform(0.0, REPEAT_WITHIN_S)
-            steps.append(_draw_repeat(random, step, again_s, targets))
+            repeat_s = end_s + random.uniform(0.0, REPEAT_WITHIN_S)
+            steps.append(_draw_repeat(random, step, repeat_s, targets))
     allowed: list[Step] = []
     for step in sorted(steps):
         if step.fault == "wipe":
-            if step.at_s - wiped_s < WIPE_INTERVAL_S:
+            if step.at_s - last_wipe_s < WIPE_INTERVAL_S:
                 continue
-            wiped_s = step.at_s
+            last_wipe_s = step.at_s
         if step.fault == "server_leaves":
-            if left:
+            if has_leaving_server:
                 continue
-            left = True
+            has_leaving_server = True
         if step.at_s <= length_s:
             allowed.append(step)
     return Schedule(seed, length_s, tuple(allowed))
 
 
 def encode(schedule: Schedule) -> bytes:
-    """Return a schedule as text, a step a line."""
+    """Return a schedule as text with one step per line."""
     head = f"seed {schedule.seed} length_s {schedule.length_s}"
     lines = [
         f"{s.at_s:.2f} {s.fault} {s.target} {s.for_s:.2f}"
@@ -130,15 +135,15 @@
 
 
 def decode(text: bytes) -> Schedule:
-    """Read what `encode` wrote; lines that begin with ``#`` are passed.
+    """Parse the text of `encode`; lines that begin with ``#`` are comments.
 
-    Raises `ValueError` with the line that cannot be read.
+    Raises `ValueError` with the line that cannot be parsed.
     """
     lines = [line.strip() for line in text.decode().splitlines()]
     rows = [line for line in lines if line and not line.startswith("#")]
     head = rows[0].split() if rows else []
     if len(head) != 4 or head[::2] != ["seed", "length_s"]:
-        raise ValueError(f"not the head of a schedule: {rows[:1]!r}")
+        raise ValueError(f"not the first line of a schedule: {rows[:1]!r}")
     steps = tuple(_read_step(row) for row in rows[1:])
     return Schedule(int(head[1]), float(head[3]), steps)
 
@@ -146,7 +151,7 @@
 def _read_step(row: str) -> Step:
     parts = row.split()
     if len(parts) != 4 or parts[1] not in FAULT_KINDS:
-        raise ValueError(f"not a step: {row!r}")
+        raise ValueError(f"not a step of a schedule: {row!r}")
     return msgspec.convert(
         [float(parts[0]), parts[1], parts[2], float(parts[3])], Step
     )
@@ -172,11 +177,11 @@
 def _draw_repeat(
     random: Random, step: Step, at_s: float, targets: Targets
 ) -> Step:
-    """Return a step that hits a process again, in its recovery."""
+    """Return a fault that hits the process of ``step`` in its recovery."""
     fault = random.choice(("kill", "freeze", "stop", "reset", "isolate"))
     drawn = _make_step(random, fault, at_s, targets)
-    known = (*targets.controls, *targets.entries)
-    if step.target in known:
+    processes = (*targets.controls, *targets.entries)
+    if step.target in processes:
         return drawn._replace(target=step.target)
     return drawn
 
--- a/packages/sycamorestand-bench/tests/soak/test_checks.py
+++ b/packages/sycamorestand-bench/tests/soak/test_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks must see each kind of broken promise."""
+"""Tests that the soak's checks find each kind of broken promise."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def faultless_observations() -> Observations:
-    """Return a soak without a fault, which each test spoils in one way."""
+    """Return observations without a finding, to which tests add one fault."""
     change = Change("c1", "withdraw", 1)
     return Observations(
         answers=[chat("a"), chat("b"), order("o", BEFORE_STOP)],
@@ -87,13 +87,13 @@
 
 
 def truncate_answer(s: Observations) -> Observations:
-    half = s.answers[0]._replace(text=s.answers[0].text[:-1])
-    return s._replace(answers=[half, *s.answers[1:]])
+    truncated = s.answers[0]._replace(text=s.answers[0].text[:-1])
+    return s._replace(answers=[truncated, *s.answers[1:]])
 
 
 def add_refused_order_that_ran(s: Observations) -> Observations:
-    spoilt = add_answer(order("r", REFUSED, REFUSED))(s)
-    return add_run(Run("dalton", "r", "portal", "POST"))(spoilt)
+    faulty = add_answer(order("r", REFUSED, REFUSED))(s)
+    return add_run(Run("dalton", "r", "portal", "POST"))(faulty)
 
 
 def add_cut_during_stop(s: Observations) -> Observations:
@@ -137,33 +137,32 @@
     def test_no_findings_without_fault(self) -> None:
         assert check(faultless_observations()) == []
 
-    @pytest.mark.parametrize(("promise", "spoil"), FAULTS)
+    @pytest.mark.parametrize(("promise", "add_fault"), FAULTS)
     def test_each_broken_promise_is_found(
-        self, promise: str, spoil: AddFault
+        self, promise: str, add_fault: AddFault
     ) -> None:
-        found = {
+        promises = {
             finding.promise
-            for finding in check(spoil(faultless_observations()))
+            for finding in check(add_fault(faultless_observations()))
         }
-        assert found == {promise}
+        assert promises == {promise}
 
     def test_cut_during_another_fault_is_not_blamed_on_stop(self) -> None:
-        # A backend server is harmed during the stop: the stream may have
-        # broken off for that.
-        harmed = Event(101.0, "server_cut", "small-1")
-        spoilt = add_cut_during_stop(faultless_observations())
-        spoilt = spoilt._replace(events=[*spoilt.events, harmed])
-        assert check(spoilt) == []
+        # A server fault during the stop may also be the cause of the cut.
+        server_fault = Event(101.0, "server_cut", "small-1")
+        faulty = add_cut_during_stop(faultless_observations())
+        faulty = faulty._replace(events=[*faulty.events, server_fault])
+        assert check(faulty) == []
 
     @pytest.mark.parametrize(("after_s", "count"), [(0.9, 0), (5.0, 1)])
     def test_sigterm_status_is_a_finding_only_after_start_up(
         self, after_s: float, count: int
     ) -> None:
-        # The interpreter is still importing: the signal ends it, and it
-        # had begun nothing. Later on that status is a fault.
+        # While the interpreter imports modules, SIGTERM ends the process,
+        # which has served no request. Later, that status is a fault.
         start = Event(100.0 - after_s, "start", "entry-1")
         stop = PlannedStop("entry-1", 100.0, 100.1, -SIGTERM)
-        spoilt = faultless_observations()._replace(
+        faulty = faultless_observations()._replace(
             stops=[stop], events=[start]
         )
-        assert len(check(spoilt)) == count
+        assert len(check(faulty)) == count
--- a/packages/sycamorestand-bench/tests/soak/test_run.py
+++ b/packages/sycamorestand-bench/tests/soak/test_run.py
@@ -1,4 +1,4 @@
-"""What a soak says of calls that never end."""
+"""Tests of the findings for calls that get no answer."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 class TestFindUnanswered:
     def test_finding_names_request_entry_and_age(self) -> None:
-        """A control process has ended, and an order gets no answer.
+        """Guard against a soak that fails without naming the waiting call.
 
-        The soak ended with an error of its own in place of a finding;
-        which call waited, and where, was lost.
+        An order gets no answer after a control process has ended. The soak
+        must report a finding and not end with an error.
         """
         waiting = [Waiting("order-7", "127.0.0.1:4000", 10.0)]
         names = {"127.0.0.1:4000": "entry-1"}
--- a/packages/sycamorestand-bench/tests/soak/test_schedule.py
+++ b/packages/sycamorestand-bench/tests/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules follow from their seed and can be kept as files."""
+"""Tests of drawing schedules from seeds and storing them in files."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
     @given(SEEDS)
     def test_wipes_leave_time_for_repair(self, seed: int) -> None:
-        # Two of three voters with empty disks have lost what was
-        # accepted; no system with three could keep it.
+        # If two of three voters lose their disks at once, accepted changes
+        # are lost, which no system with three voters can prevent.
         steps = draw(seed, 60.0, targets()).steps
-        wiped = [step.at_s for step in steps if step.fault == "wipe"]
-        for before_s, after_s in zip(wiped, wiped[1:], strict=False):
+        wipes_s = [step.at_s for step in steps if step.fault == "wipe"]
+        for before_s, after_s in zip(wipes_s, wipes_s[1:], strict=False):
             assert after_s - before_s >= WIPE_INTERVAL_S
 
     def test_every_kind_of_fault_is_drawn(self) -> None:
@@ -43,9 +43,9 @@
     @given(SEEDS)
     def test_decode_returns_the_encoded_schedule(self, seed: int) -> None:
         schedule = draw(seed, 20.0, targets())
-        again = decode(encode(schedule))
-        assert again.steps == schedule.steps
-        assert again.seed == seed
+        decoded = decode(encode(schedule))
+        assert decoded.steps == schedule.steps
+        assert decoded.seed == seed
 
     @pytest.mark.parametrize(
         "text", [b"", b"seed 1\n", b"seed 1 length_s 5\n1.0 melt entry-1 2\n"]
--- a/packages/sycamorestand-bench/tests/soak/test_soak.py
+++ b/packages/sycamorestand-bench/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, and every schedule that once failed."""
+"""Plays a short fixed schedule and the regression schedules."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 ROOT = Path(__file__).parents[4]
 EXAMPLES = ROOT / "examples"
 CASES = sorted((Path(__file__).parent / "cases").glob("*.schedule"))
-# One of each kind that needs no luck to matter, so that the run takes
-# seconds; seeds are for the command.
+# One fault of each kind whose effect does not depend on chance, so that the
+# test takes seconds. Schedules of random seeds are played by the command.
 SHORT = Schedule(
     0,
     6.0,
@@ -33,11 +33,11 @@
 
 class TestSoak:
     def test_promises_hold_in_a_short_run(self, tmp_path: Path) -> None:
-        """Callers go on while processes and links are harmed in turn.
+        """No promise is broken by overlapping faults under load.
 
-        An entry is killed, a voter freezes and another one loses the end
-        of its log, links go silent and one-way, an entry is stopped as
-        planned. Whatever overlaps, no promise breaks.
+        An entry is killed, a voter freezes, another voter's log ends in a
+        torn frame, links go silent or one-way, and an entry stops as
+        planned.
         """
         outcome = play(tmp_path, EXAMPLES, SHORT)
         assert outcome.findings == []
@@ -47,14 +47,14 @@
     def test_promises_hold_for_regression_schedule(
         self, tmp_path: Path, case: Path
     ) -> None:
-        """Each file begins with a line on what it showed and the cause."""
+        """Each file begins with a comment on the failure and its cause."""
         outcome = play(tmp_path, EXAMPLES, decode(case.read_bytes()))
         assert outcome.findings == []
 
 
 class TestLogs:
     def test_missing_log_folder_is_created(self, tmp_path: Path) -> None:
-        """The command ended with a traceback before it played anything."""
+        """Guard against a command that fails because the folder is missing."""
         folder = make_folder(tmp_path / "new" / "logs")
         assert folder.is_dir()
         assert folder.parent == tmp_path / "new" / "logs"
