--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -35,8 +35,8 @@
 BILLS_PER_PAGE: Final = 500
 TOKENS_PER_PRICE: Final = 1_000_000
 START_TIMEOUT_S: Final = 30.0
-# A roll-out whose steps may follow after 2 s, so that it advances within the
-# quickstart.
+# Steps may follow after 2 s, so that the roll-out advances within the
+# quickstart; a real roll-out takes a minute for this.
 FAST_ROLLOUT: Final = """\
 [rollouts.nest-small]
 version = "4"
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -43,7 +43,8 @@
 # The lease of an announcement (3 s), two more seconds until every entry has
 # the news, and the delay that a faulty link may add.
 LEAVING_BOUND_S: Final = 8.0
-# Long enough for the twelve attempts after which a caller gives up.
+# Callers give up a request after twelve attempts. A call that still waits
+# after this time is a finding.
 DRAIN_TIMEOUT_S: Final = 60.0
 LEAVING_OBSERVATION_S: Final = 3.0
 ENGINES: Final = (
