--- a/packages/sycamorestand-model/src/sycamorestand_model/keys.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/keys.py
@@ -1,4 +1,4 @@
-"""Salted hashes of customers' and operators' keys, never the keys."""
+"""Salted hashes of the keys of customers and operators."""
 
 from __future__ import annotations
 
@@ -13,21 +13,26 @@
 
 
 def hash_key(key: str, salt: bytes | None = None) -> str:
-    """Return the form of a key that declarations carry.
+    """Return the salted hash of a key, as declarations contain it.
 
-    Keys are random tokens made by the system, not passwords, so one keyed
-    hash is enough and costs an entry a microsecond a request.
+    Keys are random tokens that the system generates, not passwords, so
+    one salted hash is enough. It costs an entry a microsecond a request.
+    The salt is random unless it is given.
 
     Example: ``hash_key("guild-1", b"12345678")`` starts with ``b2$``.
     """
-    chosen = secrets.token_bytes(SALT_BYTES) if salt is None else salt
-    digest = _digest(key, chosen)
-    return f"{HASH_SCHEME}${chosen.hex()}${digest.hex()}"
+    salt_bytes = secrets.token_bytes(SALT_BYTES) if salt is None else salt
+    digest = _digest(key, salt_bytes)
+    return f"{HASH_SCHEME}${salt_bytes.hex()}${digest.hex()}"
 
 
-def key_matches(key: str, stored: str) -> bool:
-    """Compare a presented key with a stored hash in constant time."""
-    scheme, _, rest = stored.partition("$")
+def key_matches(key: str, stored_hash: str) -> bool:
+    """Return whether a key has the given hash.
+
+    The digests are compared in constant time. A malformed hash matches no
+    key.
+    """
+    scheme, _, rest = stored_hash.partition("$")
     salt_text, _, digest_text = rest.partition("$")
     if scheme != HASH_SCHEME:
         return False
--- a/packages/sycamorestand-model/src/sycamorestand_model/readers.py
+++ b/packages/sycamorestand-model/src/sycamorestand_model/readers.py
@@ -1,10 +1,10 @@
-"""Readers that turn raw TOML or JSON values into typed ones.
+"""Readers that validate raw TOML or JSON values and return typed ones.
 
 A reader is a closure that takes a raw value, its place and the collector
-of findings. It returns None after a finding and never raises, so that one
-run over a folder reports every fault. For example
-``whole(0, 5)(7, Place("a.toml", "x"), findings)`` adds "must lie between
-0 and 5" and returns None.
+of findings. For an invalid value it adds a finding and returns None. It
+never raises, so that one run over a folder reports all faults. For example,
+``integer(0, 5)(7, Place("a.toml", "x"), findings)`` adds a finding with the
+remedy "must lie between 0 and 5" and returns None.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from typing import NamedTuple
 
 from sycamorestand_model.findings import Findings
-from sycamorestand_model.findings import inside
-from sycamorestand_model.findings import item
+from sycamorestand_model.findings import item_place
+from sycamorestand_model.findings import key_place
 from sycamorestand_model.findings import Place
 
 Reader = Callable[[object, Place, Findings], Any]
@@ -28,18 +28,18 @@
 
 
 class Field(NamedTuple):
-    """How one field of a table is read and whether it may be left out."""
+    """The reader of one field of a table, and whether it is required."""
 
     reader: Reader
     required: bool = False
 
 
 def name(max_characters: int) -> Reader:
-    """Read a name: lower case letters, digits, dots and hyphens."""
+    """Return a reader of names, see `check_name`."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if check_name(raw, max_characters, place, findings):
             return raw
@@ -49,11 +49,11 @@
 
 
 def text(max_characters: int) -> Reader:
-    """Read a text of a bounded length."""
+    """Return a reader of strings up to a length."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if len(raw) > max_characters:
             findings.error(
@@ -66,7 +66,7 @@
 
 
 def optional(reader: Reader) -> Reader:
-    """Read an empty text as nothing, anything else as ``reader`` does."""
+    """Return a reader that accepts an empty string besides other values."""
 
     def read(raw: object, place: Place, findings: Findings) -> Any:
         return "" if raw == "" else reader(raw, place, findings)
@@ -77,7 +77,11 @@
 def check_name(
     text: str, max_characters: int, place: Place, findings: Findings
 ) -> bool:
-    """Add a finding and return False where a name cannot be used."""
+    """Return whether a name is valid; add a finding if it is not.
+
+    A valid name consists of lower case letters, digits, dots, underscores
+    and hyphens, and begins with a letter or a digit.
+    """
     if len(text) > max_characters:
         findings.error(
             place,
@@ -96,14 +100,14 @@
 
 
 def integer(low: int, high: int) -> Reader:
-    """Read a whole number within bounds."""
+    """Return a reader of integers from ``low`` to ``high``."""
 
     def read(raw: object, place: Place, findings: Findings) -> int | None:
         if isinstance(raw, bool) or not isinstance(raw, int):
-            _wrong_type(raw, "a whole number", place, findings)
+            _report_wrong_type(raw, "a whole number", place, findings)
             return None
         if not low <= raw <= high:
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         return raw
 
@@ -111,17 +115,17 @@
 
 
 def number(low: float, high: float) -> Reader:
-    """Read a finite number within bounds."""
+    """Return a reader of finite numbers from ``low`` to ``high``."""
 
     def read(raw: object, place: Place, findings: Findings) -> float | None:
         if isinstance(raw, bool) or not isinstance(raw, int | float):
-            _wrong_type(raw, "a number", place, findings)
+            _report_wrong_type(raw, "a number", place, findings)
             return None
         if isinstance(raw, float) and not math.isfinite(raw):
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         if not low <= raw <= high:
-            _out_of_range(low, high, place, findings)
+            _report_out_of_range(low, high, place, findings)
             return None
         return float(raw)
 
@@ -129,19 +133,19 @@
 
 
 def flag(raw: object, place: Place, findings: Findings) -> bool | None:
-    """Read true or false."""
+    """Read a Boolean."""
     if not isinstance(raw, bool):
-        _wrong_type(raw, "true or false", place, findings)
+        _report_wrong_type(raw, "true or false", place, findings)
         return None
     return raw
 
 
 def choice(*allowed: str) -> Reader:
-    """Read one of a few words."""
+    """Return a reader of strings that accepts only ``allowed`` ones."""
 
     def read(raw: object, place: Place, findings: Findings) -> str | None:
         if not isinstance(raw, str):
-            _wrong_type(raw, "a text", place, findings)
+            _report_wrong_type(raw, "a text", place, findings)
             return None
         if raw not in allowed:
             findings.error(
@@ -154,7 +158,10 @@
 
 
 def key_hash(raw: object, place: Place, findings: Findings) -> str | None:
-    """Read a salted hash; the value itself is never repeated."""
+    """Read a salted hash of a key.
+
+    The finding does not contain the value, which may be a plain-text key.
+    """
     if isinstance(raw, str) and KEY_HASH_PATTERN.fullmatch(raw):
         return raw
     findings.error(
@@ -169,13 +176,16 @@
 def array(
     reader: Reader, max_items: int, min_items: int = 0, unique: bool = True
 ) -> Reader:
-    """Read a list; broken items are reported and left out."""
+    """Return a reader of lists; invalid items are reported and left out.
+
+    With ``unique``, an item that occurs twice is an error too.
+    """
 
     def read(
         raw: object, place: Place, findings: Findings
     ) -> tuple[Any, ...] | None:
         if not isinstance(raw, list | tuple):
-            _wrong_type(raw, "a list", place, findings)
+            _report_wrong_type(raw, "a list", place, findings)
             return None
         if not min_items <= len(raw) <= max_items:
             findings.error(
@@ -185,49 +195,50 @@
             )
             return None
         values = [
-            reader(each, item(place, index), findings)
-            for index, each in enumerate(raw)
+            reader(raw_item, item_place(place, index), findings)
+            for index, raw_item in enumerate(raw)
         ]
-        kept = [value for value in values if value is not None]
+        valid_values = [value for value in values if value is not None]
         if unique:
-            _report_doubled(kept, place, findings)
-        return tuple(kept)
+            _report_duplicates(valid_values, place, findings)
+        return tuple(valid_values)
 
     return read
 
 
-def record(make: Callable[..., Any], fields: dict[str, Field]) -> Reader:
-    """Read a table into a typed tuple; unknown fields are findings.
+def record(factory: Callable[..., Any], fields: dict[str, Field]) -> Reader:
+    """Return a reader of tables, which passes the fields to ``factory``.
 
-    Fields that a table leaves out keep the default of the tuple.
+    Unknown fields and missing required ones are errors. An optional field
+    that is missing is not passed, so that ``factory`` uses its default.
     """
 
     def read(raw: object, place: Place, findings: Findings) -> Any:
         if not isinstance(raw, dict):
-            _wrong_type(raw, "a table", place, findings)
+            _report_wrong_type(raw, "a table", place, findings)
             return None
-        _report_unknown(raw, fields, place, findings)
+        _report_unknown_fields(raw, fields, place, findings)
         values: dict[str, Any] = {}
-        whole_record = True
+        is_complete = True
         for key, field in fields.items():
             if key not in raw:
                 if field.required:
                     findings.error(
-                        inside(place, key), "missing", "add this field"
+                        key_place(place, key), "missing", "add this field"
                     )
-                    whole_record = False
+                    is_complete = False
                 continue
-            value = field.reader(raw[key], inside(place, key), findings)
+            value = field.reader(raw[key], key_place(place, key), findings)
             if value is None:
-                whole_record = False
+                is_complete = False
             else:
                 values[key] = value
-        return make(**values) if whole_record else None
+        return factory(**values) if is_complete else None
 
     return read
 
 
-def _report_unknown(
+def _report_unknown_fields(
     raw: dict[Any, Any],
     fields: dict[str, Field],
     place: Place,
@@ -236,31 +247,33 @@
     for key in raw:
         if key not in fields:
             findings.error(
-                inside(place, str(key)),
+                key_place(place, str(key)),
                 "unknown field",
                 f"known are {', '.join(fields)}",
             )
 
 
-def _report_doubled(
+def _report_duplicates(
     values: list[Any], place: Place, findings: Findings
 ) -> None:
     seen = set()
     for index, value in enumerate(values):
         if value in seen:
             findings.error(
-                item(place, index), "given twice", "remove one of them"
+                item_place(place, index), "given twice", "remove one of them"
             )
         seen.add(value)
 
 
-def _wrong_type(
-    raw: object, wanted: str, place: Place, findings: Findings
+def _report_wrong_type(
+    raw: object, expected: str, place: Place, findings: Findings
 ) -> None:
-    findings.error(place, f"is {type(raw).__name__}", f"give {wanted} instead")
+    findings.error(
+        place, f"is {type(raw).__name__}", f"give {expected} instead"
+    )
 
 
-def _out_of_range(
+def _report_out_of_range(
     low: float, high: float, place: Place, findings: Findings
 ) -> None:
     findings.error(
@@ -274,6 +287,7 @@
     "choice",
     "Field",
     "flag",
+    "integer",
     "key_hash",
     "name",
     "number",
@@ -281,5 +295,4 @@
     "Reader",
     "record",
     "text",
-    "integer",
 ]
