--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/load.py
@@ -1,4 +1,4 @@
-"""The mixed requests of the quickstart."""
+"""Generate the mixed load of the quickstart and the soak."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Load:
-    """Sends requests until told to stop and keeps every answer."""
+    """Sends chats, sessions and orders until stopped; keeps all answers."""
 
     def __init__(
         self, callers: Callers, entries: Callable[[], list[str]], seed: int
@@ -44,11 +44,11 @@
         self._stop = False
 
     def stop(self) -> None:
-        """Send nothing new; requests under way end."""
+        """Send no new requests; the requests under way still end."""
         self._stop = True
 
     async def run(self) -> None:
-        """Send until `stop`; returns when all requests have ended."""
+        """Send requests until `stop`; return when all of them have ended."""
         async with anyio.create_task_group() as tasks:
             for worker in range(CHAT_WORKERS):
                 tasks.start_soon(self._chat_worker, worker)
@@ -59,7 +59,7 @@
 
     async def _chat_worker(self, worker: int) -> None:
         while not self._stop:
-            call = self._chat(worker, "")
+            call = self._draw_chat(worker, "")
             self.answers.append(await self._callers.call(call))
             await anyio.sleep(PAUSE_S)
 
@@ -67,7 +67,7 @@
         session = ""
         while not self._stop:
             session = session or new_key("session")
-            call = self._chat(worker, session)
+            call = self._draw_chat(worker, session)
             answer = await self._callers.call(call)
             self.answers.append(answer)
             if answer.run != "answered":
@@ -75,7 +75,7 @@
             await anyio.sleep(PAUSE_S * 4)
 
     async def _order_worker(self, worker: int) -> None:
-        """Order a sheet twice at once, at two entries, with one key."""
+        """Send each order to two entries at once, with the same key."""
         while not self._stop:
             customer = CUSTOMERS[worker % len(CUSTOMERS)]
             key = new_key("order")
@@ -83,16 +83,16 @@
             entries = self._random.sample(self._entries(), 2)
             async with anyio.create_task_group() as tasks:
                 for entry in entries:
-                    tasks.start_soon(self._order, call, entry)
+                    tasks.start_soon(self._call_order, call, entry)
             key = new_key("status")
             status = Call("status", customer, key, path=f"/jobs/{key}")
             self.answers.append(await self._callers.call(status))
             await anyio.sleep(PAUSE_S * 2)
 
-    async def _order(self, call: Call, entry: str) -> None:
+    async def _call_order(self, call: Call, entry: str) -> None:
         self.answers.append(await self._callers.call(call, at=entry))
 
-    def _chat(self, worker: int, session: str) -> Call:
+    def _draw_chat(self, worker: int, session: str) -> Call:
         return Call(
             "chat",
             CUSTOMERS[worker % len(CUSTOMERS)],
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/watch.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
@@ -1,7 +1,7 @@
-"""Looks at every process while the soak runs.
+"""Monitor every process while the soak runs.
 
-What an operator's monitoring would see: that processes live, what memory
-and descriptors they take, and which revision each entry acts on.
+As an operator's monitoring does, it checks that processes run, their memory
+and open file descriptors, and the revision of each entry.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
     from sycamorestand_bench.processes import Cluster
     from sycamorestand_bench.soak.injector import Injector
 
-LOOK_S: Final = 0.25
-# The target for a node's control is 128 MB; a process that takes twice
-# that under a few dozen callers keeps something for ever.
+POLL_INTERVAL_S: Final = 0.25
+# A control process has a target of 128 MB. One that uses twice as much under
+# a few dozen callers has a leak.
 MAX_RESIDENT_BYTES: Final = 256 * 1024 * 1024
 MAX_DESCRIPTORS: Final = 1024
-ANSWER_BOUND_S: Final = 1.0
+ANSWER_TIMEOUT_S: Final = 1.0
 
 
 class Finding(NamedTuple):
-    """A broken promise, and what shows it."""
+    """A broken promise and the evidence for it."""
 
     promise: str
     what: str
 
 
 class InForce(NamedTuple):
-    """A revision that was told to be in force everywhere, and when."""
+    """A revision reported as in force everywhere, and the time of that."""
 
     revision: int
     at_s: float
 
 
-class Watch:
-    """Collects findings until stopped; runs in a thread of its own."""
+class Monitor:
+    """Collects findings in a separate thread until stopped."""
 
     def __init__(self, cluster: Cluster, injector: Injector) -> None:
         self.findings: list[Finding] = []
@@ -51,44 +51,46 @@
         self.in_force = InForce(0, 0.0)
         self._cluster = cluster
         self._injector = injector
-        self._seen: dict[tuple[str, int], int] = {}
+        self._newest_revisions: dict[tuple[str, int], int] = {}
         self._reported: set[tuple[str, str]] = set()
         self._stop = False
 
     def stop(self) -> None:
-        """End `run` after its next look."""
+        """End `run` after its current round."""
         self._stop = True
 
     def run(self) -> None:
-        """Look at every process in turn."""
+        """Check every process in turn, until `stop`."""
         while not self._stop:
             for name in (*self._cluster.controls, *self._cluster.entries):
-                self._look(name)
-            time.sleep(LOOK_S)
+                self._check_process(name)
+            time.sleep(POLL_INTERVAL_S)
 
     def report(self, promise: str, name: str, what: str) -> None:
-        """Note a finding, once for each promise and process."""
+        """Record a finding, once for each promise and process."""
         if (promise, name) not in self._reported:
             self._reported.add((promise, name))
             self.findings.append(Finding(promise, f"{name}: {what}"))
 
-    def _look(self, name: str) -> None:
+    def _check_process(self, name: str) -> None:
         if self._injector.is_expected_down(name):
             return
         status = self._cluster.exit_status(name)
         if status is not None and not self._injector.is_expected_down(name):
-            self.report("lives", name, f"ended by itself with {status}")
+            self.report(
+                "lives", name, f"ended unexpectedly with status {status}"
+            )
             return
         try:
             pid = self._cluster.pid(name)
-            self._look_at_memory(name, pid)
+            self._check_resources(name, pid)
         except (OSError, KeyError):
-            # It was ended between two looks.
+            # The injector has ended the process since the check above.
             return
         if name in self._cluster.entries:
-            self._look_at_revision(name, pid)
+            self._check_revision(name, pid)
 
-    def _look_at_memory(self, name: str, pid: int) -> None:
+    def _check_resources(self, name: str, pid: int) -> None:
         folder = Path("/proc") / str(pid)
         pages = int((folder / "statm").read_text().split()[1])
         resident_bytes = pages * PAGE_BYTES
@@ -100,26 +102,30 @@
         if descriptors > MAX_DESCRIPTORS:
             self.report("bounded", name, f"{descriptors} descriptors")
 
-    def _look_at_revision(self, name: str, pid: int) -> None:
+    def _check_revision(self, name: str, pid: int) -> None:
         in_force = self.in_force
         address = f"127.0.0.1:{self._cluster.entries[name].port}"
         try:
-            told = readiness(address, ANSWER_BOUND_S)
+            answer = readiness(address, ANSWER_TIMEOUT_S)
         except (OSError, HTTPException):
             return
-        revision = told["revision"]
-        before = self._seen.get((name, pid), 0)
-        self._seen[(name, pid)] = max(revision, before)
+        revision = answer["revision"]
+        before = self._newest_revisions.get((name, pid), 0)
+        self._newest_revisions[(name, pid)] = max(revision, before)
         if revision < before:
-            self.report("no revert", name, f"{before} to {revision}")
-        if told["lease_remaining_s"] > 0 and revision < in_force.revision:
+            self.report(
+                "no revert",
+                name,
+                f"revision went from {before} back to {revision}",
+            )
+        if answer["lease_remaining_s"] > 0 and revision < in_force.revision:
             self.report(
                 "in force everywhere",
                 name,
-                f"takes work at {revision}, {in_force.revision} is in force",
+                f"serves at {revision}, {in_force.revision} is in force",
             )
 
 
 PAGE_BYTES: Final = 4096
 
-__all__ = ["Finding", "InForce", "Watch"]
+__all__ = ["Finding", "InForce", "Monitor"]
