--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak: system, load, operator, faults, and the comparison."""
+"""Run one soak: start the system, load and faults, and check promises."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from sycamorestand_bench.quickstart.caller import Callers
 from sycamorestand_bench.quickstart.load import Load
 from sycamorestand_bench.soak.checks import check
-from sycamorestand_bench.soak.checks import runs_of
-from sycamorestand_bench.soak.checks import Seen
+from sycamorestand_bench.soak.checks import collect_runs
+from sycamorestand_bench.soak.checks import Observations
 from sycamorestand_bench.soak.injector import Injector
-from sycamorestand_bench.soak.operating import Operating
+from sycamorestand_bench.soak.monitor import Finding
+from sycamorestand_bench.soak.monitor import Monitor
+from sycamorestand_bench.soak.operator import SoakOperator
 from sycamorestand_bench.soak.schedule import Targets
-from sycamorestand_bench.soak.watch import Finding
-from sycamorestand_bench.soak.watch import Watch
 from sycamorestand_bench.system.fault_proxy import FaultProxy
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import ENTRIES
@@ -40,12 +40,13 @@
     from sycamorestand_bench.soak.injector import Event
     from sycamorestand_bench.soak.schedule import Schedule
 
-# An announcement's lease of 3 s, two more for the way to every entry, and
-# what a delayed or held link may add.
+# The lease of an announcement (3 s), two more seconds until every entry has
+# the news, and the delay that a faulty link may add.
 LEAVING_BOUND_S: Final = 8.0
-# Callers give a request up after twelve tries.
-IDLE_BOUND_S: Final = 60.0
-SETTLE_S: Final = 3.0
+# Callers give up a request after twelve attempts. A call that still waits
+# after this time is a finding.
+DRAIN_TIMEOUT_S: Final = 60.0
+LEAVING_OBSERVATION_S: Final = 3.0
 ENGINES: Final = (
     "small-1",
     "small-2",
@@ -58,7 +59,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one soak found, and how much it did."""
+    """Findings, events and figures of one soak."""
 
     findings: list[Finding]
     events: list[Event]
@@ -66,36 +67,39 @@
 
 
 def targets() -> Targets:
-    """Return what a schedule may harm."""
+    """Return the processes and servers that a schedule may hit."""
     return Targets(CONTROLS, ENTRIES, ENGINES, SERVICES)
 
 
 def play(folder: Path, examples: Path, schedule: Schedule) -> Outcome:
-    """Play a schedule against a system that is started for it."""
-    gates: dict[str, FaultProxy] = {}
+    """Start a system, play a schedule against it and return the outcome."""
+    proxies: dict[str, FaultProxy] = {}
     system = System(folder, examples)
 
-    async def front(name: str, address: str) -> str:
-        gate = FaultProxy(free_address(), address)
-        gates[name] = gate
-        await system.tasks.start(gate.run)
-        return gate.listen
+    async def expose_server(name: str, address: str) -> str:
+        proxy = FaultProxy(free_address(), address)
+        proxies[name] = proxy
+        await system.tasks.start(proxy.run)
+        return proxy.listen
 
-    system.world.front = front
+    system.world.expose_server = expose_server
     with system:
         system.declare_fallback()
-        return _Soak(system, gates, schedule).play()
+        return _Soak(system, proxies, schedule).play()
 
 
 class _Soak:
     def __init__(
-        self, system: System, gates: dict[str, FaultProxy], schedule: Schedule
+        self,
+        system: System,
+        proxies: dict[str, FaultProxy],
+        schedule: Schedule,
     ) -> None:
         self._system = system
         self._schedule = schedule
-        self._injector = Injector(system, gates)
-        self._watch = Watch(system.cluster, self._injector)
-        self._operating = Operating(system, self._watch, schedule.seed)
+        self._injector = Injector(system, proxies)
+        self._monitor = Monitor(system.cluster, self._injector)
+        self._operator = SoakOperator(system, self._monitor, schedule.seed)
         self._findings: list[Finding] = []
 
     def play(self) -> Outcome:
@@ -103,23 +107,24 @@
         load, load_ended = self._system.call_in_loop(self._start_load)
         pool = self._system.pool
         threads = [
-            pool.submit(self._watch.run),
-            pool.submit(self._operating.run),
-            pool.submit(self._operating.repair_voters),
+            pool.submit(self._monitor.run),
+            pool.submit(self._operator.run),
+            pool.submit(self._operator.replace_lost_voters),
         ]
         try:
             self._injector.play(self._schedule, begin_s)
             self._injector.heal()
             recovered_s = self._wait_recovered()
-            after_leaving = self._runs_after_leaving()
-            self._operating.stop()
+            after_leaving = self._count_runs_after_leaving()
+            self._operator.stop()
             self._stop_load(load, load_ended)
             self._wait_caught_up()
         finally:
-            # Else leaving the system would wait for its pool for ever.
-            self._operating.stop()
-            self._operating.stop_repairs()
-            self._watch.stop()
+            # Otherwise, leaving the system's context would wait for the
+            # threads of its pool for ever.
+            self._operator.stop()
+            self._operator.stop_replacing()
+            self._monitor.stop()
             load.stop()
         for thread in threads:
             thread.result()
@@ -141,7 +146,7 @@
         return load, ended
 
     def _wait_recovered(self) -> float:
-        """Wait until every entry serves; return how long that took."""
+        """Wait until every entry serves; return the seconds that it took."""
         begin_s = time.monotonic()
         try:
             self._system.wait_serving(*ENTRIES)
@@ -158,15 +163,15 @@
             what = f"{error}: {revisions}"
             self._findings.append(Finding("service is back", what))
 
-    def _runs_after_leaving(self) -> dict[str, int]:
-        left = self._injector.left_s
+    def _count_runs_after_leaving(self) -> dict[str, int]:
+        left = self._injector.leave_announced_s
         if not left:
             return {}
         bound_s = max(left.values()) + LEAVING_BOUND_S
         time.sleep(max(0.0, bound_s - time.monotonic()))
         world = self._system.world
         before = {name: world.runs_on_server(name) for name in left}
-        time.sleep(SETTLE_S)
+        time.sleep(LEAVING_OBSERVATION_S)
         return {
             name: world.runs_on_server(name) - before[name] for name in left
         }
@@ -174,10 +179,10 @@
     def _stop_load(self, load: Load, ended: anyio.Event) -> None:
         load.stop()
         try:
-            self._system.call_in_loop(_wait_ended, ended)
+            self._system.call_in_loop(_wait_until_ended, ended)
         except TimeoutError:
             names = {self._system.entry(name): name for name in ENTRIES}
-            self._findings += still_waiting(
+            self._findings += find_unanswered(
                 self._callers.waiting.values(), names, time.monotonic()
             )
 
@@ -191,14 +196,14 @@
             for model in declared.models.values()
             for version in model.versions
         ]
-        seen = Seen(
+        observations = Observations(
             load.answers,
-            runs_of(system.world),
+            collect_runs(system.world),
             [r for r in system.bills() if not is_probe(r["request_key"])],
-            self._operating.withdrawn,
+            self._operator.withdrawn,
             after_leaving,
-            self._operating.accepted,
-            {name: self._audit(name) for name in CONTROLS},
+            self._operator.accepted,
+            {name: self._fetch_audit(name) for name in CONTROLS},
             {
                 name: frozenset(
                     i for i in identities if is_version_allowed(customer, i)
@@ -209,66 +214,78 @@
             self._injector.events,
             {name: system.entry(name) for name in ENTRIES},
         )
-        # A process that ended by itself explains most of the others.
-        findings = [*self._watch.findings, *self._findings, *check(seen)]
+        # The findings of the monitor come first: a process that ended
+        # unexpectedly explains most of the others.
+        findings = [
+            *self._monitor.findings,
+            *self._findings,
+            *check(observations),
+        ]
         return Outcome(
-            findings, self._injector.events, self._figures(seen, recovered_s)
+            findings,
+            self._injector.events,
+            self._figures(observations, recovered_s),
         )
 
-    def _audit(self, name: str) -> list[dict[str, Any]]:
-        """Return a control process's audit trail, empty without answer."""
+    def _fetch_audit(self, name: str) -> list[dict[str, Any]]:
+        """Return a control process's audit entries; none if it fails."""
         try:
             return self._system.audit(name)
         except AssertionError as error:
-            what = f"{name} does not tell its audit trail: {error}"
+            what = f"{name} does not return its audit entries: {error}"
             self._findings.append(Finding("service is back", what))
             return []
 
-    def _figures(self, seen: Seen, recovered_s: float) -> dict[str, float]:
-        answered = [a for a in seen.answers if a.run == "answered"]
+    def _figures(
+        self, observations: Observations, recovered_s: float
+    ) -> dict[str, float]:
+        answered = [a for a in observations.answers if a.run == "answered"]
         return {
             "steps": len(self._schedule.steps),
-            "requests": len(seen.answers),
+            "requests": len(observations.answers),
             "answered": len(answered),
-            "runs": len(seen.runs),
-            "charges": len(seen.bills),
-            "changes": len(seen.accepted),
-            "withdrawals_looked_at": len(seen.withdrawn),
-            "voters_replaced": self._operating.repaired,
-            "planned_stops": len(seen.stops),
+            "runs": len(observations.runs),
+            "charges": len(observations.bills),
+            "changes": len(observations.accepted),
+            "withdrawals_looked_at": len(observations.withdrawn),
+            "voters_replaced": self._operator.replaced_voters,
+            "planned_stops": len(observations.stops),
             "recovered_s": round(recovered_s, 2),
-            "peak_mb": round(self._watch.peak_bytes / 1e6, 1),
-            "peak_descriptors": self._watch.peak_descriptors,
+            "peak_mb": round(self._monitor.peak_bytes / 1e6, 1),
+            "peak_descriptors": self._monitor.peak_descriptors,
         }
 
     def _all_caught_up(self) -> bool:
-        newest = self._operating.accepted[-1:]
-        told = newest[0].revision if newest else 0
+        newest = self._operator.accepted[-1:]
+        accepted_revision = newest[0].revision if newest else 0
         statuses = [self._system.status(name) for name in CONTROLS]
-        return all(s.get("revision", -1) >= told for s in statuses)
+        return all(
+            s.get("revision", -1) >= accepted_revision for s in statuses
+        )
 
 
-def still_waiting(
+def find_unanswered(
     waiting: Iterable[Waiting], names: Mapping[str, str], now_s: float
 ) -> list[Finding]:
-    """Return a finding for each attempt that nobody has answered.
+    """Return a finding for each attempt without an answer.
 
-    ``names`` has the entries by the address that callers use.
+    ``names`` maps the addresses that callers use to the entries' names.
+    ``now_s`` is by `time.monotonic`.
     """
     return [
         Finding(
             "every call is answered",
-            f"{one.request_key} has waited at"
-            f" {names.get(one.address, one.address)} for"
-            f" {now_s - one.begun_s:.1f} s",
+            f"{attempt.request_key} has waited at"
+            f" {names.get(attempt.address, attempt.address)} for"
+            f" {now_s - attempt.begun_s:.1f} s",
         )
-        for one in waiting
+        for attempt in waiting
     ]
 
 
-async def _wait_ended(ended: anyio.Event) -> None:
-    with anyio.fail_after(IDLE_BOUND_S):
+async def _wait_until_ended(ended: anyio.Event) -> None:
+    with anyio.fail_after(DRAIN_TIMEOUT_S):
         await ended.wait()
 
 
-__all__ = ["Outcome", "play", "still_waiting", "targets"]
+__all__ = ["Outcome", "play", "find_unanswered", "targets"]
