--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/run.py
@@ -41,7 +41,7 @@
     fault: Fault | None
 
 
-def play(
+def run_seed(
     seed: int, steps: int, make_machine: MachineFactory = HashMachine
 ) -> RunResult:
     """Run random actions on a new cluster until a fault is found.
@@ -98,5 +98,5 @@
     "STEPS_A_RUN",
     "Fault",
     "RunResult",
-    "play",
+    "run_seed",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/control.py
@@ -93,10 +93,10 @@
         if part in ("", "restart"):
             restart = measure_restart(system, restart_changes)
             figures |= restart_figures(restart)
-    judged = compare_with_goals(figures)
-    for line in judged:
+    compared = compare_with_goals(figures)
+    for line in compared:
         print(line.line())
-    result = json_figures(judged)
+    result = json_figures(compared)
     print(json.dumps(result))
     return 1 if result["goals_missed"] else 0
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/explore.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/explore.py
@@ -16,7 +16,7 @@
 from sycamorestand_bench.explore.mutants import MUTANTS
 from sycamorestand_bench.explore.mutants import without_safeguard
 from sycamorestand_bench.explore.run import Fault
-from sycamorestand_bench.explore.run import play
+from sycamorestand_bench.explore.run import run_seed
 from sycamorestand_bench.explore.run import STEPS_A_RUN
 
 
@@ -50,7 +50,7 @@
     with guard:
         while summary.steps < steps:
             remaining = min(STEPS_A_RUN, steps - summary.steps)
-            result = play(seed + summary.runs, remaining)
+            result = run_seed(seed + summary.runs, remaining)
             new_faults = (result.fault,) if result.fault else ()
             summary = summary._replace(
                 runs=summary.runs + 1,
--- a/packages/sycamorestand-bench/tests/test_explore.py
+++ b/packages/sycamorestand-bench/tests/test_explore.py
@@ -9,7 +9,7 @@
 
 from sycamorestand_bench.explore.mutants import MUTANTS
 from sycamorestand_bench.explore.mutants import without_safeguard
-from sycamorestand_bench.explore.run import play
+from sycamorestand_bench.explore.run import run_seed
 from sycamorestand_bench.explore.run import STEPS_A_RUN
 from sycamorestand_bench.scenarios.explore import explore
 from sycamorestand_bench.scenarios.explore import main
@@ -49,8 +49,8 @@
         # fault without the safeguard and none with it.
         seed = SEEDS_WITHOUT_SAFEGUARD[name]
         with without_safeguard(name):
-            assert play(seed, STEPS_A_RUN).fault is not None
-        assert play(seed, STEPS_A_RUN).fault is None
+            assert run_seed(seed, STEPS_A_RUN).fault is not None
+        assert run_seed(seed, STEPS_A_RUN).fault is None
 
 
 class TestExplore:
@@ -62,14 +62,14 @@
 
     @pytest.mark.parametrize("seed", SEEDS_OF_EARLIER_FAULTS)
     def test_seeds_of_earlier_faults_find_none(self, seed: int) -> None:
-        assert play(seed, STEPS_A_RUN).fault is None
+        assert run_seed(seed, STEPS_A_RUN).fault is None
 
     def test_equal_seeds_give_equal_runs(self) -> None:
         # Sets of names are ordered differently in each process. If a run
         # depended on that order, its faults could not be reproduced.
         program = (
-            "from sycamorestand_bench.explore.run import play;"
-            "print(play(520, 1500))"
+            "from sycamorestand_bench.explore.run import run_seed;"
+            "print(run_seed(520, 1500))"
         )
         found = {
             subprocess.run(
