--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -267,7 +267,7 @@
     def may_retry(self, attempt: Attempt) -> bool:
         """Ask the retry budget."""
         customer = attempt.request.customer
-        return self.retries.may_retry(customer, self.clock.now_s, "error")
+        return self.retries.spend_retry(customer, self.clock.now_s, "error")
 
     def end(self, attempt: Attempt, outcome: str) -> None:
         """Free the slot as well."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
@@ -129,7 +129,7 @@
 
     def _check_lease(self, node: NodeView, true_s: float) -> None:
         state = node.core.state
-        local_until_s = node.core.lease_until_s(state.now_s)
+        local_until_s = node.core.claim_lease_until_s(state.now_s)
         until_s = node.true_time_of(local_until_s)
         if local_until_s == 0.0 or until_s <= true_s:
             return
--- a/packages/sycamorestand-bench/tests/fakes/test_order_races.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_order_races.py
@@ -122,7 +122,7 @@
         self.wait(wait_s)
         self.fate = fate
         leader.after_intent = pause
-        _run(leader.channel.give(action, SERVERS[0], "x@1"))
+        _run(leader.channel.issue_order(action, SERVERS[0], "x@1"))
         leader.after_intent = None
 
     @rule(who=leaders, wait_s=waits, fate=fates)
--- a/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
@@ -68,7 +68,7 @@
         async with serve_on_port(engine.application) as address:
             cluster.servers["a"] = engine.announcement(address)
             await leader.elect()
-            assert await leader.channel.give("load", "a", V1) == phase
+            assert await leader.channel.issue_order("load", "a", V1) == phase
             assert cluster.phases() == [phase]
             assert bool(engine.applied) == acted
             engine.switch.fault = Fault()
@@ -86,7 +86,7 @@
             "127.0.0.1:1"
         )
         await leader.elect()
-        assert await leader.channel.give("load", "a", V1) == "failed"
+        assert await leader.channel.issue_order("load", "a", V1) == "failed"
         assert "not sent" in cluster.machine.orders()[0].detail
 
     async def test_a_stale_number_is_recorded_as_superseded(self) -> None:
@@ -97,7 +97,9 @@
         async with serve_on_port(engine.application) as address:
             cluster.servers["a"] = engine.announcement(address)
             await leader.elect()
-            assert await leader.channel.give("load", "a", V1) == "failed"
+            assert (
+                await leader.channel.issue_order("load", "a", V1) == "failed"
+            )
         assert "superseded" in cluster.machine.orders()[0].detail
         assert leader.channel.superseded == 1
         assert not engine.applied
@@ -126,13 +128,13 @@
                 for name in "ab":
                     for version in (V1, V2):
                         tasks.start_soon(
-                            leader.channel.give, "load", name, version
+                            leader.channel.issue_order, "load", name, version
                         )
             assert len(engines[0].received) == 1
             assert not engines[1].received
-            assert await leader.channel.give("load", "b", V1) == ""
+            assert await leader.channel.issue_order("load", "b", V1) == ""
             cluster.servers["a"] = engines[0].announcement(first)
-            assert await leader.channel.give("load", "b", V1) == "done"
+            assert await leader.channel.issue_order("load", "b", V1) == "done"
 
     async def test_a_silent_engine_is_given_up(self) -> None:
         """An engine never answers.
@@ -147,7 +149,7 @@
         async with serve_on_port(engine.application) as address:
             cluster.servers["a"] = engine.announcement(address)
             await leader.elect()
-            await leader.channel.give("load", "a", V1)
+            await leader.channel.issue_order("load", "a", V1)
             for _ in range(MAX_SENDS + 2):
                 cluster.now_s += FLIGHT_S
                 await leader.channel.step()
@@ -165,7 +167,7 @@
         announced = FakeOrderedEngine("a").announcement("127.0.0.1:1")
         cluster.servers["a"] = announced._replace(**fields)
         await leader.elect()
-        assert await leader.channel.give("load", "a", V1) == ""
+        assert await leader.channel.issue_order("load", "a", V1) == ""
         assert not cluster.machine.orders()
 
 
@@ -193,21 +195,21 @@
                 old.cut_off_before = "done"
             else:
                 old.lost_after = lost_after
-            await old.channel.give("load", "a", V1)
+            await old.channel.issue_order("load", "a", V1)
             sent_by_old = len(engine.received)
             assert sent_by_old == (1 if lost_after == "done" else 0)
             assert cluster.phases() == ["intended"]
             await new.elect()
             await new.channel.step()
-            assert await new.channel.give("unload", "a", V1) == ""
+            assert await new.channel.issue_order("unload", "a", V1) == ""
             assert len(engine.received) == sent_by_old
             cluster.now_s += FLIGHT_S
             await new.channel.step()
             assert cluster.phases() == ["done"]
-            assert await new.channel.give("unload", "a", V1) == "done"
+            assert await new.channel.issue_order("unload", "a", V1) == "done"
             old.lease_until_s = 0.0
             await old.channel.step()
-            assert await old.channel.give("load", "a", V2) == ""
+            assert await old.channel.issue_order("load", "a", V2) == ""
         assert engine.versions == ()
         terms = [order.term for order in engine.applied]
         assert terms == sorted(terms)
@@ -233,10 +235,10 @@
                 await new.elect()
                 cluster.now_s += FLIGHT_S
                 await new.channel.step()
-                await new.channel.give("unload", "a", V1)
+                await new.channel.issue_order("unload", "a", V1)
 
             old.after_intent = others_meanwhile
-            assert await old.channel.give("load", "a", V1) == "failed"
+            assert await old.channel.issue_order("load", "a", V1) == "failed"
         assert [order.term for order in engine.received] == [2, 2]
         assert engine.versions == ()
         assert cluster.phases() == ["done", "done"]
@@ -254,7 +256,7 @@
             cluster.servers["a"] = engine.announcement(address)
             await old.elect()
             old.lost_after = "intended"
-            await old.channel.give("load", "a", V1)
+            await old.channel.issue_order("load", "a", V1)
             new.wanted = False
             await new.elect()
             cluster.now_s += FLIGHT_S
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/core.py
@@ -225,7 +225,7 @@
         membership = membership_at(state, index)
         save_snapshot(state, Snapshot(index, term, membership, data))
 
-    def lease_until_s(self, now_s: float) -> float:
+    def claim_lease_until_s(self, now_s: float) -> float:
         """Claim the leader's lease; return its end, 0 if there is none."""
         self.state.now_s = now_s
         return claim_lease_s(self.state)
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/progress.py
@@ -21,8 +21,9 @@
     """Replication progress of one other member, kept by the leader.
 
     ``acked_round`` and ``acked_sent_s`` are from the newest stamps that
-    the member has answered. In mode ``SNAPSHOT``, ``probe_sent`` says that
-    the chunk at ``offset_bytes`` may still be in flight.
+    the member has answered. ``awaiting_reply`` says in mode ``PROBE`` that
+    the probe was sent, and in mode ``SNAPSHOT`` that the chunk at
+    ``offset_bytes`` may still be in flight.
     """
 
     def __init__(self, next_index: int, now_s: float) -> None:
@@ -30,7 +31,7 @@
         self.mode = SendMode.PROBE
         self.match_index = 0
         self.next_index = next_index
-        self.probe_sent = False
+        self.awaiting_reply = False
         self.inflight: deque[int] = deque()
         self.acked_round = 0
         self.acked_sent_s = now_s
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replica.py
@@ -188,7 +188,7 @@
         if self._core is None:
             return 0.0
         now_s = self._now()
-        return max(0.0, self._core.lease_until_s(now_s) - now_s)
+        return max(0.0, self._core.claim_lease_until_s(now_s) - now_s)
 
     def status(self) -> ReplicaStatus:
         """Return this member's view of the group."""
--- a/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
+++ b/packages/sycamorestand-consensus/src/sycamorestand_consensus/replication.py
@@ -83,10 +83,10 @@
         return
     if reply.last_index != snapshot.last_index:
         return
-    if reply.offset_bytes == progress.offset_bytes and progress.probe_sent:
+    if reply.offset_bytes == progress.offset_bytes and progress.awaiting_reply:
         # The chunk may still be in flight. Sending it again for each
         # heartbeat that is answered meanwhile would duplicate it.
-        progress.probe_sent = False
+        progress.awaiting_reply = False
         return
     progress.offset_bytes = reply.offset_bytes
     _send_chunk(state, message.sender, progress, with_data=True)
@@ -136,7 +136,7 @@
     retry_index = min(hint, reply.rejected_index)
     progress.next_index = max(progress.match_index + 1, retry_index)
     progress.mode = SendMode.PROBE
-    progress.probe_sent = False
+    progress.awaiting_reply = False
     progress.inflight.clear()
 
 
@@ -157,9 +157,9 @@
         _begin_snapshot(state, member_id, progress)
         return
     if progress.mode == SendMode.PROBE:
-        if not progress.probe_sent:
+        if not progress.awaiting_reply:
             _send_append(state, member_id, progress, with_entries=True)
-            progress.probe_sent = True
+            progress.awaiting_reply = True
         return
     limit = state.settings.max_inflight_messages
     while (
@@ -217,7 +217,7 @@
     if snapshot is None:
         return
     if with_data:
-        progress.probe_sent = True
+        progress.awaiting_reply = True
     start = progress.offset_bytes
     size = state.settings.snapshot_chunk_bytes if with_data else 0
     body = SnapshotChunk(
--- a/packages/sycamorestand-consensus/tests/test_core_lease.py
+++ b/packages/sycamorestand-consensus/tests/test_core_lease.py
@@ -34,11 +34,11 @@
     ) -> None:
         core = make_core(term=1)
         win_election(core, now_s=5.0)
-        assert core.lease_until_s(5.0) == 0.0
+        assert core.claim_lease_until_s(5.0) == 0.0
         deliver(core, "b", 2, append_success(1, Stamp(1, 5.0)), now_s=5.2)
-        assert core.lease_until_s(5.2) == 5.0 + SETTINGS.lease_s
+        assert core.claim_lease_until_s(5.2) == 5.0 + SETTINGS.lease_s
         deliver(core, "b", 2, append_success(1, Stamp(1, 5.1)), now_s=5.3)
-        assert core.lease_until_s(5.3) == 5.1 + SETTINGS.lease_s
+        assert core.claim_lease_until_s(5.3) == 5.1 + SETTINGS.lease_s
 
     def test_a_heartbeat_is_answered_while_entries_are_written(
         self,
@@ -63,7 +63,7 @@
         core = make_core(term=1)
         win_election(core, now_s=5.0)
         deliver(core, "b", 2, append_success(1, Stamp(1, 5.0)), now_s=5.0)
-        until_s = core.lease_until_s(5.0)
+        until_s = core.claim_lease_until_s(5.0)
         core.set_blocked(True, 5.1)
         core.set_blocked(False, 5.1)
         request = VoteRequest(3, 9, 2, pre=False, transfer=False)
@@ -84,9 +84,9 @@
             cluster.exchange()
         new = leader_of(cluster)
         assert new is not old
-        assert new.core.lease_until_s(new.local_s) == 0.0
+        assert new.core.claim_lease_until_s(new.local_s) == 0.0
         run(cluster, 1.0)
-        assert new.core.lease_until_s(new.local_s) > new.local_s
+        assert new.core.claim_lease_until_s(new.local_s) > new.local_s
 
     def test_a_leader_claims_no_lease_after_ordering_a_transfer(self) -> None:
         # The order may arrive late, so the leader can no longer know that
@@ -95,7 +95,7 @@
         leader = leader_of(cluster)
         cluster.transfer(leader, None)
         cluster.messages.clear()
-        assert leader.core.lease_until_s(leader.local_s) == 0.0
+        assert leader.core.claim_lease_until_s(leader.local_s) == 0.0
         with pytest.raises(NotLeader):
             leader.core.propose(b"x", leader.local_s)
         cluster.advance(SETTINGS.election_max_s + 0.1)
@@ -118,7 +118,7 @@
         run(cluster, 0.6)
         new = leader_of(cluster)
         assert new.name == old.name
-        assert new.core.lease_until_s(new.local_s) > new.local_s
+        assert new.core.claim_lease_until_s(new.local_s) > new.local_s
 
     def test_a_restarted_follower_cannot_end_a_promise(self) -> None:
         # The leader keeps running while a follower restarts. With its own
--- a/packages/sycamorestand-control/src/sycamorestand_control/membership.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/membership.py
@@ -85,7 +85,7 @@
             if joiner.member_id not in members and self._is_asking(joiner)
         )
 
-    def receive(self, sender: str, request: JoinRequest) -> None:
+    def handle_join_request(self, sender: str, request: JoinRequest) -> None:
         """Record a joiner, forward its request to the leaders, and reply.
 
         The reply says whether this process belongs to a cluster.
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/channel.py
@@ -111,7 +111,7 @@
                 if order.backend_server not in self._in_progress:
                     tasks.start_soon(self._resume_or_abandon, term, order)
 
-    async def give(self, action: str, server: str, target: str) -> str:
+    async def issue_order(self, action: str, server: str, target: str) -> str:
         """Record and send one order, and return the phase that it ends in.
 
         Return an empty string if the intent was not recorded, for example
@@ -179,7 +179,7 @@
         announced = self._servers().get(order.backend_server)
         reason = self._reason_to_abandon(order, announced)
         if reason or announced is None:
-            failed_record = term.issuer.outcome(
+            failed_record = term.issuer.build_outcome(
                 RecordOrder(*order), "failed", reason, self._wall_now_s()
             )
             await self._commit(failed_record)
@@ -207,7 +207,7 @@
             if not await self._commit(record):
                 return ""
             outcome = await self._send(term, record, address)
-            outcome_record = term.issuer.outcome(
+            outcome_record = term.issuer.build_outcome(
                 record, outcome.phase, outcome.detail, self._wall_now_s()
             )
             if (
@@ -222,15 +222,15 @@
     async def _send(
         self, term: _Term, record: RecordOrder, address: str
     ) -> EngineOutcome:
-        def may_send() -> bool:
+        def claim_send() -> bool:
             # If this process lost the leadership and regained it, it is in
             # a new term, whose issuer does not know of this order.
-            return self._current_term() is term and term.issuer.may_send(
+            return self._current_term() is term and term.issuer.claim_send(
                 self._now_s(), self._log.lease_remaining_s(), record
             )
 
         self._send_counts[record.order_id] += 1
-        outcome = await send_order(address, record, may_send)
+        outcome = await send_order(address, record, claim_send)
         self.superseded += outcome.superseded
         return outcome
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/orders/planner.py
@@ -116,7 +116,7 @@
             if readiness != "ready":
                 return ""
         LOG.debug("order planned", extra={"reason": order.reason})
-        return await self._channel.give(
+        return await self._channel.issue_order(
             order.kind, order.server, order.version
         )
 
--- a/packages/sycamorestand-control/src/sycamorestand_control/process.py
+++ b/packages/sycamorestand-control/src/sycamorestand_control/process.py
@@ -296,7 +296,7 @@
             TableResync: self.tables.handle_resync,
             ControlLeaseRequest: self.leases.handle_request,
             ControlLeaseGranted: self._handle_lease_grant,
-            JoinRequest: self.membership.receive,
+            JoinRequest: self.membership.handle_join_request,
             SampleReport: self._handle_sample_report,
             SessionsStay: self.sessions.handle_sessions_stay,
             ArrivalTrade: self.lender.handle_trade,
--- a/packages/sycamorestand-control/tests/test_membership.py
+++ b/packages/sycamorestand-control/tests/test_membership.py
@@ -93,7 +93,7 @@
 
     def ask(self, member_id: str, address: str) -> None:
         request = JoinRequest(1, member_id, address, "vm")
-        self.membership.receive(address, request)
+        self.membership.handle_join_request(address, request)
 
     def waiting(self) -> list[str]:
         return [
--- a/packages/sycamorestand-control/tests/test_voter_repair_wired.py
+++ b/packages/sycamorestand-control/tests/test_voter_repair_wired.py
@@ -94,7 +94,7 @@
         if isinstance(message, ReplicaPayload):
             self.groups.receive(sender, message)
         elif isinstance(message, JoinRequest):
-            self.membership.receive(sender, message)
+            self.membership.handle_join_request(sender, message)
         elif isinstance(message, ProposalForward):
             answer = self.groups.handle_forward
             self._tasks.start_soon(answer, sender, message)
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/retry.py
@@ -47,7 +47,7 @@
         self.granted = 0
         self.denied = 0
 
-    def may_retry(self, customer: str, now_s: float, cause: str) -> bool:
+    def spend_retry(self, customer: str, now_s: float, cause: str) -> bool:
         """Spend one retry if both budgets have one; return whether they had.
 
         An overload, a refusal or a cancellation is never retried.
@@ -101,7 +101,7 @@
         )
         self._bucket.earn(HEDGE_SHARE, now_s)
 
-    def may_hedge(
+    def spend_hedge(
         self, now_s: float, waited_s: float, idempotent: bool
     ) -> bool:
         """Spend one hedge if the request may be hedged; return if so."""
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/control/attachment.py
@@ -11,7 +11,7 @@
 from typing import Final
 from typing import TYPE_CHECKING
 
-from sycamorestand_entry.control.choice import ControlChoice
+from sycamorestand_entry.control.control_choice import ControlChoice
 from sycamorestand_peer.relays import DIRECT_SILENCE_S
 
 if TYPE_CHECKING:
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/engine_run.py
@@ -277,7 +277,7 @@
         now_s = time.monotonic()
         cause = _outcome_of(error)
         customer = self._work.customer
-        granted = self._context.retries.may_retry(customer, now_s, cause)
+        granted = self._context.retries.spend_retry(customer, now_s, cause)
         result = "granted" if granted else "denied"
         self._context.metrics.retries.inc({"result": result})
         return granted
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/idempotent_call.py
@@ -92,7 +92,7 @@
 
 
 def _spend_retry(context: EntryContext, call: ServiceCall) -> bool:
-    granted = context.retries.may_retry(
+    granted = context.retries.spend_retry(
         call.customer, time.monotonic(), "error"
     )
     result = "granted" if granted else "denied"
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/routed/attempts.py
@@ -206,7 +206,7 @@
             return "it must not run twice"
         now_s = self.context.now_s()
         customer = self.call.customer
-        if self.context.retries.may_retry(customer, now_s, "error"):
+        if self.context.retries.spend_retry(customer, now_s, "error"):
             return ""
         return "retry budget spent"
 
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/server.py
@@ -94,7 +94,7 @@
             server.stop_limit_s = max(POLL_INTERVAL_S, left_s)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(context.slots.run_clock)
+                group.start_soon(context.slots.run_periodic_update)
                 group.start_soon(log_changes, context)
                 group.start_soon(_exit_after_stop, entry, server)
                 task_status.started(entry)
--- a/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
+++ b/packages/sycamorestand-entry/src/sycamorestand_entry/slots.py
@@ -107,7 +107,7 @@
         """Return the admission's metrics by version or plain service."""
         return self._admission.metrics()
 
-    async def run_clock(self) -> None:
+    async def run_periodic_update(self) -> None:
         """Update capacities and the queues periodically until cancelled.
 
         A queued request expires once it can no longer start or finish in
--- a/packages/sycamorestand-entry/tests/control/test_choice.py
+++ b/packages/sycamorestand-entry/tests/control/test_choice.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from sycamorestand_entry.control.choice import ControlChoice
+from sycamorestand_entry.control.control_choice import ControlChoice
 
 START = ("a:1", "b:1", "c:1")
 
--- a/packages/sycamorestand-state/src/sycamorestand_state/orders.py
+++ b/packages/sycamorestand-state/src/sycamorestand_state/orders.py
@@ -132,10 +132,10 @@
             wall_now_s,
         )
 
-    def may_send(
+    def claim_send(
         self, now_s: float, quorum_remaining_s: float, record: RecordOrder
     ) -> bool:
-        """Return whether an order may be sent, and mark it as sent if so.
+        """Mark an order as sent if it may be sent; return whether it may.
 
         Call it right before the first byte, after the record is committed.
         It returns True once for each order. It returns False if the
@@ -152,7 +152,7 @@
         self._settled_at_s[record.backend_server] = now_s + _settling_time_s()
         return True
 
-    def outcome(
+    def build_outcome(
         self, record: RecordOrder, phase: str, detail: str, wall_now_s: float
     ) -> RecordOrder:
         """Return the record of an order's outcome, to be committed.
@@ -189,7 +189,7 @@
         intended_at_s = self._intended_at_s.get(fence)
         if intended_at_s is None or fence in self._sent:
             return settled_at_s
-        # The intent is recorded but the order not yet sent; `may_send`
+        # The intent is recorded but the order not yet sent; `claim_send`
         # permits sending it until `SEND_WITHIN_S` has passed.
         return max(settled_at_s, intended_at_s + SEND_WITHIN_S)
 
--- a/packages/sycamorestand-state/tests/test_orders.py
+++ b/packages/sycamorestand-state/tests/test_orders.py
@@ -139,11 +139,11 @@
         self, issuer: OrderIssuer
     ) -> None:
         record = request_next_order(issuer, 110.0)
-        assert not issuer.may_send(110.0, 0.0, record)
-        assert not issuer.may_send(110.0 + SEND_WITHIN_S, 1.0, record)
-        assert not issuer.may_send(110.0, 1.0, order(sequence=9))
-        assert issuer.may_send(110.1, 1.0, record)
-        assert not issuer.may_send(110.1, 1.0, record)
+        assert not issuer.claim_send(110.0, 0.0, record)
+        assert not issuer.claim_send(110.0 + SEND_WITHIN_S, 1.0, record)
+        assert not issuer.claim_send(110.0, 1.0, order(sequence=9))
+        assert issuer.claim_send(110.1, 1.0, record)
+        assert not issuer.claim_send(110.1, 1.0, record)
 
     def test_a_server_has_one_order_at_a_time(
         self, issuer: OrderIssuer
@@ -156,8 +156,8 @@
         record = request_next_order(issuer, 110.0)
         known = OrderRecord(*record)
         assert request_order(issuer, 110.0, [known]) is None
-        issuer.may_send(110.0, 1.0, record)
-        unknown = issuer.outcome(record, "unknown", "no answer", WALL_S)
+        issuer.claim_send(110.0, 1.0, record)
+        unknown = issuer.build_outcome(record, "unknown", "no answer", WALL_S)
         assert request_order(issuer, 117.0, [OrderRecord(*unknown)]) is None
         assert request_order(issuer, 110.0 + ORDER_TIMEOUT_S) is None
         assert request_order(issuer, 117.0) is not None
@@ -166,8 +166,8 @@
         self, issuer: OrderIssuer
     ) -> None:
         record = request_next_order(issuer, 110.0)
-        issuer.may_send(110.0, 1.0, record)
-        issuer.outcome(record, "done", "", WALL_S)
+        issuer.claim_send(110.0, 1.0, record)
+        issuer.build_outcome(record, "done", "", WALL_S)
         assert request_order(issuer, 110.1) is not None
 
 
@@ -197,8 +197,8 @@
         known = OrderRecord(*record)
         assert issuer.unfinished([known], 110.0) == ()
         assert issuer.unfinished([known], 110.0 + SEND_WITHIN_S) == (known,)
-        issuer.may_send(111.0, 1.0, record)
-        unknown = issuer.outcome(record, "unknown", "timeout", WALL_S)
+        issuer.claim_send(111.0, 1.0, record)
+        unknown = issuer.build_outcome(record, "unknown", "timeout", WALL_S)
         known = OrderRecord(*unknown)
         assert issuer.unfinished([known], 111.0 + ORDER_TIMEOUT_S) == ()
         assert issuer.unfinished([known], 118.0) == (known,)
