--- a/packages/sycamorestand/src/sycamorestand/bounded_output.py
+++ b/packages/sycamorestand/src/sycamorestand/bounded_output.py
@@ -44,7 +44,7 @@
         self._poll.register(descriptor, select.POLLOUT)
         self._lines: deque[bytes] = deque()
         self._bytes = 0
-        self._unsaid = 0
+        self._unreported = 0
         self._timer: asyncio.TimerHandle | None = None
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -53,7 +53,7 @@
         bound = EXPENDABLE_BYTES if expendable else MAX_BUFFER_BYTES
         if self._bytes > bound:
             self.dropped += 1
-            self._unsaid += 1
+            self._unreported += 1
             return
         try:
             self._append(self.format(record))
@@ -62,7 +62,7 @@
             # logging tells it on standard error.
             self.handleError(record)
             return
-        self._write_later()
+        self._schedule_flush()
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
@@ -70,15 +70,15 @@
             if not self._lines or not self._poll.poll(0):
                 break
             self._write_chunk()
-        if self._unsaid and self._bytes <= EXPENDABLE_BYTES:
-            self._say_dropped()
+        if self._unreported and self._bytes <= EXPENDABLE_BYTES:
+            self._report_dropped()
 
     def _append(self, text: str) -> None:
         line = text.encode() + b"\n"
         self._lines.append(line)
         self._bytes += len(line)
 
-    def _write_later(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._timer is not None:
             return
         try:
@@ -87,13 +87,13 @@
             # Before and after the loop there is nothing to hold up.
             self.flush()
             return
-        self._timer = loop.call_later(FLUSH_S, self._timer_fired)
+        self._timer = loop.call_later(FLUSH_S, self._flush_on_timer)
 
-    def _timer_fired(self) -> None:
+    def _flush_on_timer(self) -> None:
         self._timer = None
         self.flush()
         if self._lines:
-            self._write_later()
+            self._schedule_flush()
 
     def _write_chunk(self) -> None:
         chunk = self._lines.popleft()
@@ -111,8 +111,8 @@
         if written < len(chunk):
             self._lines.appendleft(chunk[written:])
 
-    def _say_dropped(self) -> None:
-        count, self._unsaid = self._unsaid, 0
+    def _report_dropped(self) -> None:
+        count, self._unreported = self._unreported, 0
         record = logging.LogRecord(
             __name__,
             logging.WARNING,
--- a/packages/sycamorestand/src/sycamorestand/logs.py
+++ b/packages/sycamorestand/src/sycamorestand/logs.py
@@ -26,7 +26,7 @@
                 "name": "logger",
             },
             static_fields={"vm": vm, "role": role},
-            reserved_attrs=[*_reserved(), "expendable"],
+            reserved_attrs=[*_standard_attributes(), "expendable"],
         )
     )
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
@@ -34,7 +34,7 @@
     return handler
 
 
-def _reserved() -> list[str]:
+def _standard_attributes() -> list[str]:
     """Return the attributes of every record, which are no fields."""
     return list(logging.makeLogRecord({}).__dict__)
 
--- a/packages/sycamorestand/src/sycamorestand/operator/changes.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/changes.py
@@ -43,7 +43,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("withdraw", version, wait, change_id, message)
+    return _change_action("withdraw", version, wait, change_id, message)
 
 
 def reinstate(
@@ -60,7 +60,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("reinstate", version, wait, change_id, message)
+    return _change_action("reinstate", version, wait, change_id, message)
 
 
 def quarantine(
@@ -72,7 +72,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("quarantine", version, False, change_id, message)
+    return _change_action("quarantine", version, False, change_id, message)
 
 
 def lift_quarantine(
@@ -84,7 +84,9 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("lift-quarantine", version, False, change_id, message)
+    return _change_action(
+        "lift-quarantine", version, False, change_id, message
+    )
 
 
 def start_rollout(
@@ -96,7 +98,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("start-rollout", model, False, change_id, message)
+    return _change_action("start-rollout", model, False, change_id, message)
 
 
 def stop_rollout(
@@ -109,7 +111,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("stop-rollout", model, wait, change_id, message)
+    return _change_action("stop-rollout", model, wait, change_id, message)
 
 
 def drain(
@@ -122,7 +124,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("drain", vm, wait, change_id, message)
+    return _change_action("drain", vm, wait, change_id, message)
 
 
 def undrain(
@@ -135,7 +137,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("undrain", vm, wait, change_id, message)
+    return _change_action("undrain", vm, wait, change_id, message)
 
 
 def rotate_session_key(*, change_id: str = "", message: str = "") -> Action:
@@ -144,7 +146,7 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("rotate-session-key", "", False, change_id, message)
+    return _change_action("rotate-session-key", "", False, change_id, message)
 
 
 def replace_voter(old: str, new: str, *, change_id: str = "") -> Action:
@@ -214,7 +216,7 @@
     return f"run the same command with {flags} to learn the outcome"
 
 
-def _change(
+def _change_action(
     kind: str, subject: str, wait: bool, change_id: str, message: str
 ) -> Action:
     body = {
@@ -242,8 +244,8 @@
 
 
 def _outcome_line(answer: ChangeAnswer) -> str:
-    tail = f": {answer.message}" if answer.message else ""
-    return f"{answer.outcome}, revision {answer.revision}{tail}"
+    suffix = f": {answer.message}" if answer.message else ""
+    return f"{answer.outcome}, revision {answer.revision}{suffix}"
 
 
 __all__ = [
--- a/packages/sycamorestand/src/sycamorestand/operator/client.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/client.py
@@ -33,10 +33,10 @@
 # Between two rounds over all control processes, when none could answer;
 # about one election, so that a round does not run into the same one.
 ROUND_PAUSE_S: Final = 0.5
-CHANGE_OUTCOMES: Final = (200, 409, 422)
+CHANGE_STATUSES: Final = (200, 409, 422)
 TRY_NEXT_CODES: Final = (NO_LEADER, BEHIND, OUTCOME_UNKNOWN)
 # Errors before a byte of the request was written: nothing can have run.
-NOTHING_SENT: Final = (httpcore.ConnectError, httpcore.ConnectTimeout)
+NOT_SENT_ERRORS: Final = (httpcore.ConnectError, httpcore.ConnectTimeout)
 
 
 class Reply(NamedTuple):
@@ -68,20 +68,20 @@
         self._settings = settings
         self._notice = notice
         self._key = read_key(settings)
-        self._tls = _tls(settings)
+        self._tls_context = _tls_context(settings)
 
     async def ask(self, path: str, fields: dict[str, Any]) -> Any:
         """Return the body of an answer to a question."""
         query = urlencode({k: v for k, v in fields.items() if v != ""})
         target = f"{path}?{query}" if query else path
-        reply = await self._send("GET", target, b"", changes=False)
-        return _expect(reply, (200,))
+        reply = await self._send("GET", target, b"", is_change=False)
+        return _require_status(reply, (200,))
 
     async def post(self, path: str, body: dict[str, Any]) -> Any:
         """Return the body of an answer to a question with a body."""
         content = msgspec.json.encode(body)
-        reply = await self._send("POST", path, content, changes=False)
-        return _expect(reply, (200,))
+        reply = await self._send("POST", path, content, is_change=False)
+        return _require_status(reply, (200,))
 
     async def change(self, path: str, body: dict[str, Any]) -> Any:
         """Send a change until its outcome is known, or say that it isn't.
@@ -89,11 +89,11 @@
         ``body`` holds a ``change_id``, which makes the resends safe.
         """
         content = msgspec.json.encode(body)
-        reply = await self._send("POST", path, content, changes=True)
-        return _expect(reply, CHANGE_OUTCOMES)
+        reply = await self._send("POST", path, content, is_change=True)
+        return _require_status(reply, CHANGE_STATUSES)
 
     async def _send(
-        self, method: str, target: str, content: bytes, changes: bool
+        self, method: str, target: str, content: bytes, is_change: bool
     ) -> Reply:
         may_have_run = False
         reasons: dict[str, str] = {}
@@ -102,9 +102,11 @@
         end_s = anyio.current_time() + self._settings.patience_s
         while True:
             for address in tuple(self._addresses):
-                attempt = await self._try(address, method, target, content)
+                attempt = await self._attempt(address, method, target, content)
                 if attempt.reply is not None:
-                    _refuse_doubt(attempt.reply, may_have_run and changes)
+                    _raise_if_outcome_lost(
+                        attempt.reply, may_have_run and is_change
+                    )
                     self._prefer(address)
                     return attempt.reply
                 may_have_run |= attempt.may_have_run
@@ -115,31 +117,33 @@
                 break
             await anyio.sleep(ROUND_PAUSE_S)
         text = "; ".join(f"{at}: {why}" for at, why in reasons.items())
-        if changes and may_have_run:
+        if is_change and may_have_run:
             raise OutcomeLost(f"no control process gave the outcome: {text}")
         raise Unreachable(f"no control process could answer: {text}")
 
-    async def _try(
+    async def _attempt(
         self, address: str, method: str, target: str, content: bytes
     ) -> _Attempt:
         try:
             with anyio.fail_after(self._settings.attempt_s):
                 reply = await self._exchange(address, method, target, content)
-        except NOTHING_SENT as error:
-            return _Attempt(None, f"cannot be reached: {_why(error)}")
+        except NOT_SENT_ERRORS as error:
+            return _Attempt(None, f"cannot be reached: {_error_text(error)}")
         except TimeoutError:
             return _Attempt(None, "silent", may_have_run=True)
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            return _Attempt(None, f"broke off: {_why(error)}", True)
+            return _Attempt(None, f"broke off: {_error_text(error)}", True)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return _Attempt(None, "answered no JSON", may_have_run=True)
-        return _judge(reply)
+        return _classify(reply)
 
     async def _exchange(
         self, address: str, method: str, target: str, content: bytes
     ) -> Reply:
         # A new connection each time: a kept one may have gone silent.
-        async with httpcore.AsyncConnectionPool(ssl_context=self._tls) as pool:
+        async with httpcore.AsyncConnectionPool(
+            ssl_context=self._tls_context
+        ) as pool:
             headers = [
                 ("authorization", f"Bearer {self._key}"),
                 ("content-type", "application/json"),
@@ -166,9 +170,9 @@
         self._addresses.insert(0, address)
 
 
-def _judge(reply: Reply) -> _Attempt:
+def _classify(reply: Reply) -> _Attempt:
     """Tell an answer from a control process that cannot answer now."""
-    code = _error(reply).get("code", "")
+    code = _error_object(reply).get("code", "")
     if code in TRY_NEXT_CODES:
         return _Attempt(None, code, may_have_run=code == OUTCOME_UNKNOWN)
     if reply.status >= 500:
@@ -176,41 +180,41 @@
     return _Attempt(reply)
 
 
-def _refuse_doubt(reply: Reply, may_have_run: bool) -> None:
+def _raise_if_outcome_lost(reply: Reply, may_have_run: bool) -> None:
     """Keep an error from hiding that an earlier attempt may have run.
 
     A second control process may refuse what the first one has committed,
     for instance as its copy of the operators' keys is old.
     """
-    if may_have_run and _error(reply):
+    if may_have_run and _error_object(reply):
         raise OutcomeLost(
             "an earlier attempt may have run, and now: "
-            f"{_error(reply).get('message', reply.status)}"
+            f"{_error_object(reply).get('message', reply.status)}"
         )
 
 
-def _expect(reply: Reply, statuses: tuple[int, ...]) -> Any:
-    error = _error(reply)
+def _require_status(reply: Reply, statuses: tuple[int, ...]) -> Any:
+    error = _error_object(reply)
     if not error and reply.status in statuses:
         return reply.body
     findings = [
-        f"{found.get('key_path', '')}: {found.get('message', '')}"
-        for found in error.get("findings", [])
+        f"{finding.get('key_path', '')}: {finding.get('message', '')}"
+        for finding in error.get("findings", [])
     ]
     text = error.get("message", f"status {reply.status}")
     raise RequestRefused("; ".join([str(text), *findings]))
 
 
-def _error(reply: Reply) -> dict[str, Any]:
+def _error_object(reply: Reply) -> dict[str, Any]:
     error = reply.body.get("error") if isinstance(reply.body, dict) else None
     return error if isinstance(error, dict) else {}
 
 
-def _why(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return str(error) or type(error).__name__
 
 
-def _tls(settings: Settings) -> ssl.SSLContext:
+def _tls_context(settings: Settings) -> ssl.SSLContext:
     try:
         return ssl.create_default_context(cafile=settings.ca_file or None)
     except OSError as error:
--- a/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
@@ -21,13 +21,13 @@
 
 # What changed on the same VM shortly before is often the cause: a lease is
 # lost for 2 s before it is missed, a server ejected for its last answers.
-BEFORE: Final = timedelta(seconds=3)
+LOOKBACK: Final = timedelta(seconds=3)
 # Other VMs' clocks may differ by so much; their lines are shown from that
 # much earlier and later, and in the order of their own clocks.
-SKEW: Final = timedelta(seconds=1)
+MAX_CLOCK_SKEW: Final = timedelta(seconds=1)
 TIME_FORMAT: Final = "%Y-%m-%d %H:%M:%S,%f"
 # Fields that every line has, or that are told apart from the others.
-COMMON: Final = frozenset(
+COMMON_FIELDS: Final = frozenset(
     {"time", "level", "logger", "message", "vm", "role", "request", "number"}
 )
 
@@ -60,7 +60,7 @@
     """
 
     async def act(context: Context) -> int:
-        explanation = find_request(request, _read(log_files))
+        explanation = find_request(request, _read_lines(log_files))
         context.output.answer(explanation, explanation_lines(explanation))
         return DONE if explanation.request else FINDINGS
 
@@ -69,20 +69,24 @@
 
 def find_request(request: str, lines: Iterable[str]) -> Explanation:
     """Return the lines of a request in order, and those around it."""
-    read: list[LogLine] = []
+    parsed: list[LogLine] = []
     skipped = 0
     for line in lines:
-        found = parse_line(line)
-        if found is None:
+        log_line = parse_line(line)
+        if log_line is None:
             skipped += 1
         else:
-            read.append(found)
-    own = [line for line in read if line.request == request]
+            parsed.append(log_line)
+    request_lines = [line for line in parsed if line.request == request]
     # Decisions are written when the request ends, so it began before them.
-    own.sort(key=lambda line: (line.at, line.number))
-    around = [line for line in read if not line.request and _near(line, own)]
+    request_lines.sort(key=lambda line: (line.at, line.number))
+    around = [
+        line
+        for line in parsed
+        if not line.request and _is_near(line, request_lines)
+    ]
     around.sort(key=lambda line: line.at)
-    return Explanation(tuple(own), tuple(around), skipped)
+    return Explanation(tuple(request_lines), tuple(around), skipped)
 
 
 def parse_line(line: str) -> LogLine | None:
@@ -95,18 +99,18 @@
     if start < 0:
         return None
     try:
-        found = msgspec.json.decode(line[start:])
-        at = datetime.strptime(found["time"], TIME_FORMAT)
+        record = msgspec.json.decode(line[start:])
+        at = datetime.strptime(record["time"], TIME_FORMAT)
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
         return None
     return LogLine(
         at,
-        str(found.get("vm", "")),
-        str(found.get("role", "")),
-        str(found.get("message", "")),
-        str(found.get("request", "")),
-        _number(found),
-        {k: v for k, v in found.items() if k not in COMMON},
+        str(record.get("vm", "")),
+        str(record.get("role", "")),
+        str(record.get("message", "")),
+        str(record.get("request", "")),
+        _decision_number(record),
+        {k: v for k, v in record.items() if k not in COMMON_FIELDS},
     )
 
 
@@ -115,45 +119,51 @@
     if not explanation.request:
         yield "no line of this request"
     for line in explanation.request:
-        yield _text(line)
+        yield _line_text(line)
     if explanation.around:
         yield "changes around it:"
     for line in explanation.around:
-        yield "  " + _text(line)
+        yield "  " + _line_text(line)
     if explanation.skipped_lines:
         yield f"{explanation.skipped_lines} lines are no log lines"
 
 
-def _number(found: dict[str, Any]) -> int:
+def _decision_number(record: dict[str, Any]) -> int:
     """Return the place of a decision; the line of the end is the last."""
-    number = found.get("number")
+    number = record.get("number")
     return number if isinstance(number, int) else 1_000
 
 
-def _near(line: LogLine, own: list[LogLine]) -> bool:
-    if not own:
+def _is_near(line: LogLine, request_lines: list[LogLine]) -> bool:
+    if not request_lines:
         return False
-    took = max(int(entry.fields.get("took_ms", 0)) for entry in own)
-    begin = own[0].at - timedelta(milliseconds=took) - BEFORE
-    end = own[-1].at
-    if line.vm != own[0].vm:
-        begin, end = begin - SKEW, end + SKEW
+    duration_ms = max(
+        int(entry.fields.get("took_ms", 0)) for entry in request_lines
+    )
+    begin = (
+        request_lines[0].at - timedelta(milliseconds=duration_ms) - LOOKBACK
+    )
+    end = request_lines[-1].at
+    if line.vm != request_lines[0].vm:
+        begin, end = begin - MAX_CLOCK_SKEW, end + MAX_CLOCK_SKEW
     return begin <= line.at <= end
 
 
-def _text(line: LogLine) -> str:
+def _line_text(line: LogLine) -> str:
     at = line.at.strftime("%H:%M:%S.%f")[:-3]
-    fields = " ".join(f"{name}={value}" for name, value in _said(line))
+    fields = " ".join(
+        f"{name}={value}" for name, value in _nonempty_fields(line)
+    )
     return f"{at} {line.vm}/{line.role} {line.message} {fields}".rstrip()
 
 
-def _said(line: LogLine) -> Iterator[tuple[str, Any]]:
+def _nonempty_fields(line: LogLine) -> Iterator[tuple[str, Any]]:
     for name, value in line.fields.items():
         if value not in ("", None):
             yield name, value
 
 
-def _read(paths: Iterable[Path]) -> Iterator[str]:
+def _read_lines(paths: Iterable[Path]) -> Iterator[str]:
     for path in paths:
         try:
             with path.open(errors="replace") as lines:
--- a/packages/sycamorestand/src/sycamorestand/operator/output.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/output.py
@@ -46,7 +46,7 @@
 
     def notice(self, text: str) -> None:
         """Print a line of progress or doubt to stderr."""
-        self._stderr.write(f"{clean(text)}\n")
+        self._stderr.write(f"{to_printable(text)}\n")
         self._stderr.flush()
 
     def answer(self, message: Any, lines: Iterable[str]) -> None:
@@ -55,7 +55,7 @@
             self._write_json(to_plain(message))
             return
         for line in lines:
-            self._stdout.write(f"{clean(line)}\n")
+            self._stdout.write(f"{to_printable(line)}\n")
 
     def rows(self, name: str, rows: Iterable[Any], columns: Any) -> None:
         """Print typed rows; ``columns`` is their type."""
@@ -91,7 +91,7 @@
         self._stdout.write(f"{json.dumps(value)}\n")
 
 
-def clean(text: str) -> str:
+def to_printable(text: str) -> str:
     """Return text without characters that steer a terminal."""
     return "".join(c if c.isprintable() else " " for c in text)
 
@@ -125,8 +125,8 @@
     if field == "at_s":
         return Text(time_text(value))
     if isinstance(value, tuple):
-        return Text(clean(", ".join(str(part) for part in value)))
-    return Text(clean("-" if value in (None, "") else str(value)))
+        return Text(to_printable(", ".join(str(part) for part in value)))
+    return Text(to_printable("-" if value in (None, "") else str(value)))
 
 
 def _csv_cell(value: Any) -> Any:
@@ -135,4 +135,4 @@
     return value
 
 
-__all__ = ["clean", "Output", "time_text"]
+__all__ = ["to_printable", "Output", "time_text"]
--- a/packages/sycamorestand/src/sycamorestand/operator/questions.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/questions.py
@@ -42,17 +42,17 @@
 
 def nodes() -> Action:
     """Show the entry processes and their configuration leases."""
-    return _list("/nodes", "nodes", NodeRow)
+    return _list_action("/nodes", "nodes", NodeRow)
 
 
 def backends() -> Action:
     """Show the backend servers as they announced themselves."""
-    return _list("/backends", "backends", BackendRow)
+    return _list_action("/backends", "backends", BackendRow)
 
 
 def rollout_status() -> Action:
     """Show the roll-outs and why they stand where they do."""
-    return _list("/rollouts", "rollouts", RolloutRow)
+    return _list_action("/rollouts", "rollouts", RolloutRow)
 
 
 def audit(*, after: int = 0, limit: int = 100) -> Action:
@@ -67,7 +67,7 @@
         body = await context.client().ask("/audit", fields)
         page = from_plain(AuditPage, body)
         context.output.rows("audit", page.entries, AuditEntry)
-        _say_more(context, page.more, page.next_after)
+        _print_next_page_hint(context, page.more, page.next_after)
         return DONE
 
     return act
@@ -96,7 +96,7 @@
             return DONE
         page = await _bill_page(client, customer, after, limit)
         context.output.rows("bills", page.rows, BillRow)
-        _say_more(context, page.more, page.next_after)
+        _print_next_page_hint(context, page.more, page.next_after)
         return DONE
 
     return act
@@ -118,7 +118,7 @@
     return act
 
 
-def _list(path: str, name: str, columns: Any) -> Action:
+def _list_action(path: str, name: str, columns: Any) -> Action:
     async def act(context: Context) -> int:
         body = await context.client().ask(path, {})
         if not isinstance(body, dict) or not isinstance(body.get(name), list):
@@ -166,7 +166,9 @@
             yield f"{name.replace('_', ' ')}: {', '.join(values)}"
 
 
-def _say_more(context: Context, more: bool, next_after: int) -> None:
+def _print_next_page_hint(
+    context: Context, more: bool, next_after: int
+) -> None:
     if more:
         context.output.notice(f"there are more: --after {next_after}")
 
--- a/packages/sycamorestand/src/sycamorestand/operator/run.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/run.py
@@ -41,8 +41,8 @@
 from sycamorestand.operator.questions import nodes
 from sycamorestand.operator.questions import rollout_status
 from sycamorestand.operator.questions import status
+from sycamorestand.operator.settings import parse_settings
 from sycamorestand.operator.settings import settings_help
-from sycamorestand.operator.settings import take_settings
 from sycamorestand_model.errors import SycamorestandError
 
 COMMANDS: Final[dict[str, Any]] = {
@@ -85,7 +85,7 @@
     """Run one command and return its exit code."""
     output = Output("--json" in arguments)
     try:
-        settings, rest = take_settings(arguments, os.environ)
+        settings, rest = parse_settings(arguments, os.environ)
         output = Output(settings.json)
         action = _parse(rest)
         code = anyio.run(action, Context(settings, output))
--- a/packages/sycamorestand/src/sycamorestand/operator/settings.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/settings.py
@@ -17,8 +17,8 @@
 PREFIX: Final = "SYCACTL_"
 MAX_KEY_FILE_BYTES: Final = 4_096
 MAX_SECONDS: Final = 3_600.0
-TRUE_WORDS: Final = ("1", "true", "yes")
-FALSE_WORDS: Final = ("", "0", "false", "no")
+TRUE_TEXTS: Final = ("1", "true", "yes")
+FALSE_TEXTS: Final = ("", "0", "false", "no")
 
 
 class Setting(NamedTuple):
@@ -67,7 +67,7 @@
     json: bool
 
 
-def take_settings(
+def parse_settings(
     arguments: list[str], environment: Mapping[str, str]
 ) -> tuple[Settings, list[str]]:
     """Return the settings and the arguments that are left."""
@@ -76,8 +76,8 @@
         setting.name: environment.get(setting.variable, setting.default)
         for setting in SETTINGS
     }
-    rest = _take_flags(arguments, texts)
-    return _read(texts), rest
+    rest = _parse_flags(arguments, texts)
+    return _parse_values(texts), rest
 
 
 def settings_help() -> str:
@@ -120,12 +120,12 @@
         raise UsageError(f"unknown variables: {', '.join(sorted(unknown))}")
 
 
-def _take_flags(arguments: list[str], texts: dict[str, str]) -> list[str]:
+def _parse_flags(arguments: list[str], texts: dict[str, str]) -> list[str]:
     by_flag = {setting.flag: setting for setting in SETTINGS}
     rest: list[str] = []
-    left = list(arguments)
-    while left:
-        argument = left.pop(0)
+    remaining = list(arguments)
+    while remaining:
+        argument = remaining.pop(0)
         flag, separator, value = argument.partition("=")
         setting = by_flag.get(flag)
         if setting is None:
@@ -134,19 +134,19 @@
             texts[setting.name] = value if separator else "1"
         elif separator:
             texts[setting.name] = value
-        elif left:
-            texts[setting.name] = left.pop(0)
+        elif remaining:
+            texts[setting.name] = remaining.pop(0)
         else:
             raise UsageError(f"{flag} needs a value")
     return rest
 
 
-def _read(texts: dict[str, str]) -> Settings:
+def _parse_values(texts: dict[str, str]) -> Settings:
     values: dict[str, Any] = dict(texts)
     for name in ("attempt_s", "patience_s", "wait_s"):
         values[name] = _seconds(name, texts[name])
     values["controls"] = _addresses(texts["controls"])
-    values["json"] = _truth("json", texts["json"])
+    values["json"] = _boolean("json", texts["json"])
     return Settings(**values)
 
 
@@ -160,12 +160,12 @@
     return value
 
 
-def _truth(name: str, text: str) -> bool:
-    if text.lower() in TRUE_WORDS:
+def _boolean(name: str, text: str) -> bool:
+    if text.lower() in TRUE_TEXTS:
         return True
-    if text.lower() in FALSE_WORDS:
+    if text.lower() in FALSE_TEXTS:
         return False
-    raise UsageError(f"{name} must be one of {', '.join(TRUE_WORDS)}")
+    raise UsageError(f"{name} must be one of {', '.join(TRUE_TEXTS)}")
 
 
 def _addresses(text: str) -> tuple[str, ...]:
@@ -190,5 +190,5 @@
     "Settings",
     "SETTINGS",
     "settings_help",
-    "take_settings",
+    "parse_settings",
 ]
--- a/packages/sycamorestand/src/sycamorestand/operator/waiting.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/waiting.py
@@ -24,22 +24,22 @@
     An entry behind a partition holds the wait up only until its lease
     has run out, as it takes no new work from then on.
     """
-    shown = ""
+    last_progress = ""
     end_s = anyio.current_time() + context.settings.wait_s
     while True:
-        answer = await _ask(client, revision)
-        text = _progress(answer)
-        if text != shown:
-            context.output.notice(text)
-            shown = text
+        answer = await _ask_in_force(client, revision)
+        progress = _progress_text(answer)
+        if progress != last_progress:
+            context.output.notice(progress)
+            last_progress = progress
         if answer.in_force:
             return
         if anyio.current_time() >= end_s:
-            raise WaitedTooLong(f"{text}; the change itself is accepted")
+            raise WaitedTooLong(f"{progress}; the change itself is accepted")
         await anyio.sleep(POLL_S)
 
 
-async def _ask(client: ControlClient, revision: int) -> InForceAnswer:
+async def _ask_in_force(client: ControlClient, revision: int) -> InForceAnswer:
     try:
         body = await client.ask("/in-force", {"revision": revision})
         return from_plain(InForceAnswer, body)
@@ -51,7 +51,7 @@
         ) from error
 
 
-def _progress(answer: InForceAnswer) -> str:
+def _progress_text(answer: InForceAnswer) -> str:
     if answer.in_force:
         return f"revision {answer.revision} is in force everywhere"
     waiting = f", waiting for {', '.join(answer.waiting)}"
--- a/packages/sycamorestand/src/sycamorestand/process_settings.py
+++ b/packages/sycamorestand/src/sycamorestand/process_settings.py
@@ -6,8 +6,8 @@
 
 from sycamorestand.settings import address
 from sycamorestand.settings import addresses
-from sycamorestand.settings import flag
 from sycamorestand.settings import folder
+from sycamorestand.settings import integer
 from sycamorestand.settings import Joint
 from sycamorestand.settings import key_file
 from sycamorestand.settings import number
@@ -15,10 +15,10 @@
 from sycamorestand.settings import optional_file
 from sycamorestand.settings import optional_key_file
 from sycamorestand.settings import optional_text
+from sycamorestand.settings import required_addresses
 from sycamorestand.settings import Setting
-from sycamorestand.settings import some_addresses
 from sycamorestand.settings import text
-from sycamorestand.settings import whole
+from sycamorestand.settings import yes_or_no
 from sycamorestand_peer.tls import read_tls_identity
 
 TLS: Final = Joint("tls", read_tls_identity)
@@ -63,12 +63,12 @@
     *COMMON_SETTINGS,
     Setting(
         "control_addresses",
-        some_addresses,
+        required_addresses,
         None,
         "peer addresses of control processes, the nearest first",
     ),
     Setting("host", text, "127.0.0.1", "IP that callers connect to"),
-    Setting("port", whole(0, 65_535), "8080", "port for callers"),
+    Setting("port", integer(0, 65_535), "8080", "port for callers"),
     Setting(
         "backend_key_file",
         optional_key_file,
@@ -94,10 +94,10 @@
     ),
     Setting("data_folder", folder, None, "folder for all durable state"),
     Setting("operator_host", text, "127.0.0.1", "IP for operators"),
-    Setting("operator_port", whole(0, 65_535), "7300", "port for operators"),
+    Setting("operator_port", integer(0, 65_535), "7300", "port for operators"),
     Setting(
         "first_start",
-        flag,
+        yes_or_no,
         "no",
         "yes on one VM only, once: make a new cluster here",
     ),
@@ -109,25 +109,25 @@
     ),
     Setting(
         "voters_wanted",
-        whole(1, 7),
+        integer(1, 7),
         "3",
         "new control processes become voters up to this count",
     ),
     Setting(
         "replace_lost_voters",
-        flag,
+        yes_or_no,
         "no",
         "yes: a new control process takes a lost voter's place by itself",
     ),
     Setting(
         "ledger_shards",
-        whole(1, 64),
+        integer(1, 64),
         "1",
         "shards of the ledger, fixed by the first start",
     ),
     Setting(
         "weight_store_loads",
-        whole(1, 1_000),
+        integer(1, 1_000),
         "2",
         "loads that the weight store serves at once",
     ),
--- a/packages/sycamorestand/src/sycamorestand/run.py
+++ b/packages/sycamorestand/src/sycamorestand/run.py
@@ -31,7 +31,7 @@
 EXIT_SETTINGS: Final = 2
 EXIT_FAILED: Final = 1
 
-Serve = Callable[[dict[str, Any], anyio.Event], Awaitable[None]]
+RunRole = Callable[[dict[str, Any], anyio.Event], Awaitable[None]]
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -41,21 +41,21 @@
             "entry",
             "Stand in front of callers and backend servers.",
             ENTRY_SETTINGS,
-            _runner("entry", ENTRY_SETTINGS, _run_entry),
+            _make_runner("entry", ENTRY_SETTINGS, _run_entry),
         ),
         "control": make_command(
             "control",
             "Be one voter of the replicated log, and serve entries.",
             CONTROL_SETTINGS,
-            _runner("control", CONTROL_SETTINGS, _run_control),
+            _make_runner("control", CONTROL_SETTINGS, _run_control),
         ),
     }
     result: int = defopt.run(commands, argv=arguments)
     return result
 
 
-def _runner(
-    role: str, settings: tuple[Setting, ...], serve: Serve
+def _make_runner(
+    role: str, settings: tuple[Setting, ...], serve: RunRole
 ) -> Callable[[Mapping[str, str]], int]:
     def run(flags: Mapping[str, str]) -> int:
         try:
@@ -72,28 +72,30 @@
     return run
 
 
-def _run_loop(serve: Serve, values: dict[str, Any]) -> int:
+def _run_loop(serve: RunRole, values: dict[str, Any]) -> int:
     # The loop of the standard library: uvloop 0.23 sets up io_uring at its
     # first loop, also with UV_USE_IO_URING=0, and the product must not.
     try:
         anyio.run(_serve_until_signal, serve, values)
     except ExceptionGroup as group:
-        known, other = group.split((SycamorestandError, ConsensusError))
-        for error in _leaves(known):
+        expected, unexpected = group.split(
+            (SycamorestandError, ConsensusError)
+        )
+        for error in _flatten_group(expected):
             LOG.error("ended", extra={"reason": str(error)})
-        if other is not None:
-            raise other from None
+        if unexpected is not None:
+            raise unexpected from None
         return EXIT_FAILED
     return 0
 
 
-def _leaves(group: BaseException | None) -> list[BaseException]:
+def _flatten_group(group: BaseException | None) -> list[BaseException]:
     if isinstance(group, BaseExceptionGroup):
-        return [e for part in group.exceptions for e in _leaves(part)]
+        return [e for part in group.exceptions for e in _flatten_group(part)]
     return [] if group is None else [group]
 
 
-async def _serve_until_signal(serve: Serve, values: dict[str, Any]) -> None:
+async def _serve_until_signal(serve: RunRole, values: dict[str, Any]) -> None:
     stop = anyio.Event()
     # Before anything else has a turn: a signal that comes while the role
     # loads would end the loop from within, as a failure.
--- a/packages/sycamorestand/src/sycamorestand/settings.py
+++ b/packages/sycamorestand/src/sycamorestand/settings.py
@@ -65,7 +65,7 @@
 
 
 def read_settings(
-    wanted: tuple[Setting, ...],
+    settings: tuple[Setting, ...],
     flags: Mapping[str, str],
     environment: Mapping[str, str],
 ) -> dict[str, Any]:
@@ -76,8 +76,8 @@
     """
     values: dict[str, Any] = {}
     findings: list[str] = []
-    for setting in wanted:
-        place, text = _find(setting, flags, environment)
+    for setting in settings:
+        source, text = _find_text(setting, flags, environment)
         if text is None:
             findings.append(
                 f"{setting.flag} or {setting.variable} is required:"
@@ -87,10 +87,10 @@
         try:
             values[setting.name] = setting.read(text)
         except (ValueError, OSError) as error:
-            findings.append(f"{place}: {error}")
-    for joint in dict.fromkeys(s.joint for s in wanted if s.joint):
-        members = tuple(s for s in wanted if s.joint == joint)
-        findings += _join(joint, members, values)
+            findings.append(f"{source}: {error}")
+    for joint in dict.fromkeys(s.joint for s in settings if s.joint):
+        members = tuple(s for s in settings if s.joint == joint)
+        findings += _join_values(joint, members, values)
     if findings:
         raise SettingsError("\n".join(findings))
     return values
@@ -123,7 +123,7 @@
     command.__name__ = name
     command.__annotations__ = {setting.name: str for setting in settings}
     command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
-    lines = [f":param {s.name}: {_describe(s)}" for s in settings]
+    lines = [f":param {s.name}: {_help_text(s)}" for s in settings]
     command.__doc__ = "\n".join([summary, "", *lines])
     return command
 
@@ -152,7 +152,7 @@
     return read
 
 
-def whole(low: int, high: int) -> Callable[[str], int]:
+def integer(low: int, high: int) -> Callable[[str], int]:
     """Return a reader of whole numbers within bounds."""
 
     def read(value: str) -> int:
@@ -164,7 +164,7 @@
     return read
 
 
-def flag(value: str) -> bool:
+def yes_or_no(value: str) -> bool:
     """Read yes or no."""
     if value not in ("yes", "no"):
         raise ValueError(f"{value!r} is neither yes nor no")
@@ -177,7 +177,7 @@
     if not separator:
         raise ValueError(f"{value!r} is not IP:port")
     ipaddress.ip_address(host.strip("[]"))
-    whole(0, 65_535)(port)
+    integer(0, 65_535)(port)
     return value
 
 
@@ -191,12 +191,12 @@
     return tuple(address(part.strip()) for part in value.split(",") if part)
 
 
-def some_addresses(value: str) -> tuple[str, ...]:
+def required_addresses(value: str) -> tuple[str, ...]:
     """Read a list of ``IP:port`` with one at least."""
-    found = addresses(value)
-    if not found:
+    parsed = addresses(value)
+    if not parsed:
         raise ValueError("names no address")
-    return found
+    return parsed
 
 
 def folder(value: str) -> Path:
@@ -226,7 +226,7 @@
     return key_file(value) if value else no_keys
 
 
-def _find(
+def _find_text(
     setting: Setting,
     flags: Mapping[str, str],
     environment: Mapping[str, str],
@@ -238,15 +238,17 @@
     return f"default of {setting.flag}", setting.default
 
 
-def _join(
+def _join_values(
     joint: Joint, members: tuple[Setting, ...], values: dict[str, Any]
 ) -> list[str]:
     """Put the joint value in place of its members'; return findings."""
     flags = ", ".join(member.flag for member in members)
     # Who is not among the values was given, and found bad, before.
-    bad = any(member.name not in values for member in members)
-    parts = [values.pop(member.name, joint) for member in members]
-    missing = [m for m, part in zip(members, parts, strict=True) if not part]
+    has_invalid = any(member.name not in values for member in members)
+    member_values = [values.pop(member.name, joint) for member in members]
+    missing = [
+        m for m, value in zip(members, member_values, strict=True) if not value
+    ]
     values[joint.name] = None
     if len(missing) == len(members):
         return []
@@ -255,29 +257,29 @@
         f" give all or none of {flags}"
         for member in missing
     ]
-    if findings or bad:
+    if findings or has_invalid:
         return findings
     try:
-        values[joint.name] = joint.join(*parts)
+        values[joint.name] = joint.join(*member_values)
     except ValueError as error:
         findings.append(f"{flags}: {error}")
     return findings
 
 
-def _describe(setting: Setting) -> str:
+def _help_text(setting: Setting) -> str:
     if setting.default is None:
-        state = "required"
+        requirement = "required"
     elif setting.default:
-        state = f"default {setting.default}"
+        requirement = f"default {setting.default}"
     else:
-        state = "default empty"
-    return f"{setting.help} ({setting.variable}; {state})"
+        requirement = "default empty"
+    return f"{setting.help} ({setting.variable}; {requirement})"
 
 
 __all__ = [
     "address",
     "addresses",
-    "flag",
+    "yes_or_no",
     "folder",
     "Joint",
     "key_file",
@@ -290,7 +292,7 @@
     "read_settings",
     "Setting",
     "SettingsError",
-    "some_addresses",
+    "required_addresses",
     "text",
-    "whole",
+    "integer",
 ]
--- a/packages/sycamorestand/src/sycamorestand/start.py
+++ b/packages/sycamorestand/src/sycamorestand/start.py
@@ -14,13 +14,13 @@
 
 def main() -> int:
     """Run one process; a stop before it serves anybody ends it at once."""
-    signal.signal(signal.SIGTERM, _end)
+    signal.signal(signal.SIGTERM, _exit_on_sigterm)
     from sycamorestand.run import main as run
 
     return run()
 
 
-def _end(number: int, frame: FrameType | None) -> None:
+def _exit_on_sigterm(signal_number: int, frame: FrameType | None) -> None:
     # Nobody is served yet, so there is nothing to finish. Once there is, the
     # process handles the signal by itself.
     sys.exit(0)
--- a/packages/sycamorestand/tests/operator/conftest.py
+++ b/packages/sycamorestand/tests/operator/conftest.py
@@ -143,7 +143,7 @@
         return True
 
 
-class Ended(NamedTuple):
+class CommandResult(NamedTuple):
     """How a run of sycactl ended."""
 
     code: int
@@ -151,7 +151,7 @@
     err: str
 
 
-def _faulty(server: Server) -> Any:
+def _inject_faults(server: Server) -> Any:
     """Wrap the real application in the faults of a bad network."""
 
     async def drop(message: Any) -> None:
@@ -189,7 +189,7 @@
         self._socket.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         config = uvicorn.Config(
-            _faulty(self),
+            _inject_faults(self),
             lifespan="off",
             log_level="critical",
             timeout_graceful_shutdown=0,
@@ -210,7 +210,7 @@
 
 
 @pytest.fixture(scope="session")
-def listening() -> Iterator[list[Server]]:
+def control_servers() -> Iterator[list[Server]]:
     """Run two control processes on loopback for all tests."""
     started = [Server(), Server()]
     for server in started:
@@ -226,11 +226,11 @@
 
 
 @pytest.fixture
-def servers(listening: list[Server], state: State) -> list[Server]:
+def servers(control_servers: list[Server], state: State) -> list[Server]:
     """Return the control processes as if they had just been started."""
-    for server in listening:
+    for server in control_servers:
         server.control = FakeControl(state)
-    return listening
+    return control_servers
 
 
 @pytest.fixture
@@ -244,27 +244,27 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-) -> Callable[..., Ended]:
+) -> Callable[..., CommandResult]:
     """Return a function that runs the command in this process."""
     key_file = tmp_path / "key"
     key_file.write_text(f"{KEY}\n")
     monkeypatch.setenv("SYCACTL_KEY_FILE", str(key_file))
 
-    def run_command(*arguments: object) -> Ended:
+    def run_command(*arguments: object) -> CommandResult:
         with pytest.raises(SystemExit) as ended:
             main([str(argument) for argument in arguments])
         out, err = capsys.readouterr()
-        return Ended(int(ended.value.code or 0), out, err)
+        return CommandResult(int(ended.value.code or 0), out, err)
 
     return run_command
 
 
 @pytest.fixture
 def online(
-    sycactl: Callable[..., Ended],
+    sycactl: Callable[..., CommandResult],
     servers: list[Server],
     monkeypatch: pytest.MonkeyPatch,
-) -> Callable[..., Ended]:
+) -> Callable[..., CommandResult]:
     """Return the command with both control processes in its settings."""
     addresses = ",".join(server.address for server in servers)
     monkeypatch.setenv("SYCACTL_CONTROLS", addresses)
@@ -273,8 +273,8 @@
 
 @pytest.fixture
 def impatient(
-    online: Callable[..., Ended], monkeypatch: pytest.MonkeyPatch
-) -> Callable[..., Ended]:
+    online: Callable[..., CommandResult], monkeypatch: pytest.MonkeyPatch
+) -> Callable[..., CommandResult]:
     """Return the command with short waits, for faults that never end."""
     monkeypatch.setenv("SYCACTL_ATTEMPT_S", "1")
     monkeypatch.setenv("SYCACTL_PATIENCE_S", "1")
--- a/packages/sycamorestand/tests/operator/test_explain_request.py
+++ b/packages/sycamorestand/tests/operator/test_explain_request.py
@@ -31,13 +31,13 @@
 
 
 class TestFind:
-    def test_decisions_come_in_order_and_the_end_last(self) -> None:
+    def test_decisions_are_ordered_before_the_end_line(self) -> None:
         found = find_request("r-1", reversed(LOG))
         numbers = [line.number for line in found.request]
         assert numbers[:2] == [0, 1]
         assert found.request[-1].message == "request ended"
 
-    def test_changes_shortly_before_are_shown(self) -> None:
+    def test_changes_near_the_request_are_shown(self) -> None:
         """The lease was lost two seconds before the refusal.
 
         Another VM's clock may be a second ahead, so its lines are shown
@@ -47,7 +47,7 @@
         messages = [line.message for line in found.around]
         assert messages == ["lease lost: refusing work", "leads"]
 
-    def test_lines_of_a_collector_are_read(self) -> None:
+    def test_prefix_of_a_log_collector_is_skipped(self) -> None:
         found = parse_line("  36.05 vm-1/entry " + LOG[0])
         assert found is not None
         assert found.message == "lease lost: refusing work"
@@ -55,14 +55,14 @@
     @pytest.mark.parametrize(
         "text", ["", "Traceback", "{", "{}", '{"time": 3}', "[1]", "{1}"]
     )
-    def test_other_lines_are_counted(self, text: str) -> None:
+    def test_unparsable_lines_are_counted(self, text: str) -> None:
         found = find_request("r-1", [*LOG, text])
         assert found.skipped_lines == 1
         assert "1 lines are no log lines" in list(explanation_lines(found))
 
 
 class TestCommand:
-    def test_prints_the_way_of_a_request(
+    def test_prints_the_lines_of_a_request(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "entry.log"
@@ -70,7 +70,7 @@
         assert run(["explain-request", "r-1", str(path)]) == 0
         assert "took_ms=400" in capsys.readouterr().out
 
-    def test_unknown_request_is_said(
+    def test_unknown_request_is_reported(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "entry.log"
@@ -78,7 +78,7 @@
         assert run(["explain-request", "r-9", str(path)]) != 0
         assert "no line of this request" in capsys.readouterr().out
 
-    def test_missing_file_is_said(
+    def test_missing_file_is_reported(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert run(["explain-request", "r-1", "/no/such/file"]) != 0
--- a/packages/sycamorestand/tests/operator/test_run.py
+++ b/packages/sycamorestand/tests/operator/test_run.py
@@ -17,7 +17,7 @@
 
 EXAMPLES = Path(__file__).parents[4] / "examples"
 KEY = "the-operators-secret"
-QUESTIONS = {
+QUERIES = {
     ("status",): "leader v1",
     ("nodes",): "no-lease",
     ("backends",): "leaving",
@@ -30,7 +30,7 @@
 
 class TestCheck:
     @pytest.mark.parametrize("name", ["guild", "authority"])
-    def test_the_examples_pass(self, name: str) -> None:
+    def test_example_folders_have_no_findings(self, name: str) -> None:
         command = [str(Path(sys.executable).parent / "sycactl"), "check"]
         ended = subprocess.run(
             [*command, str(EXAMPLES / name)], capture_output=True, text=True
@@ -52,7 +52,7 @@
 
 
 class TestKeys:
-    def test_a_new_key_goes_to_a_private_file_only(
+    def test_new_key_is_written_only_to_a_private_file(
         self, sycactl: Command, tmp_path: Path
     ) -> None:
         path = tmp_path / "new"
@@ -100,14 +100,14 @@
             ["apply", ".", "--change-id", "c-1"],
         ],
     )
-    def test_wrong_ones_are_told_apart_from_refusals(
+    def test_wrong_arguments_exit_with_the_usage_code(
         self, sycactl: Command, arguments: list[str]
     ) -> None:
         ended = sycactl(*arguments)
         assert ended.code == 2
         assert ended.err
 
-    def test_an_unknown_variable_is_no_silence(
+    def test_unknown_variable_is_refused(
         self, sycactl: Command, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setenv("SYCACTL_CONTROL", "127.0.0.1:1")
@@ -116,32 +116,30 @@
         assert "SYCACTL_CONTROL" in ended.err
 
 
-class TestQuestions:
-    @pytest.mark.parametrize("arguments", QUESTIONS)
+class TestQueries:
+    @pytest.mark.parametrize("arguments", QUERIES)
     def test_answers_are_tables_or_json(
         self, online: Command, arguments: tuple[str, ...]
     ) -> None:
         ended = online(*arguments)
         assert ended.code == 0
-        assert QUESTIONS[arguments] in ended.out
+        assert QUERIES[arguments] in ended.out
         assert json.loads(online(*arguments, "--json").out)
 
-    def test_text_from_others_steers_no_terminal(
-        self, online: Command
-    ) -> None:
+    def test_control_characters_are_not_printed(self, online: Command) -> None:
         ended = online("audit")
         assert "\x1b" not in ended.out
         assert "[red]" in ended.out
 
-    def test_csv_holds_all_pages_and_no_formula(self, online: Command) -> None:
+    def test_csv_holds_every_page_and_escapes_formulas(
+        self, online: Command
+    ) -> None:
         lines = online("bills", "--csv").out.splitlines()
         assert lines[0].startswith("sequence,at_s,customer,request_key")
         assert len(lines) == 4
         assert lines[1].split(",")[3] == "'=1"
 
-    def test_a_reader_that_goes_away_gets_no_traceback(
-        self, folder: Path
-    ) -> None:
+    def test_closed_pipe_causes_no_traceback(self, folder: Path) -> None:
         """``sycactl check DIR | head -0``: the pipe closes at once."""
         command = [str(Path(sys.executable).parent / "sycactl"), "check"]
         running = subprocess.Popen(
@@ -176,14 +174,14 @@
         )
         assert "0 differences" in online("plan", folder).out
 
-    def test_a_folder_with_errors_is_not_sent(
+    def test_folder_with_errors_is_not_sent(
         self, online: Command, folder: Path, state: Any
     ) -> None:
         (folder / "more.toml").write_text("[services.a]\nb = 1")
         assert online("apply", folder).code == 3
         assert state.changes == []
 
-    def test_a_conflict_names_who_was_first(
+    def test_conflict_names_the_other_change(
         self, online: Command, folder: Path
     ) -> None:
         ended = online("apply", folder, "--base-revision", 4)
@@ -205,7 +203,7 @@
             ["transfer-leadership"],
         ],
     )
-    def test_each_change_has_a_command(
+    def test_every_change_command_succeeds(
         self, online: Command, arguments: list[str]
     ) -> None:
         assert online(*arguments).code == 0
@@ -219,14 +217,14 @@
             ["audit", "--limit", "5000"],
         ],
     )
-    def test_a_refusal_has_its_exit_code(
+    def test_refusal_exits_with_the_refused_code(
         self, online: Command, arguments: list[str]
     ) -> None:
         ended = online(*arguments)
         assert ended.code == 5
         assert ended.out or ended.err
 
-    def test_a_wrong_key_is_refused_and_never_printed(
+    def test_wrong_key_is_refused_and_never_printed(
         self, online: Command, tmp_path: Path
     ) -> None:
         (tmp_path / "key").write_text("wrong-secret")
@@ -234,7 +232,7 @@
         assert ended.code == 5
         assert "wrong-secret" not in ended.out + ended.err
 
-    def test_waiting_ends_with_its_own_code(
+    def test_wait_timeout_exits_with_its_own_code(
         self, impatient: Command, servers: Any
     ) -> None:
         """A VM is behind a partition and its lease has not run out.
@@ -252,7 +250,7 @@
 
 class TestFailures:
     @pytest.mark.parametrize("fault", ["answer lost", "garbage"])
-    def test_a_lost_answer_is_asked_for_at_the_next_one(
+    def test_change_with_a_lost_answer_is_resent_to_the_next_process(
         self, impatient: Command, servers: Any, state: Any, fault: str
     ) -> None:
         """The first control process commits and its answer is lost.
@@ -266,7 +264,7 @@
         assert ended.out == "duplicate, revision 6\n"
         assert len(state.changes) == 1
 
-    def test_without_a_leader_the_next_one_is_asked(
+    def test_process_without_a_leader_is_passed_over(
         self, impatient: Command, servers: Any
     ) -> None:
         """The first control process is cut off and knows no leader.
@@ -278,14 +276,14 @@
         assert ended.code == 0
         assert "no-leader" in ended.err
 
-    def test_no_leader_anywhere_means_nothing_was_changed(
+    def test_no_leader_anywhere_exits_as_unreachable(
         self, impatient: Command, servers: Any
     ) -> None:
         for server in servers:
             server.control.has_leader = False
         assert impatient("withdraw", "cheap@1").code == 6
 
-    def test_a_silent_first_one_delays_a_question_only(
+    def test_query_is_answered_despite_a_silent_process(
         self, impatient: Command, servers: Any
     ) -> None:
         servers[0].control.fault = "silent"
@@ -293,7 +291,7 @@
         assert ended.code == 0
         assert "silent" in ended.err
 
-    def test_when_nobody_answers_the_outcome_is_unknown(
+    def test_lost_answers_everywhere_leave_the_outcome_unknown(
         self, impatient: Command, servers: Any, state: Any, folder: Path
     ) -> None:
         """Both control processes commit or may have, and neither answers.
@@ -316,7 +314,7 @@
         assert again.out == "duplicate, revision 6\n"
         assert len(state.changes) == 1
 
-    def test_a_refusal_after_a_lost_answer_stays_unknown(
+    def test_refusal_after_a_lost_answer_leaves_the_outcome_unknown(
         self, impatient: Command, servers: Any
     ) -> None:
         """The first one commits silently and the second refuses the key.
@@ -328,7 +326,7 @@
         servers[1].control.fault = "knows no key"
         assert impatient("withdraw", "cheap@1").code == 7
 
-    def test_the_end_of_patience_hides_no_attempt(
+    def test_patience_running_out_does_not_cancel_an_attempt(
         self, impatient: Command, servers: Any
     ) -> None:
         """The time to try is shorter than one attempt takes.
@@ -342,7 +340,7 @@
         ended = impatient("withdraw", "cheap@1", "--patience-s", "0.2")
         assert ended.code == 7
 
-    def test_an_answer_of_another_shape_is_no_outcome(
+    def test_unreadable_answer_leaves_the_outcome_unknown(
         self, impatient: Command, servers: Any
     ) -> None:
         """Something between answers a change with JSON of its own.
@@ -354,7 +352,7 @@
         assert ended.code == 7
         assert json.loads(ended.out)["error"]["code"] == "unknown-outcome"
 
-    def test_silence_after_the_acceptance_leaves_it_accepted(
+    def test_leader_lost_after_acceptance_keeps_the_change_accepted(
         self, impatient: Command, servers: Any
     ) -> None:
         """The change is accepted and the leader is lost right afterwards.
@@ -368,7 +366,7 @@
         assert ended.code == 8
         assert ended.out == "accepted, revision 6\n"
 
-    def test_nobody_listening_is_unreachable(
+    def test_refused_connection_exits_as_unreachable(
         self, sycactl: Command, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         with socket.socket() as unused:
--- a/packages/sycamorestand/tests/test_logs.py
+++ b/packages/sycamorestand/tests/test_logs.py
@@ -25,48 +25,48 @@
     os.close(writing)
 
 
-def record(message: str, expendable: bool = False) -> logging.LogRecord:
+def make_record(message: str, expendable: bool = False) -> logging.LogRecord:
     made = logging.makeLogRecord({"msg": message, "levelno": logging.INFO})
     made.expendable = expendable
     return made
 
 
-def fill(output: BoundedOutput, expendable: bool = False) -> int:
+def log_until_full(output: BoundedOutput, expendable: bool = False) -> int:
     """Log more than the buffer and the pipe hold; return the lines."""
     count = 2 * MAX_BUFFER_BYTES // len(LINE)
     for _ in range(count):
-        output.emit(record(LINE, expendable))
+        output.emit(make_record(LINE, expendable))
     return count
 
 
 class TestStalledReader:
-    def test_does_not_hold_up_the_process(self, pipe: tuple[int, int]) -> None:
+    def test_emit_does_not_block(self, pipe: tuple[int, int]) -> None:
         # Somebody has paused the terminal, or the collector of logs hangs:
         # nobody reads. With a plain stream the process stops in the write
         # as soon as the pipe is full, with all of its requests.
         _, writing = pipe
         output = BoundedOutput(writing)
-        count = fill(output)
+        count = log_until_full(output)
         assert 0 < output.dropped < count
 
-    def test_lines_of_good_requests_are_dropped_first(
+    def test_expendable_lines_are_dropped_first(
         self, pipe: tuple[int, int]
     ) -> None:
         _, writing = pipe
         output = BoundedOutput(writing)
-        fill(output, expendable=True)
+        log_until_full(output, expendable=True)
         before = output.dropped
         assert before > 0
-        output.emit(record("a request failed"))
+        output.emit(make_record("a request failed"))
         assert output.dropped == before
 
-    def test_says_how_many_were_dropped_once_it_is_read(
+    def test_dropped_lines_are_reported_once_reading_resumes(
         self, pipe: tuple[int, int]
     ) -> None:
         reading, writing = pipe
         output = BoundedOutput(writing)
         output.setFormatter(logging.Formatter("%(message)s"))
-        count = fill(output)
+        count = log_until_full(output)
         received = b""
         while b"log lines dropped" not in received:
             output.flush()
@@ -74,40 +74,40 @@
         kept = received.count(LINE.encode() + b"\n")
         assert kept + output.dropped == count
 
-    def test_reader_that_is_gone_ends_nothing(self) -> None:
+    def test_closed_pipe_raises_nothing(self) -> None:
         reading, writing = os.pipe()
         os.close(reading)
         output = BoundedOutput(writing)
-        output.emit(record("nobody hears this"))
+        output.emit(make_record("nobody hears this"))
         os.close(writing)
         assert output.dropped == 1
 
 
 class TestOutput:
     @pytest.mark.anyio
-    async def test_lines_leave_soon_and_in_order(
+    async def test_lines_are_written_within_two_flush_intervals_in_order(
         self, pipe: tuple[int, int]
     ) -> None:
         reading, writing = pipe
         output = BoundedOutput(writing)
         output.setFormatter(logging.Formatter("%(message)s"))
         for number in range(3):
-            output.emit(record(f"line {number}"))
+            output.emit(make_record(f"line {number}"))
         await anyio.sleep(2 * FLUSH_S)
         assert os.read(reading, 65536) == b"line 0\nline 1\nline 2\n"
 
-    def test_a_long_line_arrives_whole(self, pipe: tuple[int, int]) -> None:
+    def test_long_line_is_written_whole(self, pipe: tuple[int, int]) -> None:
         reading, writing = pipe
         output = BoundedOutput(writing)
         output.setFormatter(logging.Formatter("%(message)s"))
-        output.emit(record("y" * 20_000))
+        output.emit(make_record("y" * 20_000))
         received = b""
         while not received.endswith(b"\n"):
             output.flush()
             received += os.read(reading, 65536)
         assert received == b"y" * 20_000 + b"\n"
 
-    def test_what_cannot_be_formatted_is_told_elsewhere(
+    def test_formatting_error_goes_to_standard_error(
         self, pipe: tuple[int, int], capsys: pytest.CaptureFixture[str]
     ) -> None:
         _, writing = pipe
@@ -117,8 +117,8 @@
         assert "no number" in capsys.readouterr().err
 
 
-class TestConfigured:
-    def test_a_line_is_json_with_its_fields(
+class TestConfigureLogging:
+    def test_line_is_json_with_its_fields(
         self, capfd: pytest.CaptureFixture[str]
     ) -> None:
         from sycamorestand.logs import configure_logging
--- a/packages/sycamorestand/tests/test_run.py
+++ b/packages/sycamorestand/tests/test_run.py
@@ -37,7 +37,7 @@
 
 
 class TestProcesses:
-    def test_neither_uses_io_uring_nor_starts_a_process(
+    def test_no_process_uses_io_uring_or_starts_a_child(
         self, cluster: Cluster
     ) -> None:
         """A loop that sets up io_uring holds a descriptor for it.
@@ -53,13 +53,11 @@
             children = Path(f"/proc/{pid}/task/{pid}/children").read_text()
             assert children == ""
 
-    def test_both_end_a_planned_stop_with_status_0(
-        self, cluster: Cluster
-    ) -> None:
+    def test_planned_stop_exits_with_status_0(self, cluster: Cluster) -> None:
         assert cluster.stop("entry-1") == 0
         assert cluster.stop("control-1") == 0
 
-    def test_a_fault_in_native_code_leaves_a_stack(
+    def test_segmentation_fault_leaves_a_stack_trace(
         self, cluster: Cluster
     ) -> None:
         """An entry ends with a segmentation fault, as it once did.
@@ -74,7 +72,7 @@
         assert "Fatal Python error: Segmentation fault" in log
         assert "run.py" in log
 
-    def test_each_restarts_on_what_it_has(self, cluster: Cluster) -> None:
+    def test_killed_processes_restart(self, cluster: Cluster) -> None:
         """Both processes are killed; the control process has a folder."""
         cluster.kill("entry-1")
         cluster.kill("control-1")
@@ -84,23 +82,23 @@
 
 
 class TestMain:
-    def test_settings_that_are_missing_are_told_together(
+    def test_missing_settings_are_reported(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["control", "--vm", "c"]) == 2
-        said = capsys.readouterr().err
-        assert "--data-centre" in said
+        stderr = capsys.readouterr().err
+        assert "--data-centre" in stderr
 
-    def test_an_entry_without_control_is_a_finding(
+    def test_entry_without_a_control_address_is_refused(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """Without any address it would have nobody to ask for a lease."""
         assert main(["entry", "--vm", "e", "--control-addresses", ","]) == 2
         assert "--control-addresses: names no" in capsys.readouterr().err
 
-    def test_variables_are_named_as_well(
+    def test_missing_settings_name_their_variables(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["control", "--vm", "c"]) == 2
-        said = capsys.readouterr().err
-        assert "SYCAMORESTAND_CLUSTER_KEY_FILE" in said
+        stderr = capsys.readouterr().err
+        assert "SYCAMORESTAND_CLUSTER_KEY_FILE" in stderr
--- a/packages/sycamorestand/tests/test_settings.py
+++ b/packages/sycamorestand/tests/test_settings.py
@@ -18,7 +18,9 @@
 
 
 class TestReadSettings:
-    def test_a_flag_goes_before_the_environment(self, tmp_path: Path) -> None:
+    def test_flag_takes_precedence_over_the_environment(
+        self, tmp_path: Path
+    ) -> None:
         key_file = tmp_path / "keys"
         key_file.write_text("a" * 32)
         values = read_settings(
@@ -35,7 +37,7 @@
         assert values["data_centre"] == "Dalton"
         assert values["cluster_key_file"]() == (b"a" * 32,)
 
-    def test_all_findings_come_together(self) -> None:
+    def test_all_findings_are_reported_at_once(self) -> None:
         """An operator starts a control process with four mistakes.
 
         One run names all of them with the flag or variable to mend, so
@@ -56,7 +58,7 @@
         ):
             assert place in message
 
-    def test_a_short_cluster_key_is_refused(self, tmp_path: Path) -> None:
+    def test_short_cluster_key_is_refused(self, tmp_path: Path) -> None:
         key_file = tmp_path / "keys"
         key_file.write_text("short")
         with pytest.raises(SettingsError, match="under 16 bytes"):
@@ -84,18 +86,20 @@
             settings=settings, metrics=Metrics(), authenticator=None
         )
         for key in ("a", "b"):
-            check_backend_key(context, _announce(key * 32))
+            check_backend_key(context, _announcement_request(key * 32))
         with pytest.raises(Unauthorised):
-            check_backend_key(context, _announce("c" * 32))
+            check_backend_key(context, _announcement_request("c" * 32))
 
 
-def _announce(key: str) -> Any:
+def _announcement_request(key: str) -> Any:
     headers = {b"authorization": b"Bearer " + key.encode()}
     return SimpleNamespace(headers=headers)
 
 
 class TestTlsSettings:
-    def test_all_or_none_with_all_findings(self, tmp_path: Path) -> None:
+    def test_partial_tls_settings_report_every_finding(
+        self, tmp_path: Path
+    ) -> None:
         """An operator sets the certificate, forgets one file, loses one.
 
         Both findings come in one start, each with its flag, beside those
@@ -113,7 +117,7 @@
         assert "--tls-key-file: [Errno 2]" in message
         assert "--vm or SYCAMORESTAND_VM is required" in message
 
-    def test_files_that_do_not_fit_are_a_finding(self, tmp_path: Path) -> None:
+    def test_invalid_certificate_file_is_refused(self, tmp_path: Path) -> None:
         path = tmp_path / "file"
         path.write_text("x")
         names = ("tls_ca_file", "tls_cert_file", "tls_key_file")
@@ -121,7 +125,7 @@
         with pytest.raises(SettingsError, match="holds no PEM certificate"):
             read_settings(ENTRY_SETTINGS, flags, {})
 
-    def test_none_is_plain(self, tmp_path: Path) -> None:
+    def test_no_tls_settings_disable_tls(self, tmp_path: Path) -> None:
         path = tmp_path / "keys"
         path.write_text("a" * 32)
         flags = {
--- a/packages/sycamorestand/tests/test_start.py
+++ b/packages/sycamorestand/tests/test_start.py
@@ -13,7 +13,7 @@
 import anyio
 
 from sycamorestand.run import _run_loop
-from sycamorestand.start import _end
+from sycamorestand.start import _exit_on_sigterm
 
 # In place of a library that the program loads first: it takes its time.
 SLOW_LIBRARY: Final = """
@@ -24,7 +24,9 @@
 
 
 class TestStopWhileLoading:
-    def test_it_ends_as_a_planned_stop_does(self, tmp_path: Path) -> None:
+    def test_sigterm_while_libraries_load_exits_with_0(
+        self, tmp_path: Path
+    ) -> None:
         """A VM is restarted, and stopped again while its process loads.
 
         On a busy machine loading takes seconds; an entry that was stopped
@@ -44,7 +46,7 @@
         assert process.wait(timeout=20) == 0
         process.stdout.close()
 
-    def test_it_ends_so_while_it_loads_its_role(self) -> None:
+    def test_sigterm_while_the_role_loads_exits_with_0(self) -> None:
         """A control process was stopped then, and ended with 1."""
         stopped = []
 
@@ -56,7 +58,7 @@
             await stop.wait()
             stopped.append(True)
 
-        before = signal.signal(signal.SIGTERM, _end)
+        before = signal.signal(signal.SIGTERM, _exit_on_sigterm)
         try:
             assert _run_loop(load_and_serve, {}) == 0
         finally:
