--- a/packages/sycamorestand/src/sycamorestand/__init__.py
+++ b/packages/sycamorestand/src/sycamorestand/__init__.py
@@ -1,1 +1,1 @@
-"""The two binaries: settings, logging and wiring."""
+"""The binaries ``sycamorestand`` and ``sycactl``, settings and logging."""
--- a/packages/sycamorestand/src/sycamorestand/bounded_output.py
+++ b/packages/sycamorestand/src/sycamorestand/bounded_output.py
@@ -1,10 +1,11 @@
-"""A log handler that never waits for its reader.
-
-A reader of standard output that stalls, or a terminal that somebody has
-paused, blocks whoever writes to it. In an entry that is every request, in
-a control process its heartbeats. So lines go to a bounded buffer, and
-only as much is written as the pipe takes at once. What does not fit is
-dropped and counted, lines of requests that went well first.
+"""A log handler that never blocks on its output.
+
+A reader of standard output that stalls, or a paused terminal, blocks the
+process that writes to it. That would stop all requests of an entry and the
+heartbeats of a control process. So the handler puts lines into a bounded
+buffer and writes only as much as the pipe accepts without blocking. Lines
+that don't fit are dropped and counted; lines of successful requests are
+dropped first.
 """
 
 from __future__ import annotations
@@ -16,24 +17,28 @@
 import select
 from typing import Final
 
-# What a pipe that polls as writable takes without blocking (POSIX: at least
-# PIPE_BUF, which is 4,096 here).
+# A pipe that polls as writable accepts this much without blocking (POSIX: at
+# least PIPE_BUF, which is 4,096 on Linux).
 CHUNK_BYTES: Final = 4096
-# Seconds of lines under a burst of failures, and little of 128 MB.
+# Holds the lines of several seconds during a burst of failures, and is a
+# small part of the memory target of 128 MB.
 MAX_BUFFER_BYTES: Final = 512 * 1024
-# Above this only lines that tell of trouble are kept.
+# Above this many buffered bytes, expendable lines are dropped.
 EXPENDABLE_BYTES: Final = MAX_BUFFER_BYTES // 4
-# It is set only where lines wait, and an empty flush costs under 1 us; at
-# a kill the last quarter of a second is lost.
+# Delay of a flush in seconds. The timer runs only while lines are buffered,
+# and an empty flush costs under 1 us. A killed process loses the lines of the
+# last quarter of a second.
 FLUSH_S: Final = 0.25
-# A pause lasts no longer than writing this takes, 0.2 ms.
+# Chunks written by one flush. Writing them takes 0.2 ms, which is the longest
+# time that a flush holds up the event loop.
 MAX_CHUNKS: Final = 32
 
 
 class BoundedOutput(logging.Handler):
-    """Writes records to a descriptor as it takes them.
+    """Writes records to a descriptor without blocking.
 
-    A record with a true attribute ``expendable`` is dropped first.
+    ``dropped`` counts the lines that were lost. If the buffer fills up,
+    records with a true attribute ``expendable`` are dropped first.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -48,7 +53,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take a line in, or drop it where the buffer is full."""
+        """Buffer the record's line, or drop it if the buffer is full."""
         expendable = getattr(record, "expendable", False)
         bound = EXPENDABLE_BYTES if expendable else MAX_BUFFER_BYTES
         if self._bytes > bound:
@@ -58,14 +63,17 @@
         try:
             self._append(self.format(record))
         except Exception:
-            # A value that cannot be formatted must not end a request;
-            # logging tells it on standard error.
+            # A value that cannot be formatted must not fail the request.
+            # `handleError` prints the error to standard error.
             self.handleError(record)
             return
         self._schedule_flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor accepts without blocking.
+
+        Once the buffer has room again, log how many lines were dropped.
+        """
         for _ in range(MAX_CHUNKS):
             if not self._lines or not self._poll.poll(0):
                 break
@@ -84,7 +92,7 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # Before and after the loop there is nothing to hold up.
+            # Without a running event loop the write delays no other task.
             self.flush()
             return
         self._timer = loop.call_later(FLUSH_S, self._flush_on_timer)
@@ -102,7 +110,7 @@
         try:
             written = os.write(self._descriptor, chunk[:CHUNK_BYTES])
         except OSError:
-            # Nobody reads any more; there is nowhere left to say so.
+            # The reader has closed the pipe, so the error cannot be logged.
             self.dropped += 1 + len(self._lines)
             self._lines.clear()
             self._bytes = 0
--- a/packages/sycamorestand/src/sycamorestand/control_process.py
+++ b/packages/sycamorestand/src/sycamorestand/control_process.py
@@ -1,4 +1,4 @@
-"""Runs a control process from its settings."""
+"""Run a control process with the settings read at start."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def run_control(values: dict[str, Any], stop: anyio.Event) -> None:
-    """Serve until ``stop`` is set and leadership has been handed over."""
+    """Run until ``stop`` is set and leadership has been transferred."""
     settings = {key: value for key, value in values.items()}
     del settings["log_level"]
     settings["cluster_keys"] = settings.pop("cluster_key_file")
--- a/packages/sycamorestand/src/sycamorestand/entry_process.py
+++ b/packages/sycamorestand/src/sycamorestand/entry_process.py
@@ -1,4 +1,4 @@
-"""Joins an entry's data path and its link to control."""
+"""Run an entry: its data path and its link to the control processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def run_entry(values: dict[str, Any], stop: anyio.Event) -> None:
-    """Serve callers until ``stop`` is set and the planned stop has ended."""
+    """Serve callers until ``stop`` is set and the planned stop is complete."""
     address = EntryAddress(
         values["vm"], values["data_centre"], values["host"], values["port"]
     )
@@ -51,7 +51,7 @@
 
 
 def make_entry_settings(values: dict[str, Any]) -> EntrySettings:
-    """Return what the data path is told, from the settings' values."""
+    """Return the settings of the data path from the values read at start."""
     return EntrySettings(
         vm=values["vm"],
         data_centre=values["data_centre"],
--- a/packages/sycamorestand/src/sycamorestand/logs.py
+++ b/packages/sycamorestand/src/sycamorestand/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard output."""
+"""Write structured logs to standard output, one JSON object a line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def configure_logging(vm: str, role: str, level: str) -> BoundedOutput:
-    """Send every record, with this process's name in it, to stdout."""
+    """Send all log records to standard output and return the handler.
+
+    Each line names the VM and the role of this process.
+    """
     handler = BoundedOutput(sys.stdout.fileno())
     handler.setFormatter(
         JsonFormatter(
@@ -35,7 +38,10 @@
 
 
 def _standard_attributes() -> list[str]:
-    """Return the attributes of every record, which are no fields."""
+    """Return the attributes that each log record has by itself.
+
+    The formatter doesn't write them as extra fields.
+    """
     return list(logging.makeLogRecord({}).__dict__)
 
 
--- a/packages/sycamorestand/src/sycamorestand/process_settings.py
+++ b/packages/sycamorestand/src/sycamorestand/process_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the two kinds of process, one list for each."""
+"""Settings of entry processes and of control processes."""
 
 from __future__ import annotations
 
@@ -26,24 +26,29 @@
 COMMON_SETTINGS: Final = (
     Setting("vm", text, None, "name of this VM"),
     Setting("data_centre", text, None, "data centre of this VM"),
-    Setting("peer_address", address, None, "IP:port peers reach us at"),
+    Setting(
+        "peer_address",
+        address,
+        None,
+        "IP:port at which peers reach this process",
+    ),
     Setting(
         "peer_listen",
         optional_address,
         "",
-        "IP:port to listen on for peers, where it differs",
+        "IP:port to listen on for peers, if other than peer_address",
     ),
     Setting(
         "cluster_key_file",
         key_file,
         None,
-        "file of cluster keys; the first line signs, all are accepted",
+        "file of cluster keys, one a line; the first signs, all are accepted",
     ),
     Setting(
         "tls_ca_file",
         optional_file,
         "",
-        "PEM certificates of the authorities that peers' are checked with",
+        "PEM certificates of the authorities that sign peers' certificates",
         TLS,
     ),
     Setting(
@@ -56,7 +61,7 @@
     Setting(
         "tls_key_file", optional_file, "", "PEM key of that certificate", TLS
     ),
-    Setting("log_level", text, "INFO", "least level that is logged"),
+    Setting("log_level", text, "INFO", "lowest level that is logged"),
 )
 
 ENTRY_SETTINGS: Final = (
@@ -65,21 +70,23 @@
         "control_addresses",
         required_addresses,
         None,
-        "peer addresses of control processes, the nearest first",
+        "peer addresses of control processes, the nearest one first",
     ),
     Setting("host", text, "127.0.0.1", "IP that callers connect to"),
-    Setting("port", integer(0, 65_535), "8080", "port for callers"),
+    Setting(
+        "port", integer(0, 65_535), "8080", "port that callers connect to"
+    ),
     Setting(
         "backend_key_file",
         optional_key_file,
         "",
-        "file of keys that backend servers announce themselves with",
+        "file of keys that authenticate backend servers' announcements",
     ),
     Setting(
         "address_ttl_s",
         number(0, 3_600),
         "30",
-        "how long callers may keep an address answer",
+        "seconds for which callers may cache an answer with addresses",
     ),
     Setting("rating_url", optional_text, "", "URL of the rating service"),
 )
@@ -92,50 +99,59 @@
         "",
         "peer addresses of the other control processes",
     ),
-    Setting("data_folder", folder, None, "folder for all durable state"),
-    Setting("operator_host", text, "127.0.0.1", "IP for operators"),
-    Setting("operator_port", integer(0, 65_535), "7300", "port for operators"),
+    Setting(
+        "data_folder", folder, None, "folder that holds all durable state"
+    ),
+    Setting(
+        "operator_host", text, "127.0.0.1", "IP to listen on for operators"
+    ),
+    Setting(
+        "operator_port",
+        integer(0, 65_535),
+        "7300",
+        "port to listen on for operators",
+    ),
     Setting(
         "first_start",
         yes_or_no,
         "no",
-        "yes on one VM only, once: make a new cluster here",
+        "yes: create a new cluster here; use once, on one VM only",
     ),
     Setting(
         "first_operator_key_hash",
         optional_text,
         "",
-        "hash of the first admin's key, used by the first start",
+        "hash of the first admin's key, used by the first start only",
     ),
     Setting(
         "voters_wanted",
         integer(1, 7),
         "3",
-        "new control processes become voters up to this count",
+        "new control processes become voters until there are this many",
     ),
     Setting(
         "replace_lost_voters",
         yes_or_no,
         "no",
-        "yes: a new control process takes a lost voter's place by itself",
+        "yes: a new control process replaces a lost voter automatically",
     ),
     Setting(
         "ledger_shards",
         integer(1, 64),
         "1",
-        "shards of the ledger, fixed by the first start",
+        "number of ledger shards, fixed by the first start",
     ),
     Setting(
         "weight_store_loads",
         integer(1, 1_000),
         "2",
-        "loads that the weight store serves at once",
+        "weight loads that the weight store serves at the same time",
     ),
     Setting(
         "weight_store_url",
         optional_text,
         "",
-        "URL of the weight store; empty: loads are not asked for there",
+        "URL of the weight store; empty: no loads are requested from it",
     ),
 )
 
--- a/packages/sycamorestand/src/sycamorestand/run.py
+++ b/packages/sycamorestand/src/sycamorestand/run.py
@@ -1,4 +1,4 @@
-"""The ``sycamorestand`` program: one entry or one control process."""
+"""Run one entry or one control process of ``sycamorestand``."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one process until it is asked to stop; return its status."""
+    """Run one process until SIGTERM or SIGINT; return its exit status."""
     commands = {
         "entry": make_command(
             "entry",
-            "Stand in front of callers and backend servers.",
+            "Run an entry, which routes callers' requests to backend servers.",
             ENTRY_SETTINGS,
             _make_runner("entry", ENTRY_SETTINGS, _run_entry),
         ),
         "control": make_command(
             "control",
-            "Be one voter of the replicated log, and serve entries.",
+            "Run one voter of the replicated log, which also serves entries.",
             CONTROL_SETTINGS,
             _make_runner("control", CONTROL_SETTINGS, _run_control),
         ),
@@ -63,8 +63,8 @@
         except SettingsError as error:
             sys.stderr.write(f"{error}\n")
             return EXIT_SETTINGS
-        # A fault in a library's native code ends the process without a log
-        # line; the stack of each thread on standard error says where.
+        # A crash in a library's native code ends the process before it can
+        # log. The fault handler writes each thread's stack to standard error.
         faulthandler.enable()
         configure_logging(values["vm"], role, values["log_level"])
         return _run_loop(serve, values)
@@ -73,8 +73,9 @@
 
 
 def _run_loop(serve: RunRole, values: dict[str, Any]) -> int:
-    # The loop of the standard library: uvloop 0.23 sets up io_uring at its
-    # first loop, also with UV_USE_IO_URING=0, and the product must not.
+    # Runs on asyncio's own event loop. uvloop 0.23 sets up io_uring with its
+    # first loop even if UV_USE_IO_URING=0, and sycamorestand must not use
+    # io_uring.
     try:
         anyio.run(_serve_until_signal, serve, values)
     except ExceptionGroup as group:
@@ -97,8 +98,9 @@
 
 async def _serve_until_signal(serve: RunRole, values: dict[str, Any]) -> None:
     stop = anyio.Event()
-    # Before anything else has a turn: a signal that comes while the role
-    # loads would end the loop from within, as a failure.
+    # The receiver is opened before the role is imported. Otherwise a signal
+    # during the import would raise inside the event loop and the process
+    # would exit with a failure.
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_set_on_signal, received, stop)
@@ -113,8 +115,8 @@
         stop.set()
 
 
-# Each role imports its own half: the other one would add 0.3 to 0.4 s to
-# every restart, and there are 140 of them on an ordinary day.
+# Each role imports only its own modules. Importing those of the other role
+# would add 0.3 to 0.4 s to every restart, and an ordinary day has 140.
 async def _run_entry(values: dict[str, Any], stop: anyio.Event) -> None:
     from sycamorestand.entry_process import run_entry
 
--- a/packages/sycamorestand/src/sycamorestand/settings.py
+++ b/packages/sycamorestand/src/sycamorestand/settings.py
@@ -1,4 +1,4 @@
-"""Settings from flags and environment variables, checked all at once."""
+"""Read settings from flags and environment variables, and check them."""
 
 from __future__ import annotations
 
@@ -24,15 +24,16 @@
 
 
 class SettingsError(SycamorestandError):
-    """Settings cannot be used; the message lists every finding."""
+    """Settings are missing or invalid; the message lists every finding."""
 
 
 class Joint(NamedTuple):
-    """Settings that are given all or none, and then checked together.
+    """A group of settings that must be given all together or not at all.
 
-    ``join`` makes one value of theirs, in the order in which they are
-    listed, or raises ``ValueError``. It stands under ``name`` in place of
-    theirs; without them it is None.
+    ``join`` combines the values of its settings, passed in the order in
+    which the settings are listed, into one value, or raises ``ValueError``.
+    That value is stored under ``name`` in place of the separate ones. It is
+    None if no setting of the group is given.
     """
 
     name: str
@@ -40,11 +41,11 @@
 
 
 class Setting(NamedTuple):
-    """One setting: its flag, its environment variable and its reader.
+    """A setting with its flag, environment variable and parser.
 
-    ``read`` turns the text into a value or raises ``ValueError`` with a
-    message for the operator. A ``default`` of None makes it required.
-    Those of the same ``joint`` belong together.
+    ``read`` parses the text or raises ``ValueError`` with a message for the
+    operator. A setting whose ``default`` is None is required. Settings with
+    the same ``joint`` form one group.
     """
 
     name: str
@@ -69,10 +70,11 @@
     flags: Mapping[str, str],
     environment: Mapping[str, str],
 ) -> dict[str, Any]:
-    """Return every setting's value; a flag goes before the environment.
+    """Return the value of each setting, by the setting's name.
 
-    Raises `SettingsError` with all findings together, each with the
-    place that the bad value came from.
+    A flag takes precedence over the environment variable. Raises
+    `SettingsError` with all findings, each with the flag or variable that
+    holds the invalid value.
     """
     values: dict[str, Any] = {}
     findings: list[str] = []
@@ -104,8 +106,8 @@
 ) -> Callable[..., int]:
     """Return a function whose signature `defopt` turns into flags.
 
-    Every flag is text with an empty default; an empty flag counts as not
-    given, so that the environment decides.
+    Each flag is a string that defaults to the empty string. An empty flag
+    counts as not given, so that the environment variable applies.
     """
 
     def command(**flags: str) -> int:
@@ -129,19 +131,19 @@
 
 
 def text(value: str) -> str:
-    """Read a name: one line, not empty, of a bounded length."""
+    """Return the text if it is one line of 1 to 200 characters."""
     if not value or len(value) > 200 or "\n" in value:
         raise ValueError("must be one line of 1 to 200 characters")
     return value
 
 
 def optional_text(value: str) -> str:
-    """Read a text that may be empty."""
+    """Return the text if it is empty or passes `text`."""
     return value and text(value)
 
 
 def number(low: float, high: float) -> Callable[[str], float]:
-    """Return a reader of numbers within bounds."""
+    """Return a parser of numbers from ``low`` to ``high``."""
 
     def read(value: str) -> float:
         result = float(value)
@@ -153,7 +155,7 @@
 
 
 def integer(low: int, high: int) -> Callable[[str], int]:
-    """Return a reader of whole numbers within bounds."""
+    """Return a parser of integers from ``low`` to ``high``."""
 
     def read(value: str) -> int:
         result = int(value)
@@ -165,50 +167,56 @@
 
 
 def yes_or_no(value: str) -> bool:
-    """Read yes or no."""
+    """Return True for ``yes`` and False for ``no``."""
     if value not in ("yes", "no"):
-        raise ValueError(f"{value!r} is neither yes nor no")
+        raise ValueError(f"{value!r} must be yes or no")
     return value == "yes"
 
 
 def address(value: str) -> str:
-    """Read ``IP:port``; names are refused, processes talk by number."""
+    """Return an ``IP:port``; host names are refused.
+
+    Processes connect to each other by IP without resolving names.
+    """
     host, separator, port = value.rpartition(":")
     if not separator:
-        raise ValueError(f"{value!r} is not IP:port")
+        raise ValueError(f"{value!r} is not an IP:port")
     ipaddress.ip_address(host.strip("[]"))
     integer(0, 65_535)(port)
     return value
 
 
 def optional_address(value: str) -> str:
-    """Read ``IP:port`` or nothing."""
+    """Return an ``IP:port``, or the empty string if none is given."""
     return value and address(value)
 
 
 def addresses(value: str) -> tuple[str, ...]:
-    """Read a list of ``IP:port`` with commas; it may be empty."""
+    """Return a comma-separated list of ``IP:port``, which may be empty."""
     return tuple(address(part.strip()) for part in value.split(",") if part)
 
 
 def required_addresses(value: str) -> tuple[str, ...]:
-    """Read a list of ``IP:port`` with one at least."""
+    """Return a comma-separated list of at least one ``IP:port``."""
     parsed = addresses(value)
     if not parsed:
-        raise ValueError("names no address")
+        raise ValueError("must list at least one address")
     return parsed
 
 
 def folder(value: str) -> Path:
-    """Read the path of a folder that exists."""
+    """Return the path of an existing folder."""
     path = Path(value)
     if not path.is_dir():
-        raise ValueError(f"{value} is not a folder")
+        raise ValueError(f"{value} is not an existing folder")
     return path
 
 
 def optional_file(value: str) -> Path | None:
-    """Read the path of a file that can be opened, or nothing."""
+    """Return the path of a readable file, or None if none is given.
+
+    Raises ``OSError`` if the file cannot be opened.
+    """
     if not value:
         return None
     path = Path(value)
@@ -217,12 +225,15 @@
 
 
 def key_file(value: str) -> KeyFile:
-    """Read keys, one a line; a changed file is read again while we run."""
+    """Return the keys of a file with one key a line.
+
+    A changed file is read again while the process runs.
+    """
     return KeyFile(Path(value))
 
 
 def optional_key_file(value: str) -> KeySource:
-    """Read a file of keys, or nothing."""
+    """Return the keys of a file, or no keys if no file is given."""
     return key_file(value) if value else no_keys
 
 
@@ -241,9 +252,10 @@
 def _join_values(
     joint: Joint, members: tuple[Setting, ...], values: dict[str, Any]
 ) -> list[str]:
-    """Put the joint value in place of its members'; return findings."""
+    """Replace the values of a group by their joint value; return findings."""
     flags = ", ".join(member.flag for member in members)
-    # Who is not among the values was given, and found bad, before.
+    # A member that has no value was given, but `read_settings` has already
+    # reported its text as invalid.
     has_invalid = any(member.name not in values for member in members)
     member_values = [values.pop(member.name, joint) for member in members]
     missing = [
@@ -253,8 +265,8 @@
     if len(missing) == len(members):
         return []
     findings = [
-        f"{member.flag} or {member.variable} is required too:"
-        f" give all or none of {flags}"
+        f"{member.flag} or {member.variable} is required as well:"
+        f" give either all of {flags}, or none"
         for member in missing
     ]
     if findings or has_invalid:
--- a/packages/sycamorestand/src/sycamorestand/start.py
+++ b/packages/sycamorestand/src/sycamorestand/start.py
@@ -1,8 +1,9 @@
-"""The ``sycamorestand`` program from its first instruction on.
+"""Entry point of ``sycamorestand``, which handles SIGTERM while loading.
 
-Loading takes from a third of a second to seconds on a busy machine. A planned
-stop that came meanwhile ended the process by the signal, as if it had failed;
-so the signal is handled before anything else is loaded.
+Importing the program takes a third of a second, and seconds on a busy
+machine. Python's default action for a SIGTERM in that time ends the process
+by the signal, which a supervisor takes for a crash. So the handler is
+installed before the other modules are imported.
 """
 
 from __future__ import annotations
@@ -13,7 +14,10 @@
 
 
 def main() -> int:
-    """Run one process; a stop before it serves anybody ends it at once."""
+    """Run one process and return its exit status.
+
+    A SIGTERM that arrives before the role starts exits with status 0.
+    """
     signal.signal(signal.SIGTERM, _exit_on_sigterm)
     from sycamorestand.run import main as run
 
@@ -21,8 +25,8 @@
 
 
 def _exit_on_sigterm(signal_number: int, frame: FrameType | None) -> None:
-    # Nobody is served yet, so there is nothing to finish. Once there is, the
-    # process handles the signal by itself.
+    # The process serves no requests yet, so none have to be finished.
+    # `sycamorestand.run` replaces this handler before the role starts.
     sys.exit(0)
 
 
--- a/packages/sycamorestand/tests/test_logs.py
+++ b/packages/sycamorestand/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines leave the process without ever holding it up."""
+"""Writing log lines never blocks the process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def log_until_full(output: BoundedOutput, expendable: bool = False) -> int:
-    """Log more than the buffer and the pipe hold; return the lines."""
+    """Log more than the buffer and the pipe hold; return the line count."""
     count = 2 * MAX_BUFFER_BYTES // len(LINE)
     for _ in range(count):
         output.emit(make_record(LINE, expendable))
@@ -41,9 +41,9 @@
 
 class TestStalledReader:
     def test_emit_does_not_block(self, pipe: tuple[int, int]) -> None:
-        # Somebody has paused the terminal, or the collector of logs hangs:
-        # nobody reads. With a plain stream the process stops in the write
-        # as soon as the pipe is full, with all of its requests.
+        # A paused terminal or a log collector that hangs doesn't read. A
+        # blocking write would then stop the process, with all of its
+        # requests, as soon as the pipe is full.
         _, writing = pipe
         output = BoundedOutput(writing)
         count = log_until_full(output)
@@ -78,7 +78,7 @@
         reading, writing = os.pipe()
         os.close(reading)
         output = BoundedOutput(writing)
-        output.emit(make_record("nobody hears this"))
+        output.emit(make_record("no reader is left"))
         os.close(writing)
         assert output.dropped == 1
 
--- a/packages/sycamorestand/tests/test_run.py
+++ b/packages/sycamorestand/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The two kinds of process, as the program starts them."""
+"""Entry and control processes as the program starts them."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     def test_no_process_uses_io_uring_or_starts_a_child(
         self, cluster: Cluster
     ) -> None:
-        """A loop that sets up io_uring holds a descriptor for it.
+        """An event loop that sets up io_uring keeps a descriptor of it open.
 
-        uvloop does so whatever its environment says; the descriptors of
-        both processes are the proof that neither runs on it.
+        uvloop sets up io_uring whatever its environment variable says. So
+        the test reads the open descriptors of both processes.
         """
         for name in ("control-1", "entry-1"):
             pid = cluster.pid(name)
@@ -60,10 +60,10 @@
     def test_segmentation_fault_leaves_a_stack_trace(
         self, cluster: Cluster
     ) -> None:
-        """An entry ends with a segmentation fault, as it once did.
+        """An entry ends with a segmentation fault.
 
-        Nothing in its log said where: the process is gone before a line
-        is written. Now the stack of each of its threads stands there.
+        The process ends before it can write a log line. The fault handler
+        must have written the stack of each thread, which shows the place.
         """
         cluster.send_signal("entry-1", SIGSEGV)
         while cluster.exit_status("entry-1") is None:
@@ -73,7 +73,7 @@
         assert "run.py" in log
 
     def test_killed_processes_restart(self, cluster: Cluster) -> None:
-        """Both processes are killed; the control process has a folder."""
+        """Both processes are killed; the data folder outlives the restart."""
         cluster.kill("entry-1")
         cluster.kill("control-1")
         cluster.start_control("control-1", "dalton", voters_wanted=1)
@@ -92,9 +92,9 @@
     def test_entry_without_a_control_address_is_refused(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """Without any address it would have nobody to ask for a lease."""
+        """Without a control address the entry could not request a lease."""
         assert main(["entry", "--vm", "e", "--control-addresses", ","]) == 2
-        assert "--control-addresses: names no" in capsys.readouterr().err
+        assert "--control-addresses: must list" in capsys.readouterr().err
 
     def test_missing_settings_name_their_variables(
         self, capsys: pytest.CaptureFixture[str]
--- a/packages/sycamorestand/tests/test_settings.py
+++ b/packages/sycamorestand/tests/test_settings.py
@@ -38,10 +38,10 @@
         assert values["cluster_key_file"]() == (b"a" * 32,)
 
     def test_all_findings_are_reported_at_once(self) -> None:
-        """An operator starts a control process with four mistakes.
+        """An operator starts a control process with four invalid settings.
 
-        One run names all of them with the flag or variable to mend, so
-        that nobody has to start the process once for each.
+        One start reports all of them, each with its flag or variable, so
+        that the operator need not restart the process for each one.
         """
         with pytest.raises(SettingsError) as caught:
             read_settings(
@@ -100,9 +100,9 @@
     def test_partial_tls_settings_report_every_finding(
         self, tmp_path: Path
     ) -> None:
-        """An operator sets the certificate, forgets one file, loses one.
+        """Of the three TLS files, one is not set and one does not exist.
 
-        Both findings come in one start, each with its flag, beside those
+        One start reports both, each with its flag, along with the findings
         of other settings.
         """
         (tmp_path / "cert").write_text("x")
--- a/packages/sycamorestand/tests/test_start.py
+++ b/packages/sycamorestand/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A process that is stopped while it loads."""
+"""A planned stop while the process imports its modules."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sycamorestand.run import _run_loop
 from sycamorestand.start import _exit_on_sigterm
 
-# In place of a library that the program loads first: it takes its time.
+# Replaces the first library that the program imports; its import hangs.
 SLOW_LIBRARY: Final = """
 import time
 print("loading", flush=True)
@@ -27,11 +27,11 @@
     def test_sigterm_while_libraries_load_exits_with_0(
         self, tmp_path: Path
     ) -> None:
-        """A VM is restarted, and stopped again while its process loads.
+        """A process gets SIGTERM while it imports its libraries.
 
-        On a busy machine loading takes seconds; an entry that was stopped
-        2.7 s after its start, and had not logged a line, ended with -15. A
-        supervisor takes that for a crash.
+        On a busy machine the imports take seconds. An entry that got
+        SIGTERM 2.7 s after its start, before its first log line, exited
+        with -15, which a supervisor takes for a crash.
         """
         (tmp_path / "anyio.py").write_text(SLOW_LIBRARY)
         process = subprocess.Popen(
@@ -47,13 +47,13 @@
         process.stdout.close()
 
     def test_sigterm_while_the_role_loads_exits_with_0(self) -> None:
-        """A control process was stopped then, and ended with 1."""
+        """A control process that got SIGTERM then exited with 1."""
         stopped = []
 
         async def load_and_serve(
             values: dict[str, Any], stop: anyio.Event
         ) -> None:
-            # In the middle of an import, which gives nobody else a turn.
+            # Stands for an import, during which no other task runs.
             os.kill(os.getpid(), signal.SIGTERM)
             await stop.wait()
             stopped.append(True)
