--- a/packages/sycamorestand/tests/system/test_arrival_shares.py
+++ b/packages/sycamorestand/tests/system/test_arrival_shares.py
@@ -1,4 +1,4 @@
-"""What an entry may add at servers as one of many entries."""
+"""The arrivals at servers that one of many entries may add by retries."""
 
 from __future__ import annotations
 
@@ -21,32 +21,33 @@
 
 class TestManyEntries:
     @pytest.mark.parametrize("entries", [8, 88, 330])
-    async def test_an_entrys_share_is_that_of_one_among_them_all(
+    async def test_allowance_is_divided_by_the_number_of_all_entries(
         self, entries: int
     ) -> None:
-        """Most servers are lost, and those that are left are full.
+        """Most servers are lost, and the remaining ones are full.
 
-        Each request knocks at three servers before its caller is refused.
-        The entry takes its part of what the servers' owner allows beyond
-        first arrivals. It divided by the addresses that callers are told,
-        eight at most ("entries counted entries=8" at all 88), so
-        that together they took eleven times the allowance: 3,444 arrivals
-        beyond the first in ten seconds, 3,265 allowed.
+        Each request arrives at three servers before its caller is refused.
+        The servers' owner allows a number of arrivals beyond the first ones,
+        of which each entry may add its part. If an entry divides the
+        allowance by the number of addresses that callers get, at most eight
+        ("entries counted entries=8" at all 88), the entries together use
+        eleven times the allowance: 3,444 further arrivals in ten seconds,
+        where 3,265 were allowed.
         """
         settings = SETTINGS._replace(allowance=ALLOWANCE)
         async with start_routed(settings) as loopback:
-            tell_as_one_of(loopback, entries)
+            set_entry_count(loopback, entries)
             for number in range(3):
                 await loopback.add_server(f"s-{number}", _full)
             for _ in range(REQUESTS):
                 answer = await loopback.ask("/review/1", x_model="*")
                 assert answer.startswith(b"HTTP/1.1 503")
             further = len(loopback.requests) - REQUESTS
-        part = ALLOWANCE.slack / entries
-        assert further <= ALLOWANCE.ratio * REQUESTS + part
+        allowed_slack = ALLOWANCE.slack / entries
+        assert further <= ALLOWANCE.ratio * REQUESTS + allowed_slack
 
-    async def test_one_that_has_not_been_told_takes_no_part(self) -> None:
-        """An entry has just started, and does not know how many there are."""
+    async def test_entry_without_an_entry_count_adds_no_arrivals(self) -> None:
+        """A new entry doesn't know yet how many entries there are."""
         settings = SETTINGS._replace(allowance=ALLOWANCE)
         async with start_routed(settings) as loopback:
             for number in range(3):
@@ -57,8 +58,8 @@
         assert further <= ALLOWANCE.ratio * REQUESTS
 
 
-def tell_as_one_of(loopback: RoutedLoopback, entries: int) -> None:
-    """Let control tell the entry what it tells one of so many."""
+def set_entry_count(loopback: RoutedLoopback, entries: int) -> None:
+    """Give the entry the entry count that control sends to ``entries``."""
     control = TellingControl(routed_configuration())
     for number in reversed(range(entries)):
         control.attach(number)
--- a/packages/sycamorestand/tests/system/test_blank_disk.py
+++ b/packages/sycamorestand/tests/system/test_blank_disk.py
@@ -1,4 +1,4 @@
-"""A voter that starts on an empty folder, and gets its disk back."""
+"""A voter that starts on an empty folder, then with its old disk."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 
 class TestBlankDisk:
-    def test_operator_may_ask_it_first(self, system: System) -> None:
-        """A voter's disk is lost, and operators' settings still name it.
+    def test_sycactl_passes_over_a_voter_with_an_empty_folder(
+        self, system: System
+    ) -> None:
+        """A voter has lost its disk, and operators' settings still list it.
 
-        It holds no operators' keys yet, so it cannot judge a key. It says
-        that it is behind, and sycactl asks the next control process.
+        It holds no operators' keys yet, so it cannot check a key. It answers
+        that it is behind, and sycactl must ask the next control process.
         """
         wiped = next(n for n in CONTROLS if n != system.leader())
         ports = sorted(system.ports, key=lambda p: p != system.port(wiped))
@@ -28,14 +30,14 @@
             done = sycactl(system.folder, ports, "status")
         assert done.status == 0, done
 
-    def test_lost_identity_is_not_shown_as_waiting(
+    def test_abandoned_id_is_no_longer_shown_as_joiner(
         self, system: System
     ) -> None:
         """A voter starts with an empty folder, then with its old disk.
 
-        The id of the empty folder is gone for good. An operator who puts
-        it in somebody's place would wait for ever, so the status must not
-        go on naming it only since its address answers.
+        The id created for the empty folder never comes back. Replacing a
+        voter by it would wait forever. So the status must stop listing it,
+        although the address of that process still answers.
         """
         leader = system.leader()
         swapped = next(name for name in CONTROLS if name != leader)
@@ -46,7 +48,7 @@
 
 @contextmanager
 def _blank_disk(system: System, control: str) -> Iterator[None]:
-    """Run a control process on an empty folder, then on its own again."""
+    """Run a control process on an empty folder, then on its old one."""
     folder = system.cluster.controls[control].data_folder
     kept = folder.with_suffix(".kept")
     system.cluster.kill(control)
--- a/packages/sycamorestand/tests/system/test_changes.py
+++ b/packages/sycamorestand/tests/system/test_changes.py
@@ -1,4 +1,4 @@
-"""An accepted configuration never reverts, and operators may race."""
+"""Accepted changes are never lost, and concurrent changes conflict."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 class TestLostLeader:
     def test_no_accepted_change_is_lost(self, system: System) -> None:
-        """An operator is told of each change that it is accepted.
+        """The leader is killed in the middle of a stream of changes.
 
-        The leader is killed in the middle of a stream of changes. Each one
-        that was accepted before or after keeps its revision, stands in the
-        audit trail once, and its resend to any voter answers the same.
+        Each change that was accepted before or after that must keep its
+        revision and be in the audit trail once. Sending it again to any
+        voter returns the first outcome.
         """
         base = system.status(CONTROLS[0])["revision"]
         stream = ChangeStream("lost", system.ports, base)
-        with Watch(system) as watch:
+        with EntryMonitor(system) as monitor:
             leader = system.leader()
             sending = system.pool.submit(stream.send, CHANGES)
             wait_for(lambda: len(stream.accepted) >= CHANGES_BEFORE, "changes")
@@ -59,20 +59,20 @@
                 assert ids.count(accepted.change.change_id) == 1
 
         for name in ENTRIES:
-            seen = watch.revisions[name]
+            seen = monitor.revisions[name]
             assert seen == sorted(seen), (name, seen)
-            refused = [r for r in watch.replies[name] if r.run != ANSWERED]
-            assert watch.replies[name]
-            assert not refused, (name, refused, len(watch.replies[name]))
+            refused = [r for r in monitor.replies[name] if r.run != ANSWERED]
+            assert monitor.replies[name]
+            assert not refused, (name, refused, len(monitor.replies[name]))
 
-    def test_resend_without_a_base_answers_the_same(
+    def test_resend_without_a_base_returns_the_first_outcome(
         self, system: System
     ) -> None:
-        """A resend through another voter must be the same change.
+        """A change sent again through another voter is the same change.
 
-        The first answer of a reinstatement is lost and somebody changes
-        something else. The resend has the same id and the same content,
-        so it answers the first revision, as a duplicate.
+        The answer to a reinstatement is lost, and then another change is
+        accepted. The client sends the reinstatement again with the same id
+        and content, and must get its first revision, as a duplicate.
         """
         first, second, _ = system.ports
         assert change(first, "base-1", "withdraw", SUBJECT).status == 200
@@ -85,12 +85,14 @@
 
 
 class TestOperators:
-    def test_one_of_two_with_one_base_wins(self, system: System) -> None:
-        """Two operators work from one revision and apply at once.
+    def test_one_of_two_applies_on_the_same_base_is_accepted(
+        self, system: System
+    ) -> None:
+        """Two operators apply at once, both based on the same revision.
 
-        They use two control processes. One apply is accepted; the other
-        operator is told that it conflicts, with whom and over what, and
-        nothing of it is in force.
+        They use two control processes. One apply is accepted. The other one
+        is answered with a conflict that names the first operator and the
+        change, and nothing of it takes effect.
         """
         base = system.status(system.leader())["revision"]
         prices = {"guild-admin": 111_111, "guild-ops": 222_222}
@@ -129,8 +131,8 @@
             assert price == prices[winners[0]]
 
 
-class Watch:
-    """Calls at every entry, and the revisions that each entry tells."""
+class EntryMonitor:
+    """Calls every entry repeatedly and records its replies and revisions."""
 
     def __init__(self, system: System) -> None:
         self.replies: dict[str, list[Reply]] = {n: [] for n in ENTRIES}
@@ -138,9 +140,9 @@
         self._system = system
         self._stop = Event()
 
-    def __enter__(self) -> Watch:
+    def __enter__(self) -> EntryMonitor:
         submit = self._system.pool.submit
-        self._calls = [submit(self._watch, name) for name in ENTRIES]
+        self._calls = [submit(self._poll, name) for name in ENTRIES]
         return self
 
     def __exit__(self, *error: object) -> None:
@@ -148,7 +150,7 @@
         for call in self._calls:
             call.result()
 
-    def _watch(self, name: str) -> None:
+    def _poll(self, name: str) -> None:
         address = self._system.entry(name)
         while not self._stop.is_set():
             key = f"watch-{name}-{len(self.replies[name])}"
--- a/packages/sycamorestand/tests/system/test_leases.py
+++ b/packages/sycamorestand/tests/system/test_leases.py
@@ -1,4 +1,4 @@
-"""An entry that control cannot reach acts on nothing old."""
+"""An entry without a lease accepts no work under an old revision."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from sycamorestand_bench.system.system import VICTIM
 from sycamorestand_bench.system.system import wait_for
 
-CUT_OFF = "entry-3"
+PARTITIONED = "entry-3"
 WITHDRAWN = "nest-small@3"
 QUEUED = 10
 LONG_TOKENS = 1_600
@@ -31,13 +31,13 @@
 
 
 class TestSuspendedEntry:
-    def test_withdrawn_version_gets_nothing(self, system: System) -> None:
-        """A caller's request waits at an entry that is suspended.
+    def test_withdrawn_version_gets_no_requests(self, system: System) -> None:
+        """A version is withdrawn while an entry is suspended.
 
-        The version is withdrawn meanwhile. That is in force only once the
-        entry's lease has run out, so when the entry goes on, with requests
-        in its socket queue, the old revision and no way to control, it
-        runs none of them. It catches up as soon as there is a way.
+        The withdrawal is in force only once the entry's lease has expired.
+        When the entry resumes, with requests in its socket queue, the old
+        revision and no connection to control, it must run none of them. It
+        catches up as soon as it can reach control again.
         """
         system.declare_fallback()
         address = system.entry(VICTIM)
@@ -46,18 +46,23 @@
             pinned = chat(address, f"pin-{session}", session=session)
             assert pinned.version == WITHDRAWN, pinned
 
-        # Otherwise it could refuse since it knows of no server any more.
+        # A server that stays known to the entry. Without one, the entry could
+        # refuse the requests for lack of a server.
         system.start_steady_engine(VICTIM, (WITHDRAWN,))
         system.cluster.send_signal(VICTIM, SIGSTOP)
-        with _cut_off(system, VICTIM):
+        with _partition(system, VICTIM):
             queued = [begin_chat(address, f"queue-{n}") for n in range(QUEUED)]
             queued += [
                 begin_chat(address, f"queue-{session}", session=session)
                 for session in sessions
             ]
-            told = change(system.ports[0], "suspended", "withdraw", WITHDRAWN)
-            assert told.status == 200, told
-            first = _in_force(system, told.body["revision"])
+            withdrawal = change(
+                system.ports[0], "suspended", "withdraw", WITHDRAWN
+            )
+            assert withdrawal.status == 200, withdrawal
+            in_force_before_expiry = _in_force(
+                system, withdrawal.body["revision"]
+            )
             system.sycactl(
                 "withdraw",
                 WITHDRAWN,
@@ -71,31 +76,35 @@
             system.cluster.send_signal(VICTIM, SIGCONT)
             replies = [finish(pending) for pending in queued]
 
-        assert not first, "in force while a lease was alive"
+        assert not in_force_before_expiry, "in force while a lease was valid"
         assert system.world.runs_of(WITHDRAWN) == runs
         for reply in replies:
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
-        caught_up = wait_for(lambda: _answered(address), "the entry serves")
+        caught_up = wait_for(
+            lambda: _answered_probe(address), "the entry serves"
+        )
         assert caught_up.version == "nest-small@4"
-        assert readiness(address)["revision"] >= told.body["revision"]
+        assert readiness(address)["revision"] >= withdrawal.body["revision"]
         assert system.world.runs_of(WITHDRAWN) == runs
         system.sycactl("reinstate", WITHDRAWN, "--wait")
 
 
-class TestCutOffEntry:
-    def test_new_work_is_refused_and_old_ends(self, system: System) -> None:
-        """An entry is cut off from every control process for a while.
+class TestPartitionedEntry:
+    def test_new_work_is_refused_and_running_streams_complete(
+        self, system: System
+    ) -> None:
+        """An entry is partitioned from every control process for a while.
 
-        A stream that runs goes on to its whole end. Once the lease is
-        out, new requests are refused and nothing of them runs. After the
-        cut is mended the entry serves again, with no help.
+        A running stream must complete. Once the lease has expired, new
+        requests are refused and not run. After the partition has healed, the
+        entry serves again without an operator's help.
         """
-        address = system.entry(CUT_OFF)
+        address = system.entry(PARTITIONED)
         key = "long-before-the-cut"
         running = system.pool.submit(chat, address, key, tokens=LONG_TOKENS)
-        wait_for(lambda: _runs(system, key), "the stream")
+        wait_for(lambda: _run_count(system, key), "the stream")
         late_keys = [f"new-{number}" for number in range(QUEUED)]
-        with _cut_off(system, CUT_OFF):
+        with _partition(system, PARTITIONED):
             wait_for(lambda: not _has_lease(address), "the lease to run out")
             replies = [chat(address, late_key) for late_key in late_keys]
             assert not running.done()
@@ -103,29 +112,29 @@
 
         for late_key, reply in zip(late_keys, replies, strict=True):
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
-            assert not _runs(system, late_key)
+            assert not _run_count(system, late_key)
         assert is_whole(ended, key, LONG_TOKENS), ended
-        wait_for(lambda: _answered(address), "the entry serves")
+        wait_for(lambda: _answered_probe(address), "the entry serves")
 
 
 class TestSilentConnection:
-    def test_entry_goes_on_serving(self, system: System) -> None:
-        """The connections between an entry and its control go silent.
+    def test_entry_reconnects_and_keeps_serving(self, system: System) -> None:
+        """Open connections between an entry and its control drop all data.
 
-        No error shows, and new connections work. The entry notices that
-        its frames are not echoed, dials anew or moves to another control
-        process, and refuses nobody in between.
+        They show no error, and new connections work. The entry notices that
+        its frames are not echoed, reconnects to the same or another control
+        process, and must refuse no request in the meantime.
         """
-        address = system.entry(CUT_OFF)
-        wait_for(lambda: _answered(address), "the entry serves")
-        control = wait_for(lambda: _attached_to(system), "its control")
-        log_before = system.cluster.log_text(CUT_OFF)
-        assert _swallow(system, control) >= 2
+        address = system.entry(PARTITIONED)
+        wait_for(lambda: _answered_probe(address), "the entry serves")
+        control = wait_for(lambda: _attached_control(system), "its control")
+        log_before = system.cluster.log_text(PARTITIONED)
+        assert _drop_silently(system, control) >= 2
         replies: list[Reply] = []
 
         def has_noticed() -> bool:
             replies.append(chat(address, f"silent-{len(replies)}"))
-            log = system.cluster.log_text(CUT_OFF).removeprefix(log_before)
+            log = system.cluster.log_text(PARTITIONED).removeprefix(log_before)
             return "link silent" in log
 
         wait_for(has_noticed, "the entry to notice")
@@ -142,7 +151,7 @@
     return bool(answer.body["in_force"])
 
 
-def _answered(address: str) -> Reply | None:
+def _answered_probe(address: str) -> Reply | None:
     reply = chat(address, new_key("probe"))
     return reply if reply.run == ANSWERED else None
 
@@ -151,7 +160,7 @@
     return bool(readiness(address)["lease_remaining_s"] > 0)
 
 
-def _runs(system: System, request_key: str) -> int:
+def _run_count(system: System, request_key: str) -> int:
     return sum(
         record.request_key == request_key
         for engine in system.world.engines
@@ -160,7 +169,7 @@
 
 
 @contextmanager
-def _cut_off(system: System, entry: str) -> Iterator[None]:
+def _partition(system: System, entry: str) -> Iterator[None]:
     gates = system.cluster.gates
     sender = system.cluster.entries[entry].peer_address
     system.in_loop(gates[entry].cut)
@@ -173,21 +182,21 @@
             system.in_loop(gates[name].heal)
 
 
-def _attached_to(system: System) -> str:
+def _attached_control(system: System) -> str:
     for row in system.ask(system.leader(), "/nodes")["nodes"]:
-        if row["vm"] == CUT_OFF and row["control"] in CONTROLS:
+        if row["vm"] == PARTITIONED and row["control"] in CONTROLS:
             name: str = row["control"]
             return name
     return ""
 
 
-def _swallow(system: System, control: str) -> int:
+def _drop_silently(system: System, control: str) -> int:
     gates = system.cluster.gates
-    entry_address = system.cluster.entries[CUT_OFF].peer_address
+    entry_address = system.cluster.entries[PARTITIONED].peer_address
     control_address = system.cluster.controls[control].peer_address
     return sum(
         (
-            system.in_loop(gates[CUT_OFF].swallow, control_address),
+            system.in_loop(gates[PARTITIONED].swallow, control_address),
             system.in_loop(gates[control].swallow, entry_address),
         )
     )
--- a/packages/sycamorestand/tests/system/test_once.py
+++ b/packages/sycamorestand/tests/system/test_once.py
@@ -1,4 +1,4 @@
-"""A call that must not be repeated runs once, whoever is lost."""
+"""A call that must not be repeated runs once, whichever process is lost."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 SLOW_S = 2.0
 RETRIES = 5
 ORDERS = 20
-UNDECIDED = ("still_running", "outcome_unknown")
+PENDING_CODES = ("still_running", "outcome_unknown")
 OTHERS = tuple(name for name in ENTRIES if name != VICTIM)
 
 
 class TestLostEntry:
-    def test_order_runs_once(self, system: System) -> None:
+    def test_order_runs_once_despite_a_lost_entry(
+        self, system: System
+    ) -> None:
         """A caller sends one order to two entries at once.
 
-        The entry that has dispatched it is killed before the answer. Every
-        retry, at other entries and while the service still runs it and
-        afterwards, is told that it runs or that its outcome is unknown;
-        none of them runs it again.
+        The entry that has dispatched it is killed before the answer. Each
+        retry at another entry, while the service still runs the order and
+        afterwards, must be answered that the order is running or that its
+        outcome is unknown. No retry runs it again.
         """
         key = "order-of-a-lost-entry"
         with _slow_services(system):
@@ -49,16 +51,19 @@
 
         assert lost.run == "cut"
         for reply in (second, *during, *after, restarted):
-            assert (reply.run, reply.code in UNDECIDED) == ("unknown", True)
+            assert (reply.run, reply.code in PENDING_CODES) == (
+                "unknown",
+                True,
+            )
         assert system.orders(key) == 1
 
-    def test_answer_of_a_run_that_ended_is_recorded(
+    def test_answer_is_recorded_before_it_is_returned(
         self, system: System
     ) -> None:
         """An entry is killed right after it has answered an order.
 
-        The outcome was durable before the answer was released, so a retry
-        at another entry gets the same answer and causes no second run.
+        The outcome is durable before the answer is sent. So a retry at
+        another entry must get the same answer and cause no second run.
         """
         key = "order-that-was-answered"
         first = order(system.entry(VICTIM), key)
@@ -72,11 +77,11 @@
 
 
 class TestTwoEntries:
-    def test_same_order_at_once(self, system: System) -> None:
-        """A caller's order arrives at every entry at the same moment.
+    def test_order_at_several_entries_runs_once(self, system: System) -> None:
+        """An order arrives at every entry at the same time.
 
-        One entry gets the claim and runs it. The others say that it runs;
-        once it has ended each of them gives the recorded answer.
+        One entry gets the claim and runs the order. The others answer that
+        it is running. Once it has ended, each returns the recorded answer.
         """
         for number in range(ORDERS):
             key = f"at-once-{number}"
@@ -88,20 +93,21 @@
             answers = {r.text for r in replies if r.run == ANSWERED}
             assert len(answers) == 1, replies
             for reply in replies:
-                assert reply.run == ANSWERED or reply.code in UNDECIDED
+                assert reply.run == ANSWERED or reply.code in PENDING_CODES
             again = _retry(system, key)
             assert {reply.text for reply in again} == answers, again
             assert system.orders(key) == 1
 
     @pytest.mark.parametrize("control", CONTROLS)
-    def test_control_process_lost_in_between(
+    def test_order_runs_once_despite_a_lost_control_process(
         self, system: System, control: str
     ) -> None:
-        """A control process is lost while orders run; one leads the ledger.
+        """Each control process, one of them the ledger's leader, is lost.
 
-        Each order is at two entries. Its claim is durable, its outcome
-        comes after the loss. Whoever leads the ledger then, the order runs
-        once and a retry gets what was recorded.
+        Each order is sent to two entries. Its claim is durable before the
+        loss, and its outcome follows after it. Whichever control process
+        then leads the ledger, the order must run once, and a retry must get
+        the recorded outcome.
         """
         keys = [f"{control}-lost-{number}" for number in range(ORDERS // 2)]
         with _slow_services(system):
@@ -119,7 +125,7 @@
                 key: [call.result() for call in pair]
                 for key, pair in calls.items()
             }
-        settled = {key: _settled(system, key) for key in keys}
+        settled = {key: _recorded_answer(system, key) for key in keys}
         system.restart_control(control)
         system.cluster.wait_ready(control)
         charges = system.charges()
@@ -150,7 +156,7 @@
     ]
 
 
-def _settled(system: System, key: str) -> Reply:
+def _recorded_answer(system: System, key: str) -> Reply:
     def answered() -> Reply | None:
         reply = order(system.entry(OTHERS[0]), key)
         return reply if reply.run == ANSWERED else None
--- a/packages/sycamorestand/tests/system/test_planned_stop.py
+++ b/packages/sycamorestand/tests/system/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop is a graceful shutdown: it cuts no request."""
+"""A planned stop is a graceful shutdown and aborts no request."""
 
 from __future__ import annotations
 
@@ -15,20 +15,23 @@
 
 
 class TestEntry:
-    def test_streams_under_way_end_whole(self, system: System) -> None:
-        """A caller's stream at a stopping entry ends as if nothing was.
+    def test_running_streams_complete(self, system: System) -> None:
+        """An entry is stopped while streams of two seconds run.
 
-        Streams of two seconds run at an entry when it is told to stop. It
-        leaves the address answers, lets them end, and exits with 0.
+        It removes itself from the address answers, lets the streams
+        complete, and exits with 0.
         """
         address = system.entry(VICTIM)
         keys = [f"stopped-{number}" for number in range(STREAMS)]
-        before = _running(system)
+        before = _running_requests(system)
         calls = [
             system.pool.submit(chat, address, key, tokens=TOKENS)
             for key in keys
         ]
-        wait_for(lambda: _running(system) >= before + STREAMS, "the streams")
+        wait_for(
+            lambda: _running_requests(system) >= before + STREAMS,
+            "the streams",
+        )
         status = system.cluster.stop(VICTIM)
         replies = [call.result() for call in calls]
         system.restart_entry(VICTIM)
@@ -38,12 +41,12 @@
 
 
 class TestControlLeader:
-    def test_changes_are_refused_once_at_most(self, system: System) -> None:
-        """An operator's changes go on while the leader's VM is stopped.
+    def test_each_change_is_refused_at_most_once(self, system: System) -> None:
+        """An operator sends changes while the leader's process is stopped.
 
-        The leader hands over before it ends. A change that comes right
-        then is refused with "no leader" once at most; its resend, with
-        the same id, to another control process is accepted.
+        The leader transfers its leadership before it exits. A change in that
+        moment is refused with "no leader" at most once. Sent again with the
+        same id to another control process, it is accepted.
         """
         leader = system.leader()
         others = [
@@ -64,5 +67,5 @@
         assert max(tries) <= 2, tries
 
 
-def _running(system: System) -> int:
+def _running_requests(system: System) -> int:
     return sum(engine.running for engine in system.world.engines)
--- a/packages/sycamorestand/tests/system/test_rollouts.py
+++ b/packages/sycamorestand/tests/system/test_rollouts.py
@@ -1,4 +1,4 @@
-"""A roll-out that is interrupted goes on at the committed step."""
+"""An interrupted roll-out resumes at the committed step."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 
 
 class TestLostLeader:
-    def test_goes_on_at_the_committed_step(self, system: System) -> None:
-        """The leader of a running roll-out is killed between two steps.
+    def test_new_leader_resumes_at_the_committed_step(
+        self, system: System
+    ) -> None:
+        """The leader is killed between two steps of a running roll-out.
 
-        A new leader finds the step in the log and goes on from there. The
-        audit trail shows every step to the last one, each of them once.
+        The new leader reads the step from the log and resumes there. The
+        audit trail must show every step up to the last, each of them once.
         """
         declared = system.declarations / "rollouts" / "nest-small.toml"
         declared.write_text(ROLLOUT)
@@ -81,7 +83,7 @@
 
 
 def _steps(system: System, control: str) -> list[str]:
-    """Return the steps of the audit trail, as "0 -> 1" and so on."""
+    """Return the steps in the audit trail, for example ``0 -> 1``."""
     lines = [
         line
         for entry in system.audit(control)
--- a/packages/sycamorestand/tests/system/test_voters.py
+++ b/packages/sycamorestand/tests/system/test_voters.py
@@ -1,4 +1,4 @@
-"""Voters that lose their disk, and all of them restarted at once."""
+"""Voters that lose their disk, or that all restart at the same time."""
 
 from __future__ import annotations
 
@@ -29,19 +29,20 @@
 NEW_STABLE = 'stable = "4"'
 OLD_STABLE = 'stable = "3"'
 FIRST_SHARD = 1
-# One hand-over makes any arrangement; an election that a busy machine
-# brings meanwhile asks for another.
+# One leadership transfer is enough to reach any distribution of leaders. An
+# election in between, as on a busy machine, makes another one necessary.
 MAX_HAND_OVERS = 5
 
 
 class TestRestartOfAll:
-    def test_nothing_reverts(self, system: System) -> None:
+    def test_accepted_changes_and_charges_survive(
+        self, system: System
+    ) -> None:
         """All control processes lose power at once after many changes.
 
-        Every change that was accepted stands, in the same order in every
-        audit trail. A session keeps the version that it had, also at an
-        entry that has forgotten it; a charge and an order made before are
-        not made again.
+        Each accepted change must remain, in the same order in every audit
+        trail. A session keeps its version, also at an entry that was
+        restarted. A charge and an order made before are not repeated.
         """
         session = "pinned-before"
         before = chat(system.entry(VICTIM), "charged-before", session=session)
@@ -51,7 +52,7 @@
         stream.send(CHANGES)
         _apply_new_stable(system)
         revision = system.status(system.leader())["revision"]
-        trail = _ids(system, system.leader())
+        trail = _audit_ids(system, system.leader())
 
         for control in CONTROLS:
             system.cluster.kill(control)
@@ -64,7 +65,7 @@
         assert before.version == STABLE_BEFORE
         for control in CONTROLS:
             assert system.status(control)["revision"] >= revision
-            assert _ids(system, control)[: len(trail)] == trail
+            assert _audit_ids(system, control)[: len(trail)] == trail
         for accepted in stream.accepted:
             again = send_change(system.ports[0], accepted.change)
             assert again.body["outcome"] == "duplicate", again
@@ -85,18 +86,18 @@
 
 class TestWipedVoter:
     @pytest.mark.parametrize("apart", [False, True])
-    def test_replaced_and_a_second_one_lost(
+    def test_replaced_voter_allows_the_loss_of_a_second_one(
         self, system: System, apart: bool
     ) -> None:
-        """A voter's disk is lost and it starts with an empty folder.
+        """A voter loses its disk and starts with an empty folder.
 
-        It waits and does not vote: with another voter away nothing can be
-        committed. An operator puts it in its old self's place. Right then
-        another voter is lost for good, and the system goes on with every
-        change and charge, whether or not one voter led both logs.
+        It waits and does not vote, so nothing can be committed while another
+        voter is down. An operator replaces the lost voter id by the new one.
+        Right after that another voter is lost, and the system must keep
+        every change and charge, whether or not one voter led both logs.
         """
         key = f"before-the-wipe-{apart}"
-        leading = (system.leader(), _preferred(system))
+        leading = (system.leader(), _preferred_ledger_leader(system))
         wiped = next(name for name in CONTROLS if name not in leading)
         voters = [name for name in CONTROLS if name != wiped]
         order(system.entry("entry-1"), key)
@@ -156,7 +157,7 @@
     system.sycactl("apply", str(system.declarations), "--wait")
 
 
-def _ids(system: System, control: str) -> list[tuple[str, int, str]]:
+def _audit_ids(system: System, control: str) -> list[tuple[str, int, str]]:
     return [
         (entry["change_id"], entry["revision"], entry["outcome"])
         for entry in system.audit(control)
@@ -164,29 +165,35 @@
 
 
 def _leader_of_logs(system: System, apart: bool) -> str:
-    """Return the configuration's leader once both are led as wanted.
+    """Return the configuration's leader once both logs are led as wanted.
 
-    The ledger always goes back to its preferred leader, which is one of
-    the two voters that are left; so the configuration is handed over until
-    that same one leads it or the other. Elections would not do: the voter
-    that was started again mostly loses both logs, time after time.
+    With ``apart``, different voters lead the two logs, otherwise the same
+    one does. The ledger always returns to its preferred leader, which is one
+    of the two remaining voters. So the configuration's leadership is
+    transferred until the wanted voter has it. Elections cannot achieve this,
+    since the restarted voter loses nearly all of them for both logs.
     """
-    preferred = _preferred(system)
+    preferred = _preferred_ledger_leader(system)
     for _ in range(MAX_HAND_OVERS):
         wait_for(
             lambda: _ledger_leader(system) == preferred, "the ledger's leader"
         )
-        # An order that is answered went through the ledger's leader of now.
+        # The present leader of the ledger has committed an answered order.
         system.wait_serving("entry-1")
         leader = system.leader()
         if (leader != preferred) == apart:
             return leader
         hand_over(system.port(leader))
-    raise AssertionError(f"not led as wanted in {MAX_HAND_OVERS} hand-overs")
+    raise AssertionError(
+        f"logs not led as wanted after {MAX_HAND_OVERS} transfers"
+    )
 
 
-def _preferred(system: System) -> str:
-    """Return who should lead the ledger, as all voters compute it."""
+def _preferred_ledger_leader(system: System) -> str:
+    """Return the control process that should lead the ledger.
+
+    All voters compute the same preferred leader.
+    """
     rows = system.status(system.leader())["voters"]
     ids = [row["voter_id"] for row in rows if row["role"] != "learner"]
     names = {
@@ -200,7 +207,7 @@
 
 
 def _ledger_leader(system: System) -> str:
-    """Return who was elected last, as the logs tell it."""
+    """Return the last elected ledger leader, according to the logs."""
     pattern = re.compile(r"group 1, member \w+: leader in term (\d+)")
     elections = [
         (int(term), control)
