--- a/packages/sycamorestand/tests/system/test_leases.py
+++ b/packages/sycamorestand/tests/system/test_leases.py
@@ -16,8 +16,8 @@
 from sycamorestand_bench.system.calls import NOT_RUN
 from sycamorestand_bench.system.calls import readiness
 from sycamorestand_bench.system.calls import Reply
-from sycamorestand_bench.system.operators import ask
 from sycamorestand_bench.system.operators import change
+from sycamorestand_bench.system.operators import query
 from sycamorestand_bench.system.system import CONTROLS
 from sycamorestand_bench.system.system import System
 from sycamorestand_bench.system.system import VICTIM
@@ -48,7 +48,7 @@
 
         # A server that stays known to the entry. Without one, the entry could
         # refuse the requests for lack of a server.
-        system.start_steady_engine(VICTIM, (WITHDRAWN,))
+        system.start_long_lease_engine(VICTIM, (WITHDRAWN,))
         system.cluster.send_signal(VICTIM, SIGSTOP)
         with _partition(system, VICTIM):
             queued = [begin_chat(address, f"queue-{n}") for n in range(QUEUED)]
@@ -72,12 +72,12 @@
                 "--message",
                 "a test",
             )
-            runs = system.world.runs_of(WITHDRAWN)
+            runs = system.world.runs_on_version(WITHDRAWN)
             system.cluster.send_signal(VICTIM, SIGCONT)
             replies = [finish(pending) for pending in queued]
 
         assert not in_force_before_expiry, "in force while a lease was valid"
-        assert system.world.runs_of(WITHDRAWN) == runs
+        assert system.world.runs_on_version(WITHDRAWN) == runs
         for reply in replies:
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
         caught_up = wait_for(
@@ -85,7 +85,7 @@
         )
         assert caught_up.version == "nest-small@4"
         assert readiness(address)["revision"] >= withdrawal.body["revision"]
-        assert system.world.runs_of(WITHDRAWN) == runs
+        assert system.world.runs_on_version(WITHDRAWN) == runs
         system.sycactl("reinstate", WITHDRAWN, "--wait")
 
 
@@ -129,7 +129,7 @@
         wait_for(lambda: _answered_probe(address), "the entry serves")
         control = wait_for(lambda: _attached_control(system), "its control")
         log_before = system.cluster.log_text(PARTITIONED)
-        assert _drop_silently(system, control) >= 2
+        assert _blackhole(system, control) >= 2
         replies: list[Reply] = []
 
         def has_noticed() -> bool:
@@ -146,7 +146,7 @@
 
 def _in_force(system: System, revision: int) -> bool:
     leader = system.leader()
-    answer = ask(system.port(leader), f"/in-force?revision={revision}")
+    answer = query(system.port(leader), f"/in-force?revision={revision}")
     assert answer.status == 200, answer
     return bool(answer.body["in_force"])
 
@@ -170,33 +170,35 @@
 
 @contextmanager
 def _partition(system: System, entry: str) -> Iterator[None]:
-    gates = system.cluster.gates
+    proxies = system.cluster.proxies
     sender = system.cluster.entries[entry].peer_address
-    system.in_loop(gates[entry].cut)
+    system.call_in_loop(proxies[entry].cut)
     for control in CONTROLS:
-        system.in_loop(gates[control].cut, sender)
+        system.call_in_loop(proxies[control].cut, sender)
     try:
         yield
     finally:
         for name in (entry, *CONTROLS):
-            system.in_loop(gates[name].heal)
+            system.call_in_loop(proxies[name].heal)
 
 
 def _attached_control(system: System) -> str:
-    for row in system.ask(system.leader(), "/nodes")["nodes"]:
+    for row in system.query(system.leader(), "/nodes")["nodes"]:
         if row["vm"] == PARTITIONED and row["control"] in CONTROLS:
             name: str = row["control"]
             return name
     return ""
 
 
-def _drop_silently(system: System, control: str) -> int:
-    gates = system.cluster.gates
+def _blackhole(system: System, control: str) -> int:
+    proxies = system.cluster.proxies
     entry_address = system.cluster.entries[PARTITIONED].peer_address
     control_address = system.cluster.controls[control].peer_address
     return sum(
         (
-            system.in_loop(gates[PARTITIONED].swallow, control_address),
-            system.in_loop(gates[control].swallow, entry_address),
+            system.call_in_loop(
+                proxies[PARTITIONED].blackhole, control_address
+            ),
+            system.call_in_loop(proxies[control].blackhole, entry_address),
         )
     )
