--- a/packages/sycamorestand/tests/system/test_blank_disk.py
+++ b/packages/sycamorestand/tests/system/test_blank_disk.py
@@ -30,7 +30,7 @@
             done = sycactl(system.folder, ports, "status")
         assert done.status == 0, done
 
-    def test_abandoned_id_is_no_longer_shown_as_joiner(
+    def test_abandoned_id_is_no_longer_shown_as_replacement(
         self, system: System
     ) -> None:
         """A voter starts with an empty folder, then with its old disk.
@@ -43,9 +43,13 @@
         swapped = next(name for name in CONTROLS if name != leader)
         with _blank_disk(system, swapped):
             wait_for(
-                lambda: system.replacement_id(leader, swapped), "the joiner"
+                lambda: system.replacement_id(leader, swapped),
+                "the replacement id",
             )
-        wait_for(lambda: not system.replacement_id(leader, swapped), "its end")
+        wait_for(
+            lambda: not system.replacement_id(leader, swapped),
+            "its id to be gone",
+        )
 
 
 @contextmanager
--- a/packages/sycamorestand/tests/system/test_leases.py
+++ b/packages/sycamorestand/tests/system/test_leases.py
@@ -81,7 +81,7 @@
         for reply in replies:
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
         caught_up = wait_for(
-            lambda: _answered_probe(address), "the entry serves"
+            lambda: _answered_probe(address), "the entry to serve"
         )
         assert caught_up.version == "nest-small@4"
         assert readiness(address)["revision"] >= withdrawal.body["revision"]
@@ -114,7 +114,7 @@
             assert (reply.run, reply.code) == (NOT_RUN, "no_lease"), reply
             assert not _run_count(system, late_key)
         assert is_whole(ended, key, LONG_TOKENS), ended
-        wait_for(lambda: _answered_probe(address), "the entry serves")
+        wait_for(lambda: _answered_probe(address), "the entry to serve")
 
 
 class TestSilentConnection:
@@ -126,7 +126,7 @@
         process, and must refuse no request in the meantime.
         """
         address = system.entry(PARTITIONED)
-        wait_for(lambda: _answered_probe(address), "the entry serves")
+        wait_for(lambda: _answered_probe(address), "the entry to serve")
         control = wait_for(lambda: _attached_control(system), "its control")
         log_before = system.cluster.log_text(PARTITIONED)
         assert _blackhole(system, control) >= 2
--- a/packages/sycamorestand/tests/system/test_voters.py
+++ b/packages/sycamorestand/tests/system/test_voters.py
@@ -107,7 +107,10 @@
         stream.send(CHANGES_AFTER_LOSS)
         old_id = system.status(wiped)["voter_id"]
         _wipe(system, wiped)
-        wait_for(lambda: system.replacement_id(voters[0], wiped), "the joiner")
+        wait_for(
+            lambda: system.replacement_id(voters[0], wiped),
+            "the replacement id",
+        )
         ids = _voter_ids(system, voters[0])
 
         system.cluster.kill(voters[1])
