--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
@@ -1,4 +1,4 @@
-"""Compares what callers got with what the fakes ran and what was billed."""
+"""Compare the callers' answers with the fakes' runs and the bills."""
 
 from __future__ import annotations
 
@@ -34,8 +34,12 @@
 )
 
 
-class Marks(NamedTuple):
-    """Counts of runs taken when something had to be over."""
+class Baselines(NamedTuple):
+    """Counts of runs at a withdrawal and a server's leaving.
+
+    A run that begins later breaks a promise. The last two fields are the
+    exit status of the planned stop and the attempts that it cut.
+    """
 
     withdrawn_version: str
     runs_at_withdrawal: int
@@ -49,20 +53,20 @@
     answers: Sequence[Answer],
     world: World,
     bills: Sequence[Mapping[str, Any]],
-    marks: Marks,
+    marks: Baselines,
     allowed: Mapping[str, frozenset[str]],
     strong_micros: int,
 ) -> dict[str, Any]:
-    """Return every figure of the quickstart's last line.
+    """Return the figures of the quickstart's last line.
 
-    Duplicate requests of one key count as one request here; each of them
-    must have got the same whole answer.
+    The charges of a request key are compared with its calls together: two
+    answered calls with one key must have one charge.
     """
     answered = [answer for answer in answers if answer.run == "answered"]
     ended = sum(answer.code in FINAL_CODES for answer in answers)
     charges = Counter((row["customer"], row["request_key"]) for row in bills)
-    asked = {(a.call.customer, a.call.request_key) for a in answers}
-    owed = {(a.call.customer, a.call.request_key) for a in answered}
+    requested = {(a.call.customer, a.call.request_key) for a in answers}
+    chargeable = {(a.call.customer, a.call.request_key) for a in answered}
     paid_micros = sum(row["cost_micros"] for row in bills)
     return {
         "requests": len(answers),
@@ -73,8 +77,8 @@
         "refusals_not_run": sum(a.run == "not_run" for a in answers),
         "unknown": sum(a.run == "unknown" for a in answers),
         "retried_by_callers": sum(len(a.tries) > 1 for a in answers),
-        "doubled_runs": _doubled_runs(world),
-        "runs_disallowed": _runs_disallowed(world, allowed),
+        "doubled_runs": _count_doubled_orders(world),
+        "runs_disallowed": _count_disallowed_runs(world, allowed),
         "runs_on_withdrawn_before": marks.runs_at_withdrawal,
         "runs_after_withdrawal": (
             world.runs_on_version(marks.withdrawn_version)
@@ -83,10 +87,10 @@
         "runs_after_leaving": (
             world.runs_on_server(marks.leaving_server) - marks.runs_at_leaving
         ),
-        "sessions_moved": _sessions_moved(answered),
-        "charges_missing": len(owed - set(charges)),
+        "sessions_moved": _count_moved_sessions(answered),
+        "charges_missing": len(chargeable - set(charges)),
         "charges_doubled": sum(n > 1 for n in charges.values()),
-        "charges_unasked": len(set(charges) - asked),
+        "charges_unasked": len(set(charges) - requested),
         "planned_stop_status": marks.planned_stop_status,
         "cut_by_planned_stop": marks.cut_by_planned_stop,
         "cost_micros": paid_micros,
@@ -96,7 +100,7 @@
 
 
 def is_whole(answer: Answer) -> bool:
-    """Tell whether an answer is all of its own request's answer."""
+    """Tell whether an answer is complete and belongs to its request."""
     call = answer.call
     if call.kind != "chat":
         return call.path in answer.text
@@ -105,7 +109,7 @@
     )
 
 
-def _doubled_runs(world: World) -> int:
+def _count_doubled_orders(world: World) -> int:
     runs = Counter(
         (record.customer, record.request_key)
         for service in world.services
@@ -115,7 +119,7 @@
     return sum(n > 1 for n in runs.values())
 
 
-def _runs_disallowed(
+def _count_disallowed_runs(
     world: World, allowed: Mapping[str, frozenset[str]]
 ) -> int:
     return sum(
@@ -125,7 +129,7 @@
     )
 
 
-def _sessions_moved(answered: Sequence[Answer]) -> int:
+def _count_moved_sessions(answered: Sequence[Answer]) -> int:
     versions: dict[tuple[str, str], set[str]] = {}
     for answer in answered:
         if answer.call.session:
@@ -134,4 +138,4 @@
     return sum(len(found) > 1 for found in versions.values())
 
 
-__all__ = ["compare", "is_whole", "Marks", "MUST_BE_ZERO"]
+__all__ = ["compare", "is_whole", "Baselines", "MUST_BE_ZERO"]
