--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -284,7 +284,7 @@
     def may_retry(self, attempt: Attempt) -> bool:
         """Return whether the customer's retry budget allows a retry."""
         customer = attempt.request.customer
-        return self.retries.may_retry(customer, self.clock.now_s, "error")
+        return self.retries.spend_retry(customer, self.clock.now_s, "error")
 
     def end(self, attempt: Attempt, outcome: str) -> None:
         """Record the final outcome and free the request's slot."""
--- a/packages/sycamorestand/src/sycamorestand/operator/changes.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/changes.py
@@ -1,4 +1,4 @@
-"""Commands that change the configuration."""
+"""Commands that change the configuration, voters or leadership."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     change_id: str = "",
     message: str = "",
 ) -> Action:
-    """Withdraw a version: it gets no new work, its sessions are refused.
+    """Withdraw a version: it gets no new work; its sessions are refused.
 
     :param version: the version, as model@version
     :param wait: wait until the change is in force everywhere
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("withdraw", version, wait, change_id, message)
+    return _change_action("withdraw", version, wait, change_id, message)
 
 
 def reinstate(
@@ -53,26 +53,26 @@
     change_id: str = "",
     message: str = "",
 ) -> Action:
-    """Let a withdrawn version get work again.
+    """Reinstate a withdrawn version, so that it gets work again.
 
     :param version: the version, as model@version
     :param wait: wait until the change is in force everywhere
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("reinstate", version, wait, change_id, message)
+    return _change_action("reinstate", version, wait, change_id, message)
 
 
 def quarantine(
     version: str, *, change_id: str = "", message: str = ""
 ) -> Action:
-    """Keep new sessions off a version while it is looked into.
+    """Quarantine a version: it gets no new sessions while it is examined.
 
     :param version: the version, as model@version
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("quarantine", version, False, change_id, message)
+    return _change_action("quarantine", version, False, change_id, message)
 
 
 def lift_quarantine(
@@ -84,32 +84,34 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("lift-quarantine", version, False, change_id, message)
+    return _change_action(
+        "lift-quarantine", version, False, change_id, message
+    )
 
 
 def start_rollout(
     model: str, *, change_id: str = "", message: str = ""
 ) -> Action:
-    """Start the declared roll-out of a model, or go on with it.
+    """Start the declared roll-out of a model, or resume it.
 
     :param model: the model
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("start-rollout", model, False, change_id, message)
+    return _change_action("start-rollout", model, False, change_id, message)
 
 
 def stop_rollout(
     model: str, *, wait: bool = False, change_id: str = "", message: str = ""
 ) -> Action:
-    """Stop a roll-out: new work goes to the stable version.
+    """Stop a model's roll-out: new work goes to the stable version.
 
     :param model: the model
     :param wait: wait until the change is in force everywhere
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("stop-rollout", model, wait, change_id, message)
+    return _change_action("stop-rollout", model, wait, change_id, message)
 
 
 def drain(
@@ -122,36 +124,36 @@
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("drain", vm, wait, change_id, message)
+    return _change_action("drain", vm, wait, change_id, message)
 
 
 def undrain(
     vm: str, *, wait: bool = False, change_id: str = "", message: str = ""
 ) -> Action:
-    """Let a drained VM's entry process take callers again.
+    """Let the entry process of a drained VM accept callers again.
 
     :param vm: the VM
     :param wait: wait until the change is in force everywhere
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("undrain", vm, wait, change_id, message)
+    return _change_action("undrain", vm, wait, change_id, message)
 
 
 def rotate_session_key(*, change_id: str = "", message: str = "") -> Action:
-    """Change the key that signs session tokens.
+    """Replace the key that signs session tokens by a new one.
 
     :param change_id: the id of a change that is sent again
     :param message: why, for the audit trail
     """
-    return _change("rotate-session-key", "", False, change_id, message)
+    return _change_action("rotate-session-key", "", False, change_id, message)
 
 
 def replace_voter(old: str, new: str, *, change_id: str = "") -> Action:
-    """Admit one control process as a voter and remove another.
+    """Add one control process as a voter and remove another voter.
 
-    :param old: the id of the voter that is gone
-    :param new: the id of the control process that takes its place
+    :param old: the id of the lost voter, which is removed
+    :param new: the id of the control process that replaces it
     :param change_id: the id of a change that is sent again
     """
     chosen = change_id or new_change_id()
@@ -167,7 +169,7 @@
 
 
 def transfer_leadership() -> Action:
-    """Hand leadership to another voter, before a planned stop."""
+    """Transfer leadership to another voter, before a planned stop."""
 
     async def act(context: Context) -> int:
         client = context.client()
@@ -187,14 +189,19 @@
     body: dict[str, Any],
     wait: bool,
 ) -> int:
-    """Send one change, print its outcome and return the exit code."""
+    """Send one change, print its outcome and return the exit code.
+
+    With ``wait``, wait until an accepted change is in force everywhere. The
+    outcome is printed even if that takes too long. Raises `OutcomeLost` if
+    the outcome is unknown.
+    """
     change_id = body["change_id"]
     context.output.notice(f"change id {change_id}")
     try:
         reply = await client.change(path, body)
         answer = from_plain(ChangeAnswer, reply)
     except (OutcomeLost, WireError) as error:
-        # An answer that cannot be read says nothing about the outcome.
+        # An answer that cannot be decoded doesn't tell the outcome either.
         raise OutcomeLost(f"{error}; {resend_hint(body)}") from error
     code = OUTCOME_EXITS[answer.outcome]
     try:
@@ -207,14 +214,14 @@
 
 
 def resend_hint(body: dict[str, Any]) -> str:
-    """Return the flags with which the same change can be sent again."""
+    """Return how to send the same change again to learn its outcome."""
     flags = f"--change-id {body['change_id']}"
     if body.get("base_revision") is not None:
         flags += f" --base-revision {body['base_revision']}"
     return f"run the same command with {flags} to learn the outcome"
 
 
-def _change(
+def _change_action(
     kind: str, subject: str, wait: bool, change_id: str, message: str
 ) -> Action:
     body = {
@@ -242,8 +249,8 @@
 
 
 def _outcome_line(answer: ChangeAnswer) -> str:
-    tail = f": {answer.message}" if answer.message else ""
-    return f"{answer.outcome}, revision {answer.revision}{tail}"
+    suffix = f": {answer.message}" if answer.message else ""
+    return f"{answer.outcome}, revision {answer.revision}{suffix}"
 
 
 __all__ = [
