--- a/packages/sycamorestand/src/sycamorestand/logs.py
+++ b/packages/sycamorestand/src/sycamorestand/logs.py
@@ -38,9 +38,9 @@
 
 
 def _standard_attributes() -> list[str]:
-    """Return the attributes that each log record has by itself.
+    """Return the names of the attributes that every log record has.
 
-    The formatter doesn't write them as extra fields.
+    The formatter must not write them as extra fields.
     """
     return list(logging.makeLogRecord({}).__dict__)
 
--- a/packages/sycamorestand/src/sycamorestand/operator/applying.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/applying.py
@@ -28,7 +28,7 @@
 
 
 class PlanAnswer(NamedTuple):
-    """The differences of a folder to a revision, with notes on them."""
+    """The differences between a folder and a revision, with notes."""
 
     revision: int
     lines: tuple[PlanLine, ...]
--- a/packages/sycamorestand/src/sycamorestand/operator/changes.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/changes.py
@@ -36,7 +36,7 @@
     change_id: str = "",
     message: str = "",
 ) -> Action:
-    """Withdraw a version: it gets no new work; its sessions are refused.
+    """Withdraw a version: it gets no new work and its sessions are refused.
 
     :param version: the version, as model@version
     :param wait: wait until the change is in force everywhere
--- a/packages/sycamorestand/src/sycamorestand/operator/exits.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/exits.py
@@ -56,7 +56,7 @@
 
 
 class Unreachable(SycactlError):
-    """No control process answered, and none can have run the request."""
+    """No control process answered, and none can have made a change."""
 
     exit_code = UNREACHABLE
     code = "unreachable"
--- a/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
@@ -20,15 +20,15 @@
 from sycamorestand.operator.exits import UsageError
 
 # Changes on the same VM shortly before a request often explain its outcome.
-# For example, a lease can have been lost for 2 s before a request needs it,
-# and a server is ejected because of its last answers.
+# For example, an entry may lose its lease 2 s before it refuses a request for
+# lack of a lease, and a server is ejected because of its last answers.
 LOOKBACK: Final = timedelta(seconds=3)
 # The clocks of other VMs may differ by this much. So lines of other VMs are
 # shown from a period that is this much longer at both ends. They are sorted by
 # the times in the lines, without correction.
 MAX_CLOCK_SKEW: Final = timedelta(seconds=1)
 TIME_FORMAT: Final = "%Y-%m-%d %H:%M:%S,%f"
-# Fields that every line has, or that `LogLine` holds by themselves.
+# Fields that every line has, or that `LogLine` has an attribute for.
 COMMON_FIELDS: Final = frozenset(
     {"time", "level", "logger", "message", "vm", "role", "request", "number"}
 )
@@ -85,7 +85,7 @@
             parsed.append(log_line)
     request_lines = [line for line in parsed if line.request == request]
     # The decisions of a request are written when it ends, so their times are
-    # later than its begin. Lines with the same time are sorted by number.
+    # later than its start. Lines with the same time are sorted by number.
     request_lines.sort(key=lambda line: (line.at, line.number))
     around = [
         line
--- a/packages/sycamorestand/src/sycamorestand/operator/output.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/output.py
@@ -95,7 +95,10 @@
 
 
 def to_printable(text: str) -> str:
-    """Return text with a space in place of each control character."""
+    """Return text with a space in place of each non-printable character.
+
+    Control characters could otherwise control the operator's terminal.
+    """
     return "".join(c if c.isprintable() else " " for c in text)
 
 
--- a/packages/sycamorestand/src/sycamorestand/operator/questions.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/questions.py
@@ -56,7 +56,7 @@
 
 
 def audit(*, after: int = 0, limit: int = 100) -> Action:
-    """Show which operator changed what, and what the system changed itself.
+    """Show which changes each operator made, and which the system made itself.
 
     :param after: show only entries after this sequence number
     :param limit: show at most this many entries
--- a/packages/sycamorestand/src/sycamorestand/operator/settings.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/settings.py
@@ -116,8 +116,8 @@
 def read_key(settings: Settings) -> str:
     """Return the operator's key from its file.
 
-    Raises `UsageError` if the file cannot be read or doesn't hold exactly one
-    printable ASCII key.
+    Raises `UsageError` if no file is set, if it cannot be read, or if it
+    doesn't hold exactly one printable ASCII key.
     """
     if not settings.key_file:
         raise UsageError(
--- a/packages/sycamorestand/src/sycamorestand/operator/waiting.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/waiting.py
@@ -21,10 +21,10 @@
 ) -> None:
     """Wait until every entry that holds a lease acts on the revision.
 
-    An entry behind a network partition delays this only until its lease
-    expires, since it accepts no new work from then on. Raises
-    `WaitedTooLong` after the setting ``wait_s``, or if no control process
-    can tell the state.
+    An entry behind a network partition delays the return only until its
+    lease expires, since it accepts no new work from then on. Raises
+    `WaitedTooLong` after ``wait_s`` seconds, or if no control process can
+    tell whether the revision is in force.
     """
     last_progress = ""
     end_s = anyio.current_time() + context.settings.wait_s
--- a/packages/sycamorestand/src/sycamorestand/run.py
+++ b/packages/sycamorestand/src/sycamorestand/run.py
@@ -116,7 +116,8 @@
 
 
 # Each role imports only its own modules. Importing those of the other role
-# would add 0.3 to 0.4 s to every restart, and an ordinary day has 140.
+# would add 0.3 to 0.4 s to every restart, and there are 140 restarts on an
+# ordinary day.
 async def _run_entry(values: dict[str, Any], stop: anyio.Event) -> None:
     from sycamorestand.entry_process import run_entry
 
--- a/packages/sycamorestand/src/sycamorestand/settings.py
+++ b/packages/sycamorestand/src/sycamorestand/settings.py
@@ -254,8 +254,8 @@
 ) -> list[str]:
     """Replace the values of a group by their joint value; return findings."""
     flags = ", ".join(member.flag for member in members)
-    # A member that has no value was given, but `read_settings` has already
-    # reported its text as invalid.
+    # A setting without a value was given an invalid text, which
+    # `read_settings` has already reported. So it is not a missing one.
     has_invalid = any(member.name not in values for member in members)
     member_values = [values.pop(member.name, joint) for member in members]
     missing = [
--- a/packages/sycamorestand/src/sycamorestand/start.py
+++ b/packages/sycamorestand/src/sycamorestand/start.py
@@ -1,6 +1,6 @@
 """Entry point of ``sycamorestand``, which handles SIGTERM while loading.
 
-Importing the program takes a third of a second, and seconds on a busy
+Importing the program takes a third of a second, or seconds on a busy
 machine. Python's default action for a SIGTERM in that time ends the process
 by the signal, which a supervisor takes for a crash. So the handler is
 installed before the other modules are imported.
@@ -16,7 +16,8 @@
 def main() -> int:
     """Run one process and return its exit status.
 
-    A SIGTERM that arrives before the role starts exits with status 0.
+    A SIGTERM that arrives before the role starts ends the process with
+    status 0.
     """
     signal.signal(signal.SIGTERM, _exit_on_sigterm)
     from sycamorestand.run import main as run
