--- a/packages/sycamorestand/tests/operator/test_run.py
+++ b/packages/sycamorestand/tests/operator/test_run.py
@@ -294,7 +294,7 @@
     def test_lost_answers_everywhere_leave_the_outcome_unknown(
         self, impatient: Command, servers: Any, state: Any, folder: Path
     ) -> None:
-        """Both control processes may have committed, and neither answers.
+        """Both control processes may commit a change, but neither answers.
 
         Reporting that nothing was changed would be wrong. The message names
         the change id and the base revision. The same command with them,
@@ -317,10 +317,12 @@
     def test_refusal_after_a_lost_answer_leaves_the_outcome_unknown(
         self, impatient: Command, servers: Any
     ) -> None:
-        """The first commits without an answer; the second refuses the key.
+        """A change is committed without an answer, then the key is refused.
 
-        The second one's copy of the operators is old. The exit code for
-        "refused" would claim that nothing was changed, which is unknown.
+        The first control process commits the change and stays silent. The
+        second one refuses the key, because its copy of the operators is old.
+        The exit code for "refused" would claim that nothing was changed,
+        which is unknown.
         """
         servers[0].control.fault = "answer lost"
         servers[1].control.fault = "knows no key"
--- a/packages/sycamorestand/tests/system/test_blank_disk.py
+++ b/packages/sycamorestand/tests/system/test_blank_disk.py
@@ -26,7 +26,10 @@
         wiped = next(n for n in CONTROLS if n != system.leader())
         ports = sorted(system.ports, key=lambda p: p != system.port(wiped))
         with _blank_disk(system, wiped):
-            wait_for(lambda: _is_listening(system, wiped), "it to listen")
+            wait_for(
+                lambda: _is_listening(system, wiped),
+                "the wiped voter to listen",
+            )
             done = sycactl(system.folder, ports, "status")
         assert done.status == 0, done
 
@@ -48,7 +51,7 @@
             )
         wait_for(
             lambda: not system.replacement_id(leader, swapped),
-            "its id to be gone",
+            "the replacement id to disappear",
         )
 
 
--- a/packages/sycamorestand/tests/system/test_leases.py
+++ b/packages/sycamorestand/tests/system/test_leases.py
@@ -119,15 +119,18 @@
 
 class TestSilentConnection:
     def test_entry_reconnects_and_keeps_serving(self, system: System) -> None:
-        """Open connections between an entry and its control drop all data.
+        """Connections between an entry and its control drop all data.
 
-        They show no error, and new connections work. The entry notices that
-        its frames are not echoed, reconnects to the same or another control
-        process, and must refuse no request in the meantime.
+        The open connections to and from the entry's control process show no
+        error, and new connections work. The entry notices that its frames
+        are not echoed, reconnects to the same or another control process,
+        and must refuse no request in the meantime.
         """
         address = system.entry(PARTITIONED)
         wait_for(lambda: _answered_probe(address), "the entry to serve")
-        control = wait_for(lambda: _attached_control(system), "its control")
+        control = wait_for(
+            lambda: _attached_control(system), "the control process"
+        )
         log_before = system.cluster.log_text(PARTITIONED)
         assert _blackhole(system, control) >= 2
         replies: list[Reply] = []
--- a/packages/sycamorestand/tests/system/test_once.py
+++ b/packages/sycamorestand/tests/system/test_once.py
@@ -33,8 +33,8 @@
 
         The entry that has dispatched it is killed before the answer. Each
         retry at another entry, while the service still runs the order and
-        afterwards, must be answered that the order is running or that its
-        outcome is unknown. No retry runs it again.
+        afterwards, must get the answer that the order is running or that
+        its outcome is unknown. No retry runs the order again.
         """
         key = "order-of-a-lost-entry"
         with _slow_services(system):
@@ -102,7 +102,7 @@
     def test_order_runs_once_despite_a_lost_control_process(
         self, system: System, control: str
     ) -> None:
-        """Each control process, one of them the ledger's leader, is lost.
+        """One control process is lost; in one case it leads the ledger.
 
         Each order is sent to two entries. Its claim is durable before the
         loss, and its outcome follows after it. Whichever control process
--- a/packages/sycamorestand/tests/test_run.py
+++ b/packages/sycamorestand/tests/test_run.py
@@ -73,7 +73,7 @@
         assert "run.py" in log
 
     def test_killed_processes_restart(self, cluster: Cluster) -> None:
-        """Both processes are killed; the data folder outlives the restart."""
+        """The control process restarts with the data folder that it had."""
         cluster.kill("entry-1")
         cluster.kill("control-1")
         cluster.start_control("control-1", "dalton", voters_wanted=1)
--- a/packages/sycamorestand/tests/test_start.py
+++ b/packages/sycamorestand/tests/test_start.py
@@ -47,7 +47,7 @@
         process.stdout.close()
 
     def test_sigterm_while_the_role_loads_exits_with_0(self) -> None:
-        """A control process that got SIGTERM then exited with 1."""
+        """A control process that got SIGTERM at this point exited with 1."""
         stopped = []
 
         async def load_and_serve(
