--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
@@ -18,7 +18,7 @@
     from sycamorestand_entry.control.link import ControlLink
 
 TICK_S: Final = 0.05
-TICKS_A_SECOND: Final = 20
+TICKS_PER_S: Final = 20
 VERSION: Final = "nest-small@3"
 INCARNATION: Final = 1
 
@@ -51,8 +51,8 @@
                         tasks.start_soon(self._request, link)
 
     async def _announce(self, tick: int) -> None:
-        turn = tick % TICKS_A_SECOND
-        for number in range(turn, self.servers, TICKS_A_SECOND):
+        slot = tick % TICKS_PER_S
+        for number in range(slot, self.servers, TICKS_PER_S):
             self._sequence += 1
             link = self._links[number % len(self._links)]
             await link.announce(self._announcement(number))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
@@ -13,10 +13,10 @@
 from sycamorestand_bench.control_bench.links_process import LinksRun
 from sycamorestand_bench.control_bench.links_process import Order
 from sycamorestand_bench.control_bench.links_process import Report
-from sycamorestand_bench.control_bench.orders import ask
 from sycamorestand_bench.control_bench.orders import LINKS_MODULE
+from sycamorestand_bench.control_bench.orders import send_order
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import read_usage
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
     moves: int
 
 
-class Bench:
+class CostBench:
     """Entries at one follower, feeders that announce, and two probes."""
 
     def __init__(self, system: System, children: Children) -> None:
@@ -86,26 +86,28 @@
         fewer = servers < self._servers
         self._servers = servers
         self._attach(entries)
-        ask(self._feeder, Order(servers=servers))
+        send_order(self._feeder, Order(servers=servers))
         busy = Order(requests_per_s=requests_per_s)
-        ask(self._probe, busy)
+        send_order(self._probe, busy)
         time.sleep(EXPIRE_S if fewer else SETTLE_S)
         pids = self._pids()
         before = read_usage(list(pids.values()))
-        link_before = ask(self._probe, busy)
+        link_before = send_order(self._probe, busy)
         time.sleep(MEASURE_S)
         after = read_usage(list(pids.values()))
-        link_after = ask(self._probe, busy)
+        link_after = send_order(self._probe, busy)
         rates = {
-            role: rate(before[pid], after[pid]) for role, pid in pids.items()
+            role: rate_between(before[pid], after[pid])
+            for role, pid in pids.items()
         }
-        reports = [ask(child) for _, child in self._groups]
+        reports = [send_order(child) for _, child in self._groups]
         return CellCost(
             entries,
             servers,
             requests_per_s,
             **rates,
-            link_frames_per_s=_frames(link_before, link_after) / MEASURE_S,
+            link_frames_per_s=_transferred_frames(link_before, link_after)
+            / MEASURE_S,
             servers_seen=link_after.servers_seen,
             leases=sum(report.leases for report in reports),
             moves=sum(report.moves for report in reports),
@@ -114,17 +116,17 @@
     def _attach(self, entries: int) -> None:
         """Have so many entries at the hub, the probe among them."""
         wanted = entries - 1
-        while self._groups and self._count() > wanted:
+        while self._groups and self._attached_entries() > wanted:
             count, child = self._groups.pop()
             self._children.stop(child)
-        missing = wanted - self._count()
+        missing = wanted - self._attached_entries()
         if missing > 0:
             name = f"vm-{len(self._groups)}"
             run = LinksRun(name, missing, [self._at_hub])
             child = self._children.start(LINKS_MODULE, run)
             self._groups.append((missing, child))
 
-    def _count(self) -> int:
+    def _attached_entries(self) -> int:
         return sum(count for count, _ in self._groups)
 
     def _pids(self) -> dict[str, int]:
@@ -147,7 +149,7 @@
     one all but the probe have gone, without a word.
     """
     with Children() as children:
-        bench = Bench(system, children)
+        bench = CostBench(system, children)
         costs = [bench.measure(*cell) for cell in cells]
         costs.append(bench.measure(*cells[-1], busy_requests_per_s))
         costs.append(bench.measure(1, 0))
@@ -169,7 +171,7 @@
     ]
 
 
-def _frames(before: Report, after: Report) -> int:
+def _transferred_frames(before: Report, after: Report) -> int:
     return (
         after.sent_frames
         + after.received_frames
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/fitting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/fitting.py
@@ -73,8 +73,10 @@
     values = numpy.array([sample.value for sample in samples])
     # Columns of like size, or the product outweighs the others.
     scale = numpy.maximum(numpy.abs(matrix).max(axis=0), 1.0)
-    found = numpy.linalg.lstsq(matrix / scale, values, rcond=None)[0] / scale
-    return Plane(*(float(value) for value in found))
+    coefficients = (
+        numpy.linalg.lstsq(matrix / scale, values, rcond=None)[0] / scale
+    )
+    return Plane(*(float(value) for value in coefficients))
 
 
 def percentile(values: Sequence[float], percent: int) -> float:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
@@ -11,9 +11,9 @@
 
 from sycamorestand_bench.control_bench.child import Children
 from sycamorestand_bench.control_bench.links_process import LinksRun
-from sycamorestand_bench.control_bench.orders import ask
 from sycamorestand_bench.control_bench.orders import LINKS_MODULE
-from sycamorestand_bench.control_bench.orders import moved_bytes
+from sycamorestand_bench.control_bench.orders import send_order
+from sycamorestand_bench.control_bench.orders import transferred_bytes
 
 if TYPE_CHECKING:
     from sycamorestand_bench.control_bench.system import System
@@ -22,7 +22,7 @@
 ENTRIES: Final = 30
 PROCESSES: Final = 2
 PAUSE_S: Final = 0.15
-QUIET_S: Final = 3.0
+IDLE_MEASURE_S: Final = 3.0
 
 
 class InForceTimes(NamedTuple):
@@ -45,22 +45,24 @@
             )
             for number in range(PROCESSES)
         ]
-        quiet = _bytes_a_second(links)
+        idle_bytes_per_s = _measure_bytes_per_s(links)
         begun_s = time.monotonic()
-        before = [ask(child) for child in links]
-        accepted_s, in_force_s, revision = anyio.run(_apply, system, changes)
-        after = [ask(child) for child in links]
+        before = [send_order(child) for child in links]
+        accepted_s, in_force_s, revision = anyio.run(
+            _apply_changes, system, changes
+        )
+        after = [send_order(child) for child in links]
         seconds = time.monotonic() - begun_s
-    moved = moved_bytes(before, after)
+    transferred = transferred_bytes(before, after)
     return InForceTimes(
         accepted_s,
         in_force_s,
-        (moved - quiet * seconds) / changes / ENTRIES,
+        (transferred - idle_bytes_per_s * seconds) / changes / ENTRIES,
         sum(report.revision < revision for report in after),
     )
 
 
-async def _apply(
+async def _apply_changes(
     system: System, changes: int
 ) -> tuple[list[float], list[float], int]:
     accepted_s = []
@@ -93,12 +95,12 @@
         # over at once, and which address comes first would be chance.
         names = tuple(n for n in system.running_controls() if n != old)
         system.kill(old)
-        anyio.run(_after_kill, system, names, times)
+        anyio.run(_time_failover, system, names, times)
         system.restart(old)
     return times
 
 
-async def _after_kill(
+async def _time_failover(
     system: System, names: tuple[str, ...], times: FailoverTimes
 ) -> None:
     begun_s = time.monotonic()
@@ -113,12 +115,12 @@
         times.accepted_s.append(time.monotonic() - begun_s)
 
 
-def _bytes_a_second(links: list[Child]) -> float:
+def _measure_bytes_per_s(links: list[Child]) -> float:
     begun_s = time.monotonic()
-    before = [ask(child) for child in links]
-    time.sleep(QUIET_S)
-    after = [ask(child) for child in links]
-    return moved_bytes(before, after) / (time.monotonic() - begun_s)
+    before = [send_order(child) for child in links]
+    time.sleep(IDLE_MEASURE_S)
+    after = [send_order(child) for child in links]
+    return transferred_bytes(before, after) / (time.monotonic() - begun_s)
 
 
 __all__ = [
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/orders.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/orders.py
@@ -16,13 +16,13 @@
 LINKS_MODULE: Final = "sycamorestand_bench.control_bench.links_process"
 
 
-def ask(child: Child, order: Order | None = None) -> Report:
+def send_order(child: Child, order: Order | None = None) -> Report:
     """Give an order, that of being idle by default; return the totals."""
     line = msgspec.json.encode(order or Order()).decode()
     return msgspec.convert(child.ask(line), Report)
 
 
-def moved_bytes(before: list[Report], after: list[Report]) -> int:
+def transferred_bytes(before: list[Report], after: list[Report]) -> int:
     """Return the bytes that went either way between two reports."""
     return sum(map(_bytes, after)) - sum(map(_bytes, before))
 
@@ -31,4 +31,4 @@
     return report.sent_bytes + report.received_bytes
 
 
-__all__ = ["ask", "LINKS_MODULE", "moved_bytes"]
+__all__ = ["LINKS_MODULE", "send_order", "transferred_bytes"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
@@ -45,8 +45,8 @@
         """Return a line of the table."""
         if self.goal is None:
             return f"{self.name:38} {self.value:12.3f}"
-        word = "met" if self.value <= self.goal else "NOT MET"
-        return f"{self.name:38} {self.value:12.3f}  goal {self.goal:g} {word}"
+        label = "met" if self.value <= self.goal else "NOT MET"
+        return f"{self.name:38} {self.value:12.3f}  goal {self.goal:g} {label}"
 
 
 def compare_with_goals(figures: dict[str, float]) -> list[GoalResult]:
@@ -95,10 +95,10 @@
     figures: dict[str, float] = {}
     for name, cell in (("idle", idle), ("largest", largest)):
         rate = cell.entry
-        moved = rate.sent_bytes_per_s + rate.received_bytes_per_s
+        traffic = rate.sent_bytes_per_s + rate.received_bytes_per_s
         figures[f"{name}_entry_cpu_percent"] = rate.cpu_percent
         figures[f"{name}_entry_resident_mb"] = rate.resident_mb
-        figures[f"{name}_entry_bytes_per_s"] = moved
+        figures[f"{name}_entry_bytes_per_s"] = traffic
     link = busy.link
     figures["busy_link_requests_per_s"] = busy.requests_per_s
     figures["busy_link_cpu_percent"] = link.cpu_percent
@@ -120,17 +120,17 @@
     A busy link costs what the idle one does there and what its requests
     added in the measured cell.
     """
-    found: dict[str, float] = {}
+    result: dict[str, float] = {}
     largest, busy = costs[-3:-1]
     for figure, (name, measure) in zip(figures, MEASURES, strict=True):
         added = measure(busy.link) - measure(largest.link)
-        found[f"target_busy_link_{name}"] = figure.link_at_target() + added
+        result[f"target_busy_link_{name}"] = figure.link_at_target() + added
     for figure in figures:
-        found[f"target_entry_{figure.name}"] = figure.entry_at_target()
-        found[f"target_link_{figure.name}"] = figure.link_at_target()
-        found[f"target_follower_{figure.name}"] = figure.follower_at_target()
-        found[f"target_leader_{figure.name}"] = figure.leader_at_target()
-    return found
+        result[f"target_entry_{figure.name}"] = figure.entry_at_target()
+        result[f"target_link_{figure.name}"] = figure.link_at_target()
+        result[f"target_follower_{figure.name}"] = figure.follower_at_target()
+        result[f"target_leader_{figure.name}"] = figure.leader_at_target()
+    return result
 
 
 def cell_lines(costs: Sequence[CellCost]) -> list[str]:
@@ -146,11 +146,11 @@
             " link"
         )
         for role in ("hub", "follower", "leader", "link", "entry"):
-            used = getattr(cost, role)
+            rate = getattr(cost, role)
             lines.append(
-                f"{'':22}| {role:8} {used.cpu_percent:6.2f}"
-                f" {used.resident_mb:7.1f} {used.sent_bytes_per_s:11.0f}"
-                f" {used.received_bytes_per_s:11.0f}"
+                f"{'':22}| {role:8} {rate.cpu_percent:6.2f}"
+                f" {rate.resident_mb:7.1f} {rate.sent_bytes_per_s:11.0f}"
+                f" {rate.received_bytes_per_s:11.0f}"
             )
     return lines
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
@@ -29,7 +29,7 @@
 
 IN_FLIGHT: Final = 100
 MEGABYTE: Final = 1_000_000
-CALL_BOUND_S: Final = 20.0
+CALL_TIMEOUT_S: Final = 20.0
 RESTARTS: Final = 3
 # More changes than this a run would be a scenario of its own.
 MAX_CHANGES: Final = 50_000
@@ -51,17 +51,19 @@
 
 def measure_restart(system: System, changes: int) -> RestartTimes:
     """Restart a follower before and after the changes."""
-    fresh_s = [_restart(system) for _ in range(RESTARTS)]
+    fresh_s = [_time_restart(system) for _ in range(RESTARTS)]
     leader = anyio.run(system.leader)
     address = system.cluster.controls[leader].peer_address
     client = system.client()
     first = anyio.run(system.apply, client)
-    revision = anyio.run(_change, address, first, min(changes, MAX_CHANGES))
-    changed_s = [_restart(system) for _ in range(RESTARTS)]
+    revision = anyio.run(
+        _propose_changes, address, first, min(changes, MAX_CHANGES)
+    )
+    changed_s = [_time_restart(system) for _ in range(RESTARTS)]
     name = _follower(system)
     folder = system.cluster.controls[name].data_folder
     system.kill(name)
-    read_s = _read_folder(folder)
+    read_s = _time_folder_read(folder)
     system.restart(name)
     return RestartTimes(
         fresh_s,
@@ -77,22 +79,22 @@
     return sum(p.stat().st_size for p in folder.rglob("*") if p.is_file())
 
 
-def _read_folder(folder: Path) -> float:
+def _time_folder_read(folder: Path) -> float:
     begun_s = time.monotonic()
     storage = Storage(
         folder / f"group-{CONFIGURATION_GROUP}",
         ReplicaSettings().segment_bytes,
     )
-    found = storage.open(had_log=True)
+    recovered = storage.open(had_log=True)
     machine = ConfigurationMachine()
-    if found.snapshot.data:
-        machine.restore(found.snapshot.data)
+    if recovered.snapshot.data:
+        machine.restore(recovered.snapshot.data)
     seconds = time.monotonic() - begun_s
     storage.close()
     return seconds
 
 
-def _restart(system: System) -> float:
+def _time_restart(system: System) -> float:
     name = _follower(system)
     system.kill(name)
     begun_s = time.monotonic()
@@ -105,7 +107,7 @@
     return next(name for name in CONTROLS if name != leader)
 
 
-async def _change(address: str, first: int, changes: int) -> int:
+async def _propose_changes(address: str, first: int, changes: int) -> int:
     """Propose changes through the leader's log, many on the way at once.
 
     The operators' interface would need minutes for them. Each one names
@@ -134,7 +136,7 @@
     message = ProposalForward(
         call_id, CONFIGURATION_GROUP, encode_command(command)
     )
-    reply = await mesh.call(address, call_id, message, CALL_BOUND_S)
+    reply = await mesh.call(address, call_id, message, CALL_TIMEOUT_S)
     if reply.failure or b"applied" not in reply.payload:
         raise RuntimeError(f"{reply.failure} {reply.payload!r}")
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
@@ -21,7 +21,7 @@
 CONTROLS: Final = ("control-1", "control-2", "control-3")
 ADMIN_KEY: Final = "demo-guild-admin"
 EXAMPLE: Final = Path("examples/guild")
-FORM_BOUND_S: Final = 30.0
+CLUSTER_TIMEOUT_S: Final = 30.0
 POLL_S: Final = 0.01
 # What the bench changes to and fro: a price of the example.
 PRICED_MODEL: Final = "nest-small"
@@ -77,7 +77,7 @@
 
     async def leader(self) -> str:
         """Return the VM of the leader."""
-        with anyio.fail_after(FORM_BOUND_S):
+        with anyio.fail_after(CLUSTER_TIMEOUT_S):
             while True:
                 for name in self.running_controls():
                     status = await self._status(name)
@@ -97,7 +97,7 @@
         self._price += 1
         version = self._document["models"][PRICED_MODEL]["versions"]["3"]
         version["input_micros_per_mtoken"] = self._price
-        answer = await client.change("/changes", self._change())
+        answer = await client.change("/changes", self._change_request())
         if answer["outcome"] not in ("accepted", "duplicate"):
             raise RuntimeError(f"the bench's change: {answer}")
         self._revision = int(answer["revision"])
@@ -107,7 +107,7 @@
         self, client: ControlClient, revision: int
     ) -> None:
         """Ask until the leader says that a revision is in force."""
-        with anyio.fail_after(FORM_BOUND_S):
+        with anyio.fail_after(CLUSTER_TIMEOUT_S):
             while True:
                 body = await client.ask("/in-force", {"revision": revision})
                 if body["in_force"]:
@@ -131,7 +131,7 @@
         self._killed.discard(name)
         self.cluster.wait_ready(name)
 
-    def _change(self) -> dict[str, Any]:
+    def _change_request(self) -> dict[str, Any]:
         return {
             "change_id": secrets.token_hex(8),
             "kind": "apply",
@@ -147,7 +147,7 @@
             return None
 
     async def _wait_for_voters(self) -> None:
-        with anyio.fail_after(FORM_BOUND_S):
+        with anyio.fail_after(CLUSTER_TIMEOUT_S):
             while True:
                 status = await self._status(CONTROLS[0])
                 roles = [row["role"] for row in status["voters"]]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
@@ -12,7 +12,7 @@
 MEGABYTE: Final = 1_000_000
 NANOSECONDS: Final = 1e9
 KIBIBYTE: Final = 1024
-SS_BOUND_S: Final = 10
+SS_TIMEOUT_S: Final = 10
 SENT: Final = re.compile(r"\bbytes_sent:(\d+)")
 RECEIVED: Final = re.compile(r"\bbytes_received:(\d+)")
 
@@ -42,13 +42,13 @@
         ["ss", "-tinpHO"],
         capture_output=True,
         text=True,
-        timeout=SS_BOUND_S,
+        timeout=SS_TIMEOUT_S,
         check=True,
     ).stdout
-    return {pid: _read_one(pid, sockets) for pid in pids}
+    return {pid: _read_process(pid, sockets) for pid in pids}
 
 
-def rate(before: Usage, after: Usage) -> Rate:
+def rate_between(before: Usage, after: Usage) -> Rate:
     """Return what was used a second between two readings."""
     seconds = after.at_s - before.at_s
     return Rate(
@@ -66,15 +66,15 @@
     """
     mark = f"pid={pid},"
     lines = [line for line in sockets.splitlines() if mark in line]
-    return _sum(SENT, lines), _sum(RECEIVED, lines)
+    return _sum_matches(SENT, lines), _sum_matches(RECEIVED, lines)
 
 
-def run_time_s(schedstat: str) -> float:
+def parse_cpu_s(schedstat: str) -> float:
     """Return the processor time that a line of ``schedstat`` tells."""
     return int(schedstat.split()[0]) / NANOSECONDS
 
 
-def resident_mb(status: str) -> float:
+def parse_resident_mb(status: str) -> float:
     """Return the resident memory that ``/proc/PID/status`` tells."""
     for line in status.splitlines():
         if line.startswith("VmRSS:"):
@@ -82,25 +82,25 @@
     raise ValueError("the process has no resident memory")
 
 
-def _read_one(pid: int, sockets: str) -> Usage:
+def _read_process(pid: int, sockets: str) -> Usage:
     folder = Path(f"/proc/{pid}")
     threads = (folder / "task").glob("*/schedstat")
-    cpu_s = sum(run_time_s(path.read_text()) for path in threads)
-    memory_mb = resident_mb((folder / "status").read_text())
+    cpu_s = sum(parse_cpu_s(path.read_text()) for path in threads)
+    memory_mb = parse_resident_mb((folder / "status").read_text())
     sent, received = socket_bytes(sockets, pid)
     return Usage(time.monotonic(), cpu_s, memory_mb, sent, received)
 
 
-def _sum(pattern: re.Pattern[str], lines: list[str]) -> int:
+def _sum_matches(pattern: re.Pattern[str], lines: list[str]) -> int:
     return sum(int(found) for line in lines for found in pattern.findall(line))
 
 
 __all__ = [
+    "parse_cpu_s",
+    "parse_resident_mb",
     "Rate",
-    "rate",
+    "rate_between",
     "read_usage",
-    "resident_mb",
-    "run_time_s",
     "socket_bytes",
     "Usage",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -51,10 +51,12 @@
         batch = encode_batch(records, time.time())
         results = self._machine.apply(self._index, batch)
         for record, result in zip(records, results, strict=True):
-            self._note(record, result)
+            self._record_result(record, result)
         return results
 
-    def _note(self, record: LedgerRecord, result: LedgerResult) -> None:
+    def _record_result(
+        self, record: LedgerRecord, result: LedgerResult
+    ) -> None:
         if isinstance(record, Charge):
             if result.state == "created":
                 self.charges[record.customer, record.request_key] = record
@@ -69,7 +71,7 @@
 
     def __init__(self, configuration: InForce, ledger: FakeLedger) -> None:
         self.configuration = configuration
-        self.ledger = ledger
+        self.fake_ledger = ledger
         self.lease_s = 3.0
         self.servers: dict[str, Announcement] = {}
         self.entry_addresses: tuple[EntryAddress, ...] = ()
@@ -129,7 +131,7 @@
             self.ledger_failures -= 1
         if failing and not self.lose_answers:
             raise LedgerUnavailable("the fake ledger is told to fail")
-        results = self.ledger.apply(records)
+        results = self.fake_ledger.apply(records)
         if failing:
             raise LedgerUnavailable("the fake ledger lost its answer")
         return results
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
@@ -33,8 +33,8 @@
 def make_core(term: int, entries: tuple[Entry, ...] = ()) -> Core:
     """Return the core of member "a", restarted with these entries."""
     snapshot = Snapshot(0, 0, MEMBERS, b"")
-    found = Recovered(HardState(term, "", CLUSTER), snapshot, entries)
-    return Core("a", SETTINGS, 1, found, now_s=0.0)
+    recovered = Recovered(HardState(term, "", CLUSTER), snapshot, entries)
+    return Core("a", SETTINGS, 1, recovered, now_s=0.0)
 
 
 def deliver(
@@ -59,11 +59,11 @@
     """Let "a" win an election with the vote of "b"."""
     campaign = core.state.term + 1
     core.tick(now_s)
-    yes = VoteReply(campaign, pre=True, granted=True)
-    deliver(core, "b", campaign - 1, yes, now_s)
+    vote = VoteReply(campaign, pre=True, granted=True)
+    deliver(core, "b", campaign - 1, vote, now_s)
     drain_and_sync(core, now_s)
-    yes = VoteReply(campaign, pre=False, granted=True)
-    deliver(core, "b", campaign, yes, now_s)
+    vote = VoteReply(campaign, pre=False, granted=True)
+    deliver(core, "b", campaign, vote, now_s)
     drain_and_sync(core, now_s)
     assert core.state.role == Role.LEADER
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
@@ -100,7 +100,7 @@
         self.most_running = max(self.most_running, self.running)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(_watch, receive, record, group)
+                group.start_soon(_cancel_on_disconnect, receive, record, group)
                 start = int(headers.get("x-resume-from", "0"))
                 if fault.kind == "begin_again":
                     start = 0
@@ -169,7 +169,7 @@
                 due_s = begin_s + (index - start) / rate
                 await anyio.sleep(max(0.0, due_s - anyio.current_time()))
             if index == self._fault.after:
-                await self._show_fault()
+                await self._inject_fault()
             text = token_text(self._record, index)
             await self._write(_token_event(self._record, text))
             self._record.sent_tokens += 1
@@ -180,12 +180,12 @@
             return
         ending = b"data: [DONE]\n\n"
         if self._fault.kind != "no_usage":
-            sent = prompt_tokens(self._content)
-            ending = _usage_event(self._record, sent, tokens) + ending
+            prompt_count = prompt_tokens(self._content)
+            ending = _usage_event(self._record, prompt_count, tokens) + ending
         self._record.whole = True
         await self._send({"type": "http.response.body", "body": ending})
 
-    async def _show_fault(self) -> None:
+    async def _inject_fault(self) -> None:
         match self._fault.kind:
             case "cut":
                 raise ConnectionAborted
@@ -225,7 +225,7 @@
     return len(messages) // CHARACTERS_PER_TOKEN
 
 
-async def _watch(
+async def _cancel_on_disconnect(
     receive: Any, record: EngineRecord, group: anyio.abc.TaskGroup
 ) -> None:
     await receive()
@@ -239,24 +239,26 @@
     return _event(record, {"choices": [choice]})
 
 
-def _usage_event(record: EngineRecord, sent: int, tokens: int) -> bytes:
+def _usage_event(
+    record: EngineRecord, prompt_count: int, tokens: int
+) -> bytes:
     usage = {
-        "prompt_tokens": sent,
+        "prompt_tokens": prompt_count,
         "completion_tokens": tokens,
-        "total_tokens": sent + tokens,
+        "total_tokens": prompt_count + tokens,
     }
     return _event(record, {"choices": [], "usage": usage})
 
 
 def _event(record: EngineRecord, content: dict[str, Any]) -> bytes:
-    whole = {
+    chunk = {
         "id": f"chatcmpl-{record.run_id}",
         "object": "chat.completion.chunk",
         "created": 0,
         "model": record.version,
         **content,
     }
-    return b"data: " + msgspec.json.encode(whole) + b"\n\n"
+    return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
 async def _main(arguments: list[str]) -> None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
@@ -50,11 +50,11 @@
         timeout_graceful_shutdown=0,
     )
     server = _Server(config)
-    host, bound = listener.getsockname()
+    host, bound_port = listener.getsockname()
     try:
         async with anyio.create_task_group() as group:
             group.start_soon(server.serve, [listener])
-            task_status.started(f"{host}:{bound}")
+            task_status.started(f"{host}:{bound_port}")
     finally:
         listener.close()
         for connection in list(server.server_state.connections):
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/in_memory_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/in_memory_control.py
@@ -92,9 +92,9 @@
 
     def take_messages(self, kind: type) -> list[Any]:
         """Return the messages of a kind that were sent since."""
-        found = [m for _, m in self.sent if isinstance(m, kind)]
+        matching = [m for _, m in self.sent if isinstance(m, kind)]
         self.sent = [(a, m) for a, m in self.sent if not isinstance(m, kind)]
-        return found
+        return matching
 
 
 class _Leases:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
@@ -78,7 +78,7 @@
 
     def __init__(self, control: FakeControlPort, group: TaskGroup) -> None:
         self.control = control
-        self.ledger = control.ledger
+        self.ledger = control.fake_ledger
         self.group = group
         self.entry: RunningEntry
         self.pool: httpcore.AsyncConnectionPool
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
@@ -82,33 +82,33 @@
             case "refuse":
                 await send_json(send, 503, {})
             case "error":
-                self._act(order)
+                self._apply_deliveries(order)
                 await send_json(send, 500, {})
             case "garbage":
-                self._act(order)
+                self._apply_deliveries(order)
                 await send_answer(send, 200, b"\x00\xff")
             case "cut":
-                self._act(order)
+                self._apply_deliveries(order)
                 raise ConnectionAborted
             case "silent":
                 await anyio.sleep(fault.pause_s)
             case "late":
-                status = self._act(order)
+                status = self._apply_deliveries(order)
                 await anyio.sleep(fault.pause_s)
                 await send_json(send, status, {})
             case "slow":
                 await anyio.sleep(fault.pause_s)
-                await send_json(send, self._act(order), {})
+                await send_json(send, self._apply_deliveries(order), {})
             case _:
-                await send_json(send, self._act(order), {})
+                await send_json(send, self._apply_deliveries(order), {})
 
-    def _act(self, order: ReceivedOrder) -> int:
+    def _apply_deliveries(self, order: ReceivedOrder) -> int:
         status = 202
         for _ in range(self.deliveries):
-            status = self._act_once(order)
+            status = self._apply(order)
         return status
 
-    def _act_once(self, order: ReceivedOrder) -> int:
+    def _apply(self, order: ReceivedOrder) -> int:
         if self.honours_fencing and order.fencing_number < self.highest_number:
             return 409
         self.highest_number = max(self.highest_number, order.fencing_number)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
@@ -24,10 +24,10 @@
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
         """Rate one answer."""
-        asked = msgspec.json.decode(await read_body(receive))
-        self.requests.append(asked)
+        request = msgspec.json.decode(await read_body(receive))
+        self.requests.append(request)
         fault = self.switch.next_fault()
-        rating = self.ratings.get(asked["version"], 0.0)
+        rating = self.ratings.get(request["version"], 0.0)
         match fault.kind:
             case "refuse":
                 await send_json(send, 503, {})
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
@@ -177,8 +177,12 @@
 def answer_head(request: bytes, *lines: bytes, status: int = 200) -> bytes:
     """Return status and headers of a server's answer to this request."""
     attempt = _ATTEMPT.search(request)
-    named = attempt.group(1) if attempt else b""
-    head = [b"HTTP/1.1 %d X" % status, b"x-attempt: " + named, b"x-stamp: s"]
+    attempt_id = attempt.group(1) if attempt else b""
+    head = [
+        b"HTTP/1.1 %d X" % status,
+        b"x-attempt: " + attempt_id,
+        b"x-stamp: s",
+    ]
     return b"\r\n".join([*head, *lines]) + b"\r\n\r\n"
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
@@ -31,10 +31,10 @@
 
 # A client's batches leave this far apart: as many entries together would.
 TICK_S: Final = 0.005
-CALL_BOUND_S: Final = 4.0
+CALL_TIMEOUT_S: Final = 4.0
 MICROSECONDS: Final = 1e6
-LONGEST_US: Final = 60_000_000
-DIGITS: Final = 3
+MAX_WAIT_US: Final = 60_000_000
+SIGNIFICANT_DIGITS: Final = 3
 
 
 class ClientRun(msgspec.Struct):
@@ -81,8 +81,8 @@
         self._name = name
         self._submit = submit
         self._shards = shards
-        self._number = 0
-        self._waits = HdrHistogram(1, LONGEST_US, DIGITS)
+        self._charge_count = 0
+        self._waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
         self._failed = 0
 
     async def run(self, load: Load) -> LoadResult:
@@ -101,7 +101,7 @@
                     for number in range(started, due)
                 ]
                 started = due
-                for records, due_s in self._batches(times_s):
+                for records, due_s in self._batch_by_shard(times_s):
                     tasks.start_soon(self._send, records, due_s)
                 await anyio.sleep(TICK_S)
         return LoadResult(
@@ -111,22 +111,22 @@
             self._waits.encode().decode(),
         )
 
-    def _batches(
+    def _batch_by_shard(
         self, times_s: list[float]
     ) -> list[tuple[list[LedgerRecord], list[float]]]:
         """Return what is due now, a batch for each shard."""
         batches: dict[int, tuple[list[LedgerRecord], list[float]]] = {}
         for due_s in times_s:
-            charge = self._charge()
+            charge = self._make_charge()
             shard = shard_of(charge.customer, charge.request_key, self._shards)
             records, due = batches.setdefault(shard, ([], []))
             records.append(charge)
             due.append(due_s)
         return list(batches.values())
 
-    def _charge(self) -> Charge:
-        self._number += 1
-        key = f"{self._name}-{self._number:024x}"
+    def _make_charge(self) -> Charge:
+        self._charge_count += 1
+        key = f"{self._name}-{self._charge_count:024x}"
         now_s = time.time()
         return Charge("bench", key, "nest-small@3", 1234, 900, 238, now_s)
 
@@ -144,7 +144,7 @@
             self._waits.record_value(max(1, wait_us))
 
 
-def batch_submit(mesh: PeerMesh, control: str, shards: int) -> Submit:
+def make_batch_submit(mesh: PeerMesh, control: str, shards: int) -> Submit:
     """Return a submit that sends one batch at once, and only once."""
 
     async def submit(records: list[LedgerRecord]) -> object:
@@ -154,7 +154,7 @@
         call_id = mesh.next_call_id()
         message = LedgerBatch(call_id, shard, encode_batch(records, 0.0))
         try:
-            reply = await mesh.call(control, call_id, message, CALL_BOUND_S)
+            reply = await mesh.call(control, call_id, message, CALL_TIMEOUT_S)
         except PeerTimeout as error:
             raise LedgerUnavailable("no answer") from error
         if reply.failure:
@@ -168,7 +168,7 @@
     """Answer loads until the input ends."""
     mesh = PeerMesh(free_address(), lambda: (CLUSTER_KEY.encode(),), _ignore)
     ledger = LedgerClient(mesh, lambda: run.control, lambda: run.shards)
-    submit = batch_submit(mesh, run.control, run.shards)
+    submit = make_batch_submit(mesh, run.control, run.shards)
     if run.as_entry:
         submit = ledger.submit
     client = Client(run.name, submit, run.shards)
@@ -194,11 +194,11 @@
     anyio.run(serve, msgspec.json.decode(sys.argv[1], type=ClientRun))
 
 __all__ = [
-    "batch_submit",
     "Client",
     "ClientRun",
     "Load",
     "LoadResult",
+    "make_batch_submit",
     "serve",
     "Submit",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/disk.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/disk.py
@@ -37,7 +37,7 @@
 def measure_syncs(folder: Path) -> SyncTimes:
     """Append and sync three files at once, as three voters would."""
     with ThreadPoolExecutor(WRITERS) as pool:
-        runs = list(pool.map(_sync_often, [folder] * WRITERS))
+        runs = list(pool.map(_sync_repeatedly, [folder] * WRITERS))
     return summarize([value for run in runs for value in run])
 
 
@@ -48,7 +48,7 @@
     )
 
 
-def _sync_often(folder: Path) -> list[float]:
+def _sync_repeatedly(folder: Path) -> list[float]:
     values_ms = []
     until_s = time.perf_counter() + SECONDS
     with tempfile.TemporaryFile(dir=folder) as stream:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
@@ -15,14 +15,14 @@
 from sycamorestand_bench.control_bench.child import Children
 from sycamorestand_bench.control_bench.restart import folder_bytes
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import read_usage
 from sycamorestand_bench.control_bench.usage import Usage
 from sycamorestand_bench.ledger_bench.client_process import ClientRun
-from sycamorestand_bench.ledger_bench.client_process import DIGITS
 from sycamorestand_bench.ledger_bench.client_process import Load
 from sycamorestand_bench.ledger_bench.client_process import LoadResult
-from sycamorestand_bench.ledger_bench.client_process import LONGEST_US
+from sycamorestand_bench.ledger_bench.client_process import MAX_WAIT_US
+from sycamorestand_bench.ledger_bench.client_process import SIGNIFICANT_DIGITS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -97,7 +97,7 @@
             for number in range(CLIENTS)
         ]
         self._run(Load(10.0, 0.5))
-        self._rest = self._at_rest()
+        self._rest_rates = self._measure_rest()
 
     def measure(self, records_per_s: float) -> LoadCost:
         """Run one load on all clients and return its cost."""
@@ -107,10 +107,10 @@
         results = self._run(Load(records_per_s / CLIENTS, LOAD_S))
         after = read_usage(pids)
         waits = combine(results)
-        leader = rate(before[self._leader], after[self._leader])
+        leader = rate_between(before[self._leader], after[self._leader])
         seconds = after[self._leader].at_s - before[self._leader].at_s
-        rows = max(1, waits.done)
-        sent = leader.sent_bytes_per_s - self._rest[0].sent_bytes_per_s
+        records = max(1, waits.done)
+        sent = leader.sent_bytes_per_s - self._rest_rates[0].sent_bytes_per_s
         memory = (
             after[self._leader].resident_mb - before[self._leader].resident_mb
         )
@@ -118,12 +118,16 @@
             self._shards,
             records_per_s,
             waits,
-            _extra_us(before, after, self._leader, self._rest[0], rows),
-            _extra_us(before, after, self._follower, self._rest[1], rows),
+            _extra_cpu_us(
+                before, after, self._leader, self._rest_rates[0], records
+            ),
+            _extra_cpu_us(
+                before, after, self._follower, self._rest_rates[1], records
+            ),
             leader.cpu_percent,
-            memory * MEGABYTE / rows,
-            (folder_bytes(self._folder) - disk_before) / rows,
-            sent * seconds / rows,
+            memory * MEGABYTE / records,
+            (folder_bytes(self._folder) - disk_before) / records,
+            sent * seconds / records,
         )
 
     def _run(self, load: Load) -> list[LoadResult]:
@@ -132,18 +136,20 @@
             answers = pool.map(lambda child: child.ask(line), self._clients)
             return [msgspec.convert(each, LoadResult) for each in answers]
 
-    def _at_rest(self) -> tuple[Rate, Rate]:
+    def _measure_rest(self) -> tuple[Rate, Rate]:
         pids = [self._leader, self._follower]
         before = read_usage(pids)
         time.sleep(REST_S)
         after = read_usage(pids)
-        leader, follower = (rate(before[pid], after[pid]) for pid in pids)
+        leader, follower = (
+            rate_between(before[pid], after[pid]) for pid in pids
+        )
         return leader, follower
 
 
 def combine(results: Sequence[LoadResult]) -> Waits:
     """Return the waits of all clients as those of one."""
-    waits = HdrHistogram(1, LONGEST_US, DIGITS)
+    waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
     for result in results:
         waits.decode_and_add(result.waits)
     done = sum(result.done for result in results)
@@ -180,17 +186,17 @@
     return middle._replace(waits=middle.waits._replace(failed=failed))
 
 
-def _extra_us(
+def _extra_cpu_us(
     before: dict[int, Usage],
     after: dict[int, Usage],
     pid: int,
     rest: Rate,
-    rows: int,
+    records: int,
 ) -> float:
     seconds = after[pid].at_s - before[pid].at_s
     used_s = after[pid].cpu_s - before[pid].cpu_s
     extra_s = used_s - rest.cpu_percent / 100 * seconds
-    return extra_s * MICROSECONDS / rows
+    return extra_s * MICROSECONDS / records
 
 
 __all__ = ["combine", "LoadCost", "measure_loads", "median_run", "Waits"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
@@ -38,7 +38,7 @@
     def __init__(self, request: bytes, rounds: int) -> None:
         self.first_ms: list[float] = []
         self.tokens = 0
-        self.whole = 0
+        self.complete_answers = 0
         self.finished = asyncio.get_running_loop().create_future()
         self._request = request
         self._rounds = rounds
@@ -61,9 +61,9 @@
         self._tail = (self._tail + data)[-32:]
         if DONE not in self._tail or not self._tail.endswith(b"0\r\n\r\n"):
             return
-        self.whole += 1
+        self.complete_answers += 1
         self._tail = b""
-        if self.whole < self._rounds:
+        if self.complete_answers < self._rounds:
             self._send()
             return
         self._transport.close()
@@ -96,7 +96,7 @@
     return {
         "first_ms": [ms for stream in streams for ms in stream.first_ms],
         "tokens": sum(stream.tokens for stream in streams),
-        "whole": sum(stream.whole for stream in streams),
+        "whole": sum(stream.complete_answers for stream in streams),
         "seconds": time.perf_counter() - begin_s,
     }
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/engine_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/engine_process.py
@@ -49,8 +49,8 @@
 class EngineConnection(asyncio.Protocol):
     """One connection; ``ticks`` holds the streams of each group."""
 
-    def __init__(self, ticks: list[set[EngineConnection]]) -> None:
-        self._ticks = ticks
+    def __init__(self, groups: list[set[EngineConnection]]) -> None:
+        self._groups = groups
         self._group: set[EngineConnection] = set()
         self._parser = httptools.HttpRequestParser(self)
         self._body = b""
@@ -74,11 +74,11 @@
         content = msgspec.json.decode(self._body)
         self._body = b""
         self._left = content["max_tokens"]
-        self._group = min(self._ticks, key=len)
+        self._group = min(self._groups, key=len)
         self._group.add(self)
         self._transport.write(HEAD + TOKEN)
 
-    def tick(self) -> bool:
+    def send_token(self) -> bool:
         """Send one token; tell whether more follow."""
         self._left -= 1
         if self._left > 0:
@@ -89,19 +89,19 @@
 
 
 async def _main(pause_s: float) -> None:
-    ticks: list[set[EngineConnection]] = [set() for _ in range(GROUPS)]
+    groups: list[set[EngineConnection]] = [set() for _ in range(GROUPS)]
     loop = asyncio.get_running_loop()
     server = await loop.create_server(
-        lambda: EngineConnection(ticks), "127.0.0.1", 0
+        lambda: EngineConnection(groups), "127.0.0.1", 0
     )
     host, port = server.sockets[0].getsockname()
     print(f"{host}:{port}", flush=True)
     due_s = loop.time()
     while True:
-        for group in ticks:
+        for group in groups:
             due_s += pause_s / GROUPS
             await asyncio.sleep(max(0.0, due_s - loop.time()))
-            group -= {stream for stream in group if not stream.tick()}
+            group -= {stream for stream in group if not stream.send_token()}
 
 
 if __name__ == "__main__":
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
@@ -31,7 +31,7 @@
 DESCRIPTORS: Final = "/proc/self/fd"
 
 
-def usage_now() -> dict[str, Any]:
+def current_usage() -> dict[str, Any]:
     """Return what this process has used, and whether it has io_uring."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return {
@@ -78,7 +78,7 @@
     async with anyio.create_task_group() as group:
         print(await group.start(serve, engine), flush=True)
         while await anyio.to_thread.run_sync(sys.stdin.readline):
-            print(msgspec.json.encode(usage_now()).decode(), flush=True)
+            print(msgspec.json.encode(current_usage()).decode(), flush=True)
         group.cancel_scope.cancel()
 
 
@@ -98,4 +98,10 @@
     main(sys.argv[1:])
 
 
-__all__ = ["main", "open_files", "serve_plain", "serve_product", "usage_now"]
+__all__ = [
+    "current_usage",
+    "main",
+    "open_files",
+    "serve_plain",
+    "serve_product",
+]
--- a/packages/sycamorestand-bench/tests/fakes/leading.py
+++ b/packages/sycamorestand-bench/tests/fakes/order_leaders.py
@@ -48,7 +48,7 @@
         self.cut_off_before = ""
         self.lost_after = ""
         self.after_intent: Callable[[], Awaitable[None]] | None = None
-        self.wanted = True
+        self.is_load_wanted = True
         self.channel = OrderChannel(
             LeaderLog(
                 lambda: self.term,
@@ -59,7 +59,7 @@
             ),
             lambda: cluster.servers,
             loads_at_once,
-            lambda _version: self.wanted,
+            lambda _version: self.is_load_wanted,
             lambda: cluster.now_s,
             lambda: cluster.now_s,
         )
--- a/packages/sycamorestand-bench/tests/fakes/test_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_engine.py
@@ -52,7 +52,7 @@
 ]
 
 
-def end_of(answer: Answer) -> str:
+def stream_end(answer: Answer) -> str:
     """Return how an answer ended."""
     if answer.status != 200:
         code: str = answer.json()["error"]["code"]
@@ -78,7 +78,7 @@
             engine.switch.fault = case.fault
             await loopback.add_engine(engine)
             answer = await loopback.chat(stream=True, Idempotency_Key="k")
-            assert end_of(answer) == case.end
+            assert stream_end(answer) == case.end
             whole = case.end == "[DONE]"
             if whole:
                 assert answer.text() == expected_text(LARGE, "k", 8)
@@ -98,14 +98,14 @@
             engine.switch.fault = Fault("cut", after=3, times=1)
             await loopback.add_engine(engine)
 
-            def next_fault() -> Fault:
+            def choose_fault() -> Fault:
                 fault = Fault("begin_again") if engine.records else first
                 return fault
 
             first = engine.switch.fault
-            engine.switch.next_fault = next_fault  # type: ignore[method-assign]
+            engine.switch.next_fault = choose_fault  # type: ignore[method-assign]
             answer = await loopback.chat(stream=True, Idempotency_Key="k")
-            assert end_of(answer) == "backend_failed"
+            assert stream_end(answer) == "backend_failed"
             assert answer.text() == expected_text(LARGE, "k", 3)
 
 
@@ -123,7 +123,7 @@
     return HEAD + b"content-length: %d\r\n\r\n" % length + body
 
 
-def first_only(fault: bytes | None) -> object:
+def fault_on_first(fault: bytes | None) -> object:
     """Return a script that shows the fault to the first request."""
 
     def script(count: int, request: bytes) -> bytes | None:
@@ -132,21 +132,21 @@
     return script
 
 
-def twice(count: int, request: bytes) -> bytes:
+def answer_twice(count: int, request: bytes) -> bytes:
     """Answer every request twice on its connection."""
     return raw_answer(request) * 2
 
 
 SCRIPTS = {
-    "twice": twice,
-    "closed": first_only(None),
-    "no HTTP": first_only(b"\x00\x01 hello\r\n\r\n"),
-    "huge head": first_only(HEAD + b"x: " + b"x" * 100_000),
-    "bad chunk": first_only(
+    "twice": answer_twice,
+    "closed": fault_on_first(None),
+    "no HTTP": fault_on_first(b"\x00\x01 hello\r\n\r\n"),
+    "huge head": fault_on_first(HEAD + b"x: " + b"x" * 100_000),
+    "bad chunk": fault_on_first(
         HEAD + b"transfer-encoding: chunked\r\n\r\nzz\r\nabc"
     ),
-    "cut head": first_only(HEAD[:20]),
-    "upgrade": first_only(
+    "cut head": fault_on_first(HEAD[:20]),
+    "upgrade": fault_on_first(
         b"HTTP/1.1 101 Switching\r\nupgrade: x\r\nconnection: upgrade\r\n\r\n"
     ),
 }
@@ -168,11 +168,11 @@
             for key in ("k1", "k2", "k3"):
                 answer = await loopback.chat(stream=True, Idempotency_Key=key)
                 assert answer.text() == key
-                assert end_of(answer) == "[DONE]"
+                assert stream_end(answer) == "[DONE]"
 
 
-NO_OBJECT = [b"data: no JSON\n\n", b"data: [1]\n\n"]
-MALFORMED = [
+NON_OBJECT_EVENTS = [b"data: no JSON\n\n", b"data: [1]\n\n"]
+MALFORMED_EVENTS = [
     b'data: {"choices":[7]}\n\n',
     b'data: {"choices":[{"delta":"text"}]}\n\n',
     b'data: {"choices":[{"delta":{"tool_calls":[{"index":1e9}]}}]}\n\n',
@@ -197,7 +197,7 @@
         )
         return await loopback.chat(Idempotency_Key="k")
 
-    @pytest.mark.parametrize("event", MALFORMED)
+    @pytest.mark.parametrize("event", MALFORMED_EVENTS)
     async def test_plain_answer_is_refused_unbilled(
         self, event: bytes
     ) -> None:
@@ -208,11 +208,11 @@
         """
         async with start_loopback() as loopback:
             answer = await self.ask(loopback, event)
-            assert end_of(answer) == "backend_failed"
+            assert stream_end(answer) == "backend_failed"
             assert not loopback.ledger.charges
             assert (await loopback.chat()).status == 200
 
-    @pytest.mark.parametrize("event", NO_OBJECT)
+    @pytest.mark.parametrize("event", NON_OBJECT_EVENTS)
     async def test_event_without_an_object_is_asked_for_again(
         self, event: bytes
     ) -> None:
--- a/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
@@ -20,8 +20,8 @@
 from sycamorestand_model.in_force import InForce
 from sycamorestand_model.in_force import RolloutShare
 
-from .leading import Cluster
-from .leading import Leader
+from .order_leaders import Cluster
+from .order_leaders import Leader
 
 pytestmark = pytest.mark.anyio
 
@@ -30,7 +30,7 @@
 WEIGHTS = {"nest-small/1": 7, "nest-small/2": 7, "nest-large/1": 70}
 
 
-class World:
+class PlannerHarness:
     """A leader's planner, and what it reads."""
 
     def __init__(self, store_address: str) -> None:
@@ -65,12 +65,12 @@
             announced = engine.announcement(self.addresses[name])
             self.cluster.servers[name] = announced
 
-    async def lead(self) -> None:
+    async def elect_leader(self) -> None:
         self.cluster.now_s = 5_000.0
         await self.leader.elect()
         self.cluster.now_s += WARM_UP_S
 
-    async def rounds(self, count: int = 1) -> list[Any]:
+    async def run_rounds(self, count: int = 1) -> list[Any]:
         """Plan so often, with announcements between, and return all."""
         given = []
         for _ in range(count):
@@ -99,29 +99,29 @@
             serve_on_port(engines[0].application) as first,
             serve_on_port(engines[1].application) as second,
         ):
-            world = World(store)
+            world = PlannerHarness(store)
             world.engines = {engine.name: engine for engine in engines}
             world.addresses = {"a": first, "b": second}
-            await world.lead()
+            await world.elect_leader()
             fake.switch.fault = Fault("refuse", times=1)
-            await world.rounds(1)
+            await world.run_rounds(1)
             assert not any(engine.received for engine in engines)
             world.cluster.now_s += 10.0
-            await world.rounds(3)
+            await world.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
             share = RolloutShare("2", 0.1, 1, "running")
             world.in_force = world.in_force._replace(
                 shares={"nest-small": share}
             )
-            await world.rounds(3)
+            await world.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
             assert world.planner.missing() == (SMALL_NEXT,)
             fake.size_bytes["nest-small/2"] = 7
             world.cluster.now_s += 60.0
-            await world.rounds(2)
+            await world.run_rounds(2)
             assert _loaded(engines) == [LARGE, SMALL, SMALL_NEXT]
             orders = len(world.cluster.machine.orders())
-            assert await world.rounds(3) == []
+            assert await world.run_rounds(3) == []
             assert len(world.cluster.machine.orders()) == orders
 
     async def test_a_withdrawn_version_with_requests_stays(self) -> None:
@@ -136,14 +136,14 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = World(store)
+            world = PlannerHarness(store)
             world.engines, world.addresses = {"a": engine}, {"a": address}
             world.in_force = world.in_force._replace(withdrawn=(SMALL,))
             world.loads["a"] = LoadReport(running=1)
-            await world.lead()
-            assert await world.rounds(2) == []
+            await world.elect_leader()
+            assert await world.run_rounds(2) == []
             del world.loads["a"]
-            given = await world.rounds(2)
+            given = await world.run_rounds(2)
         assert given == [("unload", "a", SMALL), ("load", "a", LARGE)]
         assert engine.versions == (LARGE,)
 
@@ -159,19 +159,19 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = World(store)
+            world = PlannerHarness(store)
             world.engines, world.addresses = {"a": engine}, {"a": address}
-            await world.lead()
-            assert await world.rounds(2) == [("load", "a", SMALL)]
+            await world.elect_leader()
+            assert await world.run_rounds(2) == [("load", "a", SMALL)]
             engine.versions = (LARGE,)
-            assert await world.rounds(1) == [("load", "a", SMALL)]
+            assert await world.run_rounds(1) == [("load", "a", SMALL)]
 
     async def test_a_new_leader_learns_first(self) -> None:
         """A leader is elected and has heard of one server of two.
 
         Planning at once would load on it what the other one holds.
         """
-        world = World("127.0.0.1:1")
+        world = PlannerHarness("127.0.0.1:1")
         world.engines = {"a": FakeOrderedEngine("a")}
         world.addresses = {"a": "127.0.0.1:1"}
         world.announce()
--- a/packages/sycamorestand-bench/tests/fakes/test_order_races.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_order_races.py
@@ -26,14 +26,14 @@
 from sycamorestand_state.orders import ENGINE_DELAY_S
 from sycamorestand_state.orders import ORDER_TIMEOUT_S
 
-from .leading import Cluster
-from .leading import Leader
+from .order_leaders import Cluster
+from .order_leaders import Leader
 
 # One server and two leaders, so that orders meet in most runs.
 SERVERS = ("a",)
 # For so long an old leader may still believe to have its quorum.
 OLD_LEASE_S = 0.7
-Fate = Literal["answered", "refused", "lost", "late"]
+Delivery = Literal["answered", "refused", "lost", "late"]
 
 leaders = integers(0, 1)
 actions = sampled_from(("load", "unload"))
@@ -42,7 +42,7 @@
 waits = sampled_from((0.0, 0.8, 7.0))
 
 
-class Late(NamedTuple):
+class LateOrder(NamedTuple):
     """An order that the engine may act on until ``until_s``."""
 
     until_s: float
@@ -62,8 +62,8 @@
         self.cluster = Cluster()
         self.processes = [Leader(self.cluster, 99) for _ in range(2)]
         self.applied: dict[str, list[RecordOrder]] = {s: [] for s in SERVERS}
-        self.on_way: list[Late] = []
-        self.fate: Fate = "answered"
+        self.in_flight: list[LateOrder] = []
+        self.fate: Delivery = "answered"
         for name in SERVERS:
             self.cluster.servers[name] = Announcement(
                 name, "engine", "127.0.0.1:1", "dc", 1, 1, (), max_versions=9
@@ -103,7 +103,7 @@
         self,
         who: int,
         action: str,
-        fate: Fate,
+        fate: Delivery,
         wait_s: float,
         pause_s: float,
         replaced: bool,
@@ -126,7 +126,7 @@
         leader.after_intent = None
 
     @rule(who=leaders, wait_s=waits, fate=fates)
-    def step(self, who: int, wait_s: float, fate: Fate) -> None:
+    def step(self, who: int, wait_s: float, fate: Delivery) -> None:
         self.wait(wait_s)
         self.fate = fate
         _run(self.processes[who].channel.step())
@@ -134,17 +134,17 @@
     @rule(length_s=waits)
     def wait(self, length_s: float) -> None:
         self.cluster.now_s += length_s
-        late = [o for o in self.on_way if o.until_s > self.cluster.now_s]
-        for order in self.on_way:
+        late = [o for o in self.in_flight if o.until_s > self.cluster.now_s]
+        for order in self.in_flight:
             if order not in late:
-                self._act(order.record)
-        self.on_way = late
+                self._apply(order.record)
+        self.in_flight = late
 
     @rule(which=integers(0, 9))
     def arrive(self, which: int) -> None:
-        if self.on_way:
-            late = self.on_way.pop(which % len(self.on_way))
-            self._act(late.record)
+        if self.in_flight:
+            late = self.in_flight.pop(which % len(self.in_flight))
+            self._apply(late.record)
 
     @invariant()
     def effects_are_in_the_order_of_numbers(self) -> None:
@@ -186,16 +186,16 @@
         if not may_send():
             return EngineOutcome("failed", "not sent")
         if self.fate == "answered":
-            self._act(record)
+            self._apply(record)
             return EngineOutcome("done", "")
         if self.fate == "refused":
             return EngineOutcome("failed", "")
         if self.fate == "late":
             until_s = self.cluster.now_s + ORDER_TIMEOUT_S + ENGINE_DELAY_S
-            self.on_way.append(Late(until_s, record))
+            self.in_flight.append(LateOrder(until_s, record))
         return EngineOutcome("unknown", "")
 
-    def _act(self, record: RecordOrder) -> None:
+    def _apply(self, record: RecordOrder) -> None:
         self.applied[record.backend_server].append(record)
 
 
--- a/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
@@ -13,8 +13,8 @@
 from sycamorestand_entry.announcements import decode_announcement
 from sycamorestand_model.backend_servers import LoadReport
 
-from .leading import Cluster
-from .leading import Leader
+from .order_leaders import Cluster
+from .order_leaders import Leader
 
 pytestmark = pytest.mark.anyio
 
@@ -255,7 +255,7 @@
             await old.elect()
             old.lost_after = "intended"
             await old.channel.give("load", "a", V1)
-            new.wanted = False
+            new.is_load_wanted = False
             await new.elect()
             cluster.now_s += FLIGHT_S
             await new.channel.step()
--- a/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
@@ -95,7 +95,7 @@
                 while not engine.applied:
                     await anyio.sleep(0.05)
             # Which one it is may have changed on a busy machine.
-            voters.sort(key=_leads)
+            voters.sort(key=_is_leader)
             leader, other = voters[-1], voters[0].process
             order_id = engine.applied[0].order_id
             assert _phases(leader.process)[order_id] == "intended"
@@ -152,7 +152,7 @@
         await anyio.sleep(0.2)
 
 
-def _leads(voter: Voter) -> bool:
+def _is_leader(voter: Voter) -> bool:
     return voter.process.groups.is_leader(CONFIGURATION_GROUP)
 
 
--- a/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
@@ -63,11 +63,11 @@
             assert await store.readiness(VERSION) == expected
             fake.switch.fault = Fault()
             assert await store.readiness(VERSION) == expected
-            asked = len(fake.requested)
+            requested = len(fake.requested)
             clock.now_s += FAULT_PAUSE_S
             assert await store.readiness(VERSION) == "ready"
         assert fake.requested == ["nest-small/1"] * len(fake.requested)
-        assert asked == (2 if expected == "ready" else 1)
+        assert requested == (2 if expected == "ready" else 1)
         refused = {} if expected == "ready" else {expected: 1}
         assert dict(store.refusals) == refused
 
--- a/packages/sycamorestand-bench/tests/test_control_bench.py
+++ b/packages/sycamorestand-bench/tests/test_control_bench.py
@@ -16,10 +16,10 @@
 from sycamorestand_bench.control_bench.target import ENTRIES
 from sycamorestand_bench.control_bench.target import fit_figures
 from sycamorestand_bench.control_bench.target import SERVERS
+from sycamorestand_bench.control_bench.usage import parse_cpu_s
+from sycamorestand_bench.control_bench.usage import parse_resident_mb
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
-from sycamorestand_bench.control_bench.usage import resident_mb
-from sycamorestand_bench.control_bench.usage import run_time_s
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import socket_bytes
 from sycamorestand_bench.control_bench.usage import Usage
 
@@ -69,14 +69,16 @@
         assert socket_bytes(SOCKETS, 4) == (0, 0)
 
     def test_proc_files(self) -> None:
-        assert run_time_s("1500000000 77 3\n") == 1.5
+        assert parse_cpu_s("1500000000 77 3\n") == 1.5
         status = "Name:\tx\nVmRSS:\t   1000 kB\nThreads:\t3\n"
-        assert resident_mb(status) == pytest.approx(1.024)
+        assert parse_resident_mb(status) == pytest.approx(1.024)
         with pytest.raises(ValueError, match="no resident memory"):
-            resident_mb("Name:\tx\n")
+            parse_resident_mb("Name:\tx\n")
 
     def test_rate(self) -> None:
-        found = rate(Usage(10, 1, 50, 100, 0), Usage(14, 1.2, 60, 500, 80))
+        found = rate_between(
+            Usage(10, 1, 50, 100, 0), Usage(14, 1.2, 60, 500, 80)
+        )
         assert tuple(found) == pytest.approx((5.0, 60.0, 100.0, 20.0))
 
 
--- a/packages/sycamorestand-bench/tests/test_ledger_bench.py
+++ b/packages/sycamorestand-bench/tests/test_ledger_bench.py
@@ -5,9 +5,9 @@
 from hdrh.histogram import HdrHistogram
 import pytest
 
-from sycamorestand_bench.ledger_bench.client_process import DIGITS
 from sycamorestand_bench.ledger_bench.client_process import LoadResult
-from sycamorestand_bench.ledger_bench.client_process import LONGEST_US
+from sycamorestand_bench.ledger_bench.client_process import MAX_WAIT_US
+from sycamorestand_bench.ledger_bench.client_process import SIGNIFICANT_DIGITS
 from sycamorestand_bench.ledger_bench.disk import summarize
 from sycamorestand_bench.ledger_bench.loads import combine
 from sycamorestand_bench.ledger_bench.loads import LoadCost
@@ -18,7 +18,7 @@
 
 
 def _result(waits_us: list[int], failed: int = 0) -> LoadResult:
-    waits = HdrHistogram(1, LONGEST_US, DIGITS)
+    waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
     for wait_us in waits_us:
         waits.record_value(wait_us)
     return LoadResult(len(waits_us), failed, 2.0, waits.encode().decode())
