--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of what an entry meets, for tests and bench scenarios."""
+"""Provide fakes of the peers of an entry, for tests and scenarios."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/announcer.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/announcer.py
@@ -1,4 +1,4 @@
-"""Announces a fake to an entry over HTTP and renews it."""
+"""Announce a fake backend server to entries over HTTP, repeatedly."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 from sycamorestand_model.backend_servers import Announcement
 
-# A server whose entry does not answer goes on to the next one; without a
-# bound one suspended entry would let all announcements run out.
+# In seconds. An entry that does not answer in time is skipped. Without a
+# timeout, one suspended entry would block the announcements to all others
+# until their leases expire.
 TIMEOUT: Final = {"connect": 1.0, "read": 1.0, "write": 1.0, "pool": 1.0}
 
 
 async def announce_once(
     entry: str, key: str, announcement: Announcement
 ) -> int:
-    """Send one announcement and return the answer's status."""
+    """Send one announcement and return the HTTP status of the answer."""
     content = announcement._asdict()
     content["load"] = announcement.load._asdict()
     async with httpcore.AsyncConnectionPool() as pool:
@@ -35,7 +36,11 @@
 async def keep_announcing(
     entries: list[str], key: str, announcement: Announcement
 ) -> None:
-    """Renew at every entry until cancelled, then announce the leaving."""
+    """Renew the announcement at every entry until cancelled.
+
+    It is renewed three times in each lease. On cancellation, a last
+    announcement tells the entries that the server leaves.
+    """
     sequence = announcement.sequence
     try:
         while True:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/control_port.py
@@ -1,4 +1,4 @@
-"""A control process in memory: plain dicts behind the entry's port."""
+"""Replace the control process by objects in memory."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 
 
 class FakeLedger:
-    """The ledger's own state machine without a log beneath it.
+    """A ledger that applies records to the real state machine, unlogged.
 
-    Entries that share it share their claims. A copy of its rules here
-    would drift from them: one did, and hid that an owner dispatches once.
+    Entries that share one instance share its claims. It uses the real
+    machine because a copy of the rules can diverge from them: an earlier
+    copy hid that the owner of a claim dispatches once.
     """
 
     def __init__(self) -> None:
@@ -46,7 +47,7 @@
         self._index = 0
 
     def apply(self, records: Sequence[LedgerRecord]) -> list[LedgerResult]:
-        """Apply a batch of records and answer it as the ledger does."""
+        """Apply a batch of records and return the result of each."""
         self._index += 1
         batch = encode_batch(records, time.time())
         results = self._machine.apply(self._index, batch)
@@ -67,7 +68,11 @@
 
 
 class FakeControlPort:
-    """A `ControlPort` whose state a test sets directly."""
+    """A `ControlPort` whose attributes a test sets directly.
+
+    The first ``ledger_failures`` calls of `write_ledger` fail;
+    ``lose_answers`` decides whether they apply their records.
+    """
 
     def __init__(self, configuration: InForce, ledger: FakeLedger) -> None:
         self.configuration = configuration
@@ -121,16 +126,18 @@
     async def write_ledger(
         self, records: Sequence[LedgerRecord]
     ) -> list[LedgerResult]:
-        """Apply the records; `ledger_failures` of the calls are refused.
+        """Apply the records after ``ledger_delay_s`` seconds.
 
-        With `lose_answers` a refused call has applied its records.
+        Raises `LedgerUnavailable` while ``ledger_failures`` is above zero
+        and decrements it. With ``lose_answers`` such a call applies its
+        records before it fails, like a ledger whose answer is lost.
         """
         await anyio.sleep(self.ledger_delay_s)
         failing = self.ledger_failures > 0
         if failing:
             self.ledger_failures -= 1
         if failing and not self.lose_answers:
-            raise LedgerUnavailable("the fake ledger is told to fail")
+            raise LedgerUnavailable("the fake ledger was set to fail")
         results = self.fake_ledger.apply(records)
         if failing:
             raise LedgerUnavailable("the fake ledger lost its answer")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/core_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the core of a replica, and of a simulated cluster of them."""
+"""Drive one consensus core, or a simulated cluster of them, in tests."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def entry(index: int, term: int) -> Entry:
-    """Return a command of this place in the log."""
+    """Return a command entry with this index and term."""
     return Entry(index, term, EntryKind.COMMAND, b"%d@%d" % (index, term))
 
 
 def make_core(term: int, entries: tuple[Entry, ...] = ()) -> Core:
-    """Return the core of member "a", restarted with these entries."""
+    """Return the core of member "a", recovered with these log entries."""
     snapshot = Snapshot(0, 0, MEMBERS, b"")
     recovered = Recovered(HardState(term, "", CLUSTER), snapshot, entries)
     return Core("a", SETTINGS, 1, recovered, now_s=0.0)
@@ -40,12 +40,15 @@
 def deliver(
     core: Core, sender: str, term: int, body: Body, now_s: float
 ) -> None:
-    """Hand the core a message of another member."""
+    """Deliver a message from another member to the core."""
     core.receive(Message(sender, "a", CLUSTER, term, body), now_s)
 
 
 def drain_and_sync(core: Core, now_s: float) -> list[Message]:
-    """Drain until nothing is left to write; return what was sent."""
+    """Drain the core and mark its batches as synced until none is left.
+
+    Returns the messages that the core sent.
+    """
     sent: list[Message] = []
     while True:
         output = core.drain(now_s)
@@ -56,7 +59,7 @@
 
 
 def win_election(core: Core, now_s: float) -> None:
-    """Let "a" win an election with the vote of "b"."""
+    """Make "a" the leader through a pre-vote and a vote of "b"."""
     campaign = core.state.term + 1
     core.tick(now_s)
     vote = VoteReply(campaign, pre=True, granted=True)
@@ -69,12 +72,12 @@
 
 
 def append_success(index: int, stamp: Stamp = STAMP) -> AppendReply:
-    """Return a follower's yes to all entries up to this one."""
+    """Return the reply of a follower that matches up to this index."""
     return AppendReply(True, index, 0, 0, 0, stamp)
 
 
 def make_cluster(count: int = 3, **settings: int) -> Cluster:
-    """Return a cluster that has elected its first leader."""
+    """Return a simulated cluster that has elected its first leader."""
     cluster = Cluster(count, SETTINGS._replace(**settings), seed=5)
     cluster.bootstrap(cluster.nodes)
     run(cluster, 3.0)
@@ -82,20 +85,20 @@
 
 
 def run(cluster: Cluster, seconds: float) -> None:
-    """Let the time go on and deliver what is sent."""
+    """Advance the time in steps of 0.05 s and deliver the messages."""
     for _ in range(int(seconds / 0.05)):
         cluster.advance(0.05)
         cluster.exchange()
 
 
 def leader_of(cluster: Cluster) -> Node:
-    """Return the only leader."""
+    """Return the only leader; raise `ValueError` unless there is one."""
     (leader,) = cluster.leaders()
     return leader
 
 
 def other_than(cluster: Cluster, *nodes: Node) -> Node:
-    """Return a running node that is none of these."""
+    """Return a running node that is not among these."""
     return next(n for n in cluster.running() if n not in nodes)
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/declared.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/declared.py
@@ -1,4 +1,4 @@
-"""Declarations that the tests and scenarios of the entry use."""
+"""Define the declarations that tests and scenarios share."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 
 
 def guild_configuration() -> InForce:
-    """Return two models with two versions, a cascade and a service."""
+    """Return a configuration with two models of two versions each.
+
+    It declares the profile "review", which is a cascade of both models, a
+    profile for each model alone, two customers and the service "orders".
+    """
     small = _model("nest-small", 100_000, 400_000)
     large = _model("nest-large", 1_000_000, 4_000_000)
     cascade = (CascadeStep("nest-small"), CascadeStep("nest-large"))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
@@ -1,4 +1,8 @@
-"""A model engine with OpenAI's streaming interface and fault switches."""
+"""Fake a model engine with OpenAI's streaming interface and faults.
+
+Run as a module, it takes a port, a token rate and versions as arguments
+and prints its address.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class EngineRecord:
-    """What one run did; a resumed run keeps its record."""
+    """The course of one run; a resumed run continues its record."""
 
     def __init__(self, headers: dict[str, str], version: str) -> None:
         self.request_key = headers.get("x-request-key", "")
@@ -41,9 +45,9 @@
 
 
 class FakeEngine:
-    """State of one engine; `application` serves it.
+    """The state of one engine; `application` is its ASGI application.
 
-    A ``tokens_per_s`` of zero sends as fast as the connection takes it.
+    With ``tokens_per_s`` at zero, tokens are sent without a pause.
     """
 
     def __init__(
@@ -63,7 +67,11 @@
         self.most_running = 0
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Answer one request.
+
+        Besides chat completions, ``/fake/fault`` sets the fault to inject
+        and ``/fake/runs`` lists the records of all runs.
+        """
         body = await read_body(receive)
         path = scope["path"]
         if path == "/fake/fault":
@@ -203,24 +211,24 @@
 
 
 def token_text(record: EngineRecord, index: int) -> str:
-    """Return a token that shows whose answer it belongs to."""
+    """Return a token that names the request to which it belongs."""
     return expected_token(record.version, record.request_key, index)
 
 
 def expected_token(version: str, request_key: str, index: int) -> str:
-    """Return the token at this place of a request's answer."""
+    """Return the token at this index of the answer to a request."""
     return f"{version}/{request_key}/{index} "
 
 
 def expected_text(version: str, request_key: str, tokens: int) -> str:
-    """Return the whole answer to a request."""
+    """Return the complete text of the answer to a request."""
     return "".join(
         expected_token(version, request_key, index) for index in range(tokens)
     )
 
 
 def prompt_tokens(content: dict[str, Any]) -> int:
-    """Return how many tokens the fake counts for a request's messages."""
+    """Return the number of prompt tokens that the fake reports."""
     messages = msgspec.json.encode(content["messages"])
     return len(messages) // CHARACTERS_PER_TOKEN
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Which fault a fake shows, and to how many of the next requests."""
+"""Define the faults that a fake injects into its next requests."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Fault(NamedTuple):
-    """A fault after ``after`` tokens, for ``times`` requests.
+    """A fault that is injected after ``after`` tokens of an answer.
 
-    A ``times`` below zero goes on for ever. ``pause_s`` is the wait of
-    the faults that are about time.
+    It affects the next ``times`` requests, or all of them if ``times`` is
+    negative. ``pause_s`` is the delay of the faults that delay an answer.
     """
 
     kind: FaultKind = "none"
@@ -36,13 +36,13 @@
 
 
 class FaultSwitch:
-    """Hands the fault that is set to the next requests."""
+    """Selects the fault for each request."""
 
     def __init__(self) -> None:
         self.fault = Fault()
 
     def next_fault(self) -> Fault:
-        """Return the fault for one request."""
+        """Return the fault for the next request and count it."""
         fault = self.fault
         if fault.times == 0:
             return Fault()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
@@ -1,4 +1,4 @@
-"""Serves the ASGI application of a fake on a port of the system's choice."""
+"""Serve the ASGI application of a fake on a loopback port."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ConnectionAborted(Exception):
-    """Raised by a fake to end a connection in the middle."""
+    """Raised by a fake to close a connection in the middle of an answer."""
 
 
 class _Server(uvicorn.Server):
@@ -29,7 +29,11 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; starts with the address as ``host:port``."""
+    """Serve until cancelled; report ``host:port`` to ``task_status``.
+
+    Port 0 lets the operating system choose a free port. Cancelling it
+    aborts the open connections.
+    """
     listener = socket.socket(proto=socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(("127.0.0.1", port))
@@ -64,7 +68,10 @@
 
 
 async def read_body(receive: Any) -> bytes:
-    """Return the whole body of a request."""
+    """Return the complete body of a request.
+
+    Raises `ConnectionAborted` if the client disconnects before its end.
+    """
     parts: list[bytes] = []
     more = True
     while more:
@@ -83,7 +90,7 @@
     kind: bytes = b"application/json",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send an answer with headers and body."""
     await send(
         {
             "type": "http.response.start",
@@ -99,7 +106,7 @@
 
 
 async def send_json(send: Any, status: int, content: Any) -> None:
-    """Send a whole answer of JSON."""
+    """Send an answer whose body is the content encoded as JSON."""
     await send_answer(send, status, msgspec.json.encode(content))
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/in_memory_control.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/in_memory_control.py
@@ -1,4 +1,4 @@
-"""A control process in memory that tells entries what a real one tells."""
+"""Run the entry hub of a control process in memory, without a network."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class InMemoryControl:
-    """The tables and the hub of one control process, with a fake mesh.
+    """The shared tables and entry hub of one control process.
 
-    Entries attach with `attach`; `deliver` hands a link all that was sent
-    to it since, in its order.
+    Entries attach with `attach`. The hub sends to a `FakeMesh`, and
+    `deliver` passes the messages on to a link in the order of sending.
     """
 
     def __init__(self, configuration: InForce) -> None:
@@ -42,7 +42,7 @@
         self._requests = 0
 
     def attach(self, number: int) -> None:
-        """Renew the lease of the entry with a number."""
+        """Request a lease for the entry with this number."""
         self._requests += 1
         request = LeaseRequest(
             entry_address(number), 1, self._requests, 0.0, 0
@@ -51,7 +51,10 @@
         self._hub.handle_lease_request(sender, request)
 
     def deliver(self, link: ControlLink) -> None:
-        """Tell a link what it is to know now."""
+        """Push address lists and deliver the link's pending messages.
+
+        Pending messages to other addresses are dropped.
+        """
         self._hub._push_addresses()
         sent, self._mesh.sent = self._mesh.sent, []
         for address, message in sent:
@@ -60,7 +63,7 @@
 
 
 def entry_address(number: int) -> EntryAddress:
-    """Return the address of the entry with a number."""
+    """Return the address of the entry with this number."""
     host = f"10.1.{number // 250}.{number % 250 + 1}"
     centre = DATA_CENTRES[number % len(DATA_CENTRES)]
     peer = f"{host}:7001"
@@ -68,7 +71,7 @@
 
 
 def make_link(number: int) -> ControlLink:
-    """Return the link of the entry with a number, which is not run."""
+    """Return a link for the entry with this number, without starting it."""
     own = entry_address(number)
     settings = LinkSettings(
         own.vm, own.data_centre, own.peer_address, (CONTROL,), (b"k" * 32,)
@@ -77,7 +80,7 @@
 
 
 class FakeMesh:
-    """Keeps what is sent, in place of a mesh."""
+    """Stands in for `PeerMesh` and records the messages that are sent."""
 
     incarnation = 1
 
@@ -91,14 +94,14 @@
     def close_link(self, address: str) -> None: ...
 
     def take_messages(self, kind: type) -> list[Any]:
-        """Return the messages of a kind that were sent since."""
+        """Remove the recorded messages of one type and return them."""
         matching = [m for _, m in self.sent if isinstance(m, kind)]
         self.sent = [(a, m) for a, m in self.sent if not isinstance(m, kind)]
         return matching
 
 
 class _Leases:
-    """Grants every lease, as a process with a quorum does."""
+    """Grants every lease, like a control process that has a quorum."""
 
     def __init__(self, revision: int) -> None:
         self._revision = revision
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/loopback.py
@@ -1,4 +1,4 @@
-"""An entry with fakes around it, all in one process on loopback."""
+"""Run an entry with fakes in one process on the loopback interface."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
 
 
 class Answer(NamedTuple):
-    """An answer that a caller got."""
+    """The status, headers and body that a caller received."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the decoded body."""
+        """Return the body decoded from JSON."""
         return msgspec.json.decode(self.body)
 
     def events(self) -> list[Any]:
-        """Return the decoded events; the last one may be ``[DONE]``."""
+        """Return the decoded events; ``[DONE]`` stays a string."""
         events: list[Any] = []
         for part in self.body.decode().split("\n\n"):
             text = part.removeprefix("data: ")
@@ -74,7 +74,7 @@
 
 
 class Loopback:
-    """The entry, its control port, and calls as a caller makes them."""
+    """A running entry, its fake control port and a client for calls."""
 
     def __init__(self, control: FakeControlPort, group: TaskGroup) -> None:
         self.control = control
@@ -89,7 +89,7 @@
         return f"http://{self.entry.host}:{self.entry.port}"
 
     async def add_engine(self, engine: FakeEngine, **fields: Any) -> None:
-        """Serve an engine and make it known."""
+        """Serve an engine and announce it with these further fields."""
         address = await self.group.start(serve_application, engine.application)
         self.control.servers[engine.name] = Announcement(
             engine.name,
@@ -104,7 +104,7 @@
         )
 
     async def add_service(self, service: FakeService) -> None:
-        """Serve a plain service and make it known."""
+        """Serve a plain service and announce it."""
         address = await self.group.start(
             serve_application, service.application
         )
@@ -126,7 +126,7 @@
         key: str = CALLER_KEY,
         **headers: str,
     ) -> Answer:
-        """Call the entry; header names take ``_`` for ``-``."""
+        """Call the entry; ``_`` in a header name is sent as ``-``."""
         sent: list[tuple[bytes | str, bytes | str]] = [
             (name.replace("_", "-"), value.encode("latin-1"))
             for name, value in headers.items()
@@ -151,14 +151,14 @@
         key: str = CALLER_KEY,
         **headers: str,
     ) -> Answer:
-        """Ask for a chat completion."""
+        """Request a chat completion."""
         body = chat_body(profile, stream, tokens)
         path = "/v1/chat/completions"
         return await self.call("POST", path, body, key, **headers)
 
 
 def chat_body(profile: str, stream: bool, tokens: int = 8) -> bytes:
-    """Return the body of a request for a chat completion."""
+    """Return the JSON body of a request for a chat completion."""
     content = {
         "model": profile,
         "messages": [{"role": "user", "content": "Explain the scrap."}],
@@ -170,7 +170,7 @@
 
 @asynccontextmanager
 async def serve_on_port(application: Any) -> AsyncIterator[str]:
-    """Serve the application of a fake and return its address."""
+    """Serve the application of a fake and yield its address."""
     async with anyio.create_task_group() as group:
         address = await group.start(serve_application, application)
         yield address
@@ -183,7 +183,7 @@
     ledger: FakeLedger | None = None,
     random: Random | None = None,
 ) -> AsyncIterator[Loopback]:
-    """Start an entry with a fake control process and no servers."""
+    """Start an entry with a fake control port and no backend servers."""
     control = FakeControlPort(guild_configuration(), ledger or FakeLedger())
     async with AsyncExitStack() as stack:
         group = await stack.enter_async_context(anyio.create_task_group())
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
@@ -1,7 +1,7 @@
-"""An engine that takes orders to load and unload versions.
+"""Fake an engine that accepts orders to load and unload versions.
 
-It keeps every order that reached it and every one that it acted on, so
-that a test compares what the sender believes with what happened.
+It records the orders that it received and those that it applied, so that
+a test can compare the state that the sender recorded with the effect.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class FakeOrderedEngine:
-    """State of one engine; `application` takes its orders.
+    """The state of one engine; `application` receives its orders.
 
-    ``deliveries`` above one acts on each order that often, as a network
-    does that delivers a request twice.
+    The engine applies each order ``deliveries`` times, to simulate a
+    network that delivers a request twice.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.highest_number = 0
 
     def announcement(self, address: str, sequence: int = 1) -> Announcement:
-        """Return what the engine announces of itself now."""
+        """Return the announcement of the engine's current state."""
         return Announcement(
             self.name,
             "engine",
@@ -72,7 +72,7 @@
         )
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Take one order."""
+        """Receive one order and inject the current fault."""
         body = await read_body(receive)
         fields = msgspec.json.decode(body, type=dict[str, Any])
         order = ReceivedOrder(**fields)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
@@ -1,4 +1,4 @@
-"""A rating service that rates versions as it was told."""
+"""Fake a rating service with a fixed rating for each version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeRating:
-    """State of the rating service; `application` serves it."""
+    """The state of a rating service; `application` serves it."""
 
     def __init__(self, ratings: dict[str, float]) -> None:
         self.ratings = ratings
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/raw_server.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/raw_server.py
@@ -1,4 +1,4 @@
-"""Answers HTTP requests with any bytes, for faults below HTTP."""
+"""Answer HTTP requests with arbitrary bytes, to inject wire faults."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from anyio.abc import SocketStream
 from anyio.abc import TaskStatus
 
-# What to write for the n-th request, counted over all connections; None
-# closes the connection without an answer.
+# Returns the bytes to send for the n-th request, counted over all
+# connections, or None to close the connection without an answer.
 Script = Callable[[int, bytes], bytes | None]
 
 _LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
@@ -22,7 +22,7 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; starts with the address as ``host:port``."""
+    """Answer by the script; report ``host:port`` to ``task_status``."""
     count = 0
 
     async def handle(stream: SocketStream) -> None:
@@ -47,7 +47,10 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Hand each connection to ``handle``; starts with the address."""
+    """Call ``handle`` for each connection until cancelled.
+
+    Reports the address as ``host:port`` to ``task_status``.
+    """
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with listener:
@@ -56,7 +59,7 @@
 
 
 async def read_request(stream: SocketStream) -> bytes:
-    """Return the bytes of one request whose body has a length or none."""
+    """Return the bytes of one request; its body must not be chunked."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += await stream.receive()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/routed.py
@@ -1,4 +1,4 @@
-"""An entry for routed requests, with scripted servers, on loopback."""
+"""Run an entry for routed requests with scripted backend servers."""
 
 from __future__ import annotations
 
@@ -100,7 +100,10 @@
 
 
 class RoutedLoopback:
-    """The entry, its control port, and what its servers were sent."""
+    """A running entry, its fake control port and the forwarded requests.
+
+    ``requests`` holds the server's name and the bytes of each request.
+    """
 
     def __init__(self, control: FakeControlPort, group: anyio.abc.TaskGroup):
         self.control = control
@@ -109,7 +112,7 @@
         self.entry: RunningEntry
 
     async def add_server(self, name: str, handler: Handler) -> None:
-        """Serve a service by a handler that is called for each request.
+        """Add a backend server that calls a handler for each request.
 
         A handler that raises `EndOfStream` closes the connection.
         """
@@ -130,18 +133,18 @@
         )
 
     async def connect(self) -> SocketStream:
-        """Return a connection as a caller makes it."""
+        """Return a new connection to the entry."""
         return await anyio.connect_tcp(self.entry.host, self.entry.port)
 
     async def ask(self, path: str, **headers: str) -> bytes:
-        """Return all bytes of the answer to one request."""
+        """Send one request and return all bytes of the answer."""
         async with await self.connect() as stream:
             await stream.send(request_bytes(path, **headers))
             return await read_to_end(stream)
 
 
 def with_sizes(in_force: InForce) -> InForce:
-    """Return the configuration with models on the route of streams."""
+    """Return the configuration with model sizes on the route "review"."""
     declared = in_force.declarations
     review = declared.routes["review"]._replace(sizes=SIZES)
     routes = {**declared.routes, "review": review}
@@ -149,7 +152,10 @@
 
 
 def request_bytes(path: str, **headers: str) -> bytes:
-    """Return a request on a connection of its own."""
+    """Return the bytes of a request that closes its connection.
+
+    ``_`` in a header name is sent as ``-``.
+    """
     lines = [f"POST {path} HTTP/1.1", f"host: {HOST}", "connection: close"]
     headers.setdefault("x_attempt", "a1")
     headers.setdefault("content_length", "0")
@@ -159,7 +165,7 @@
 
 
 async def read_to_end(stream: SocketStream) -> bytes:
-    """Return what comes until the connection ends."""
+    """Return all bytes until the peer closes the connection."""
     data = b""
     with anyio.fail_after(10):
         while True:
@@ -170,12 +176,12 @@
 
 
 def answer_bytes(request: bytes, body: bytes = b"ok") -> bytes:
-    """Return a server's whole success to this request."""
+    """Return a server's complete answer to this request, status 200."""
     return answer_head(request, b"content-length: %d" % len(body)) + body
 
 
 def answer_head(request: bytes, *lines: bytes, status: int = 200) -> bytes:
-    """Return status and headers of a server's answer to this request."""
+    """Return the head of an answer that repeats the attempt's id."""
     attempt = _ATTEMPT.search(request)
     attempt_id = attempt.group(1) if attempt else b""
     head = [
@@ -187,7 +193,7 @@
 
 
 def stream_head(request: bytes) -> bytes:
-    """Return status and headers of a stream of events in chunks."""
+    """Return the head of a chunked answer that is an event stream."""
     return answer_head(
         request,
         b"content-type: text/event-stream",
@@ -196,7 +202,7 @@
 
 
 def event(number: int) -> bytes:
-    """Return an event in a chunk of its own."""
+    """Return one server-sent event as one HTTP chunk."""
     data = b"id: %d\ndata: d%d\n\n" % (number, number)
     return b"%x\r\n%b\r\n" % (len(data), data)
 
@@ -205,7 +211,7 @@
 async def start_routed(
     settings: EntrySettings = SETTINGS,
 ) -> AsyncIterator[RoutedLoopback]:
-    """Start an entry for routed requests without servers."""
+    """Start an entry for routed requests without backend servers."""
     configuration = routed_configuration()
     control = FakeControlPort(configuration, FakeLedger())
     async with anyio.create_task_group() as group:
@@ -222,7 +228,7 @@
 
 
 def routed_configuration() -> InForce:
-    """Return the guild's declarations with `ROUTES`."""
+    """Return the configuration of `guild_configuration` with `ROUTES`."""
     configuration = guild_configuration()
     declarations = configuration.declarations._replace(
         routes={route.name: route for route in ROUTES}
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
@@ -1,4 +1,4 @@
-"""A plain service; its POST calls must not be repeated."""
+"""Fake a plain service whose POST calls are not idempotent."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ServiceRecord(NamedTuple):
-    """One call that ran."""
+    """A call that the service executed."""
 
     request_key: str
     customer: str
@@ -27,7 +27,7 @@
 
 
 class FakeService:
-    """State of one plain service; `application` serves it."""
+    """The state of one plain service; `application` serves it."""
 
     def __init__(self, name: str, services: tuple[str, ...]) -> None:
         self.name = name
@@ -36,7 +36,7 @@
         self.records: list[ServiceRecord] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Run one call."""
+        """Execute one call, or set the fault through ``/fake/fault``."""
         body = await read_body(receive)
         headers = {
             name.decode(): value.decode("latin-1")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
@@ -1,4 +1,4 @@
-"""A weight store that says whether a load may begin."""
+"""Fake a weight store, which answers whether a load may begin."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class FakeWeightStore:
-    """State of the weight store; `application` serves it.
+    """The state of a weight store; `application` serves it.
 
-    ``size_bytes`` is by path below ``/weights/``. ``retry_after`` is the
-    header's value of a store that is at its rate.
+    ``size_bytes`` maps paths below ``/weights/`` to sizes. A refusal, which
+    means that the store is at its rate limit, sends ``retry_after`` as its
+    header unless it is empty.
     """
 
     def __init__(self, size_bytes: dict[str, int]) -> None:
@@ -27,7 +28,7 @@
         self.requested: list[str] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Tell of one version's weights."""
+        """Return the size of one version's weights, or status 404."""
         await read_body(receive)
         name = scope["path"].removeprefix("/weights/")
         self.requested.append(name)
