--- a/packages/sycamorestand-bench/tests/fakes/conftest.py
+++ b/packages/sycamorestand-bench/tests/fakes/conftest.py
@@ -1,4 +1,4 @@
-"""Runs asynchronous tests on asyncio, which the entry is written for."""
+"""Run asynchronous tests on asyncio, the only loop that entries use."""
 
 from __future__ import annotations
 
--- a/packages/sycamorestand-bench/tests/fakes/order_leaders.py
+++ b/packages/sycamorestand-bench/tests/fakes/order_leaders.py
@@ -1,4 +1,4 @@
-"""Leaders on one log in memory, with clocks that tests set."""
+"""Run order channels of several leaders on one log in memory."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class Cluster:
-    """The log, the clock, and the servers that all leaders see."""
+    """The state machine, clock and announced servers that leaders share.
+
+    A test advances the clock by ``now_s``.
+    """
 
     def __init__(self) -> None:
         self.machine = ConfigurationMachine()
@@ -33,11 +36,13 @@
 
 
 class Leader:
-    """One process; `elect` has it lead in a new term.
+    """A control process with an order channel; `elect` makes it leader.
 
-    ``lost_after`` names a phase after whose commit the answer is lost and
-    the process is cut off, ``cut_off_before`` one that it cannot commit;
-    it still believes to lead. ``after_intent`` runs before the sending.
+    ``cut_off_before`` names a phase that the process cannot commit.
+    ``lost_after`` names a phase that is committed although its answer is
+    lost. Either isolates the process, which still takes itself for the
+    leader. ``after_intent`` runs between the commit of an intent and the
+    sending of its order.
     """
 
     def __init__(self, cluster: Cluster, loads_at_once: int = 2) -> None:
@@ -65,7 +70,7 @@
         )
 
     async def elect(self) -> None:
-        """Lead in a new term, with the predecessor's lease run out."""
+        """Become leader of a new term and let the previous lease expire."""
         self.cluster.term += 1
         self.term = self.cluster.term
         await self.channel.step()
--- a/packages/sycamorestand-bench/tests/fakes/test_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_engine.py
@@ -1,4 +1,4 @@
-"""Contract of a model engine, with a table of its faults."""
+"""Test how an entry handles the faults of a model engine."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Case(NamedTuple):
-    """A fault of the engine and what the caller of a stream gets.
+    """A fault of the engine and the end of the stream that a caller gets.
 
-    ``end`` is ``[DONE]`` for a whole answer, or the code of the error.
+    ``end`` is ``[DONE]`` for a complete answer, or the error code.
     """
 
     fault: Fault
@@ -53,7 +53,7 @@
 
 
 def stream_end(answer: Answer) -> str:
-    """Return how an answer ended."""
+    """Return ``[DONE]`` or the error code with which an answer ended."""
     if answer.status != 200:
         code: str = answer.json()["error"]["code"]
         return code
@@ -63,13 +63,13 @@
 
 class TestEngineFaults:
     @pytest.mark.parametrize("case", CASES)
-    async def test_caller_gets_a_whole_answer_or_an_error(
+    async def test_caller_gets_a_complete_answer_or_an_error(
         self, case: Case
     ) -> None:
-        """The engine shows one fault of the table.
+        """Guard against a partial answer that is billed or looks complete.
 
-        The caller gets the whole answer to its own request and one
-        charge, or an error and no charge; and the next request works.
+        For each fault, the caller gets either the complete answer and one
+        charge, or an error and no charge. The next request succeeds.
         """
         async with start_loopback() as loopback:
             engine = FakeEngine(
@@ -87,11 +87,11 @@
             again = await loopback.chat(stream=True, Idempotency_Key="k2")
             assert again.text() == expected_text(LARGE, "k2", 8)
 
-    async def test_resume_that_begins_again_is_not_taken(self) -> None:
-        """The engine breaks off, then begins again instead of resuming.
+    async def test_resume_that_starts_over_is_rejected(self) -> None:
+        """Guard against sending the first tokens to the caller twice.
 
-        Its answer does not name the event that was asked for. Taking it
-        would give the caller the first tokens twice.
+        The engine's connection breaks; asked to resume, the engine starts
+        over. Its answer lacks the header that names the requested event.
         """
         async with start_loopback() as loopback:
             engine = FakeEngine("engine-1", (LARGE,), can_resume=True)
@@ -114,7 +114,7 @@
 
 
 def raw_answer(request: bytes, whole: bool = True) -> bytes:
-    """Return a short answer that names the request's key."""
+    """Return a short answer whose text is the request's key."""
     match = _KEY.search(request)
     key = match.group(1) if match else b""
     delta = b'{"choices":[{"delta":{"content":"' + key + b'"}}]}'
@@ -124,7 +124,7 @@
 
 
 def fault_on_first(fault: bytes | None) -> object:
-    """Return a script that shows the fault to the first request."""
+    """Return a script that answers only the first request by the fault."""
 
     def script(count: int, request: bytes) -> bytes | None:
         return fault if count == 1 else raw_answer(request)
@@ -133,7 +133,7 @@
 
 
 def answer_twice(count: int, request: bytes) -> bytes:
-    """Answer every request twice on its connection."""
+    """Send the answer to every request twice on its connection."""
     return raw_answer(request) * 2
 
 
@@ -155,10 +155,11 @@
 class TestWireFaults:
     @pytest.mark.parametrize("name", SCRIPTS)
     async def test_each_request_gets_its_own_answer(self, name: str) -> None:
-        """The engine answers twice, or with bytes that are no HTTP.
+        """Guard against answering a request with another one's answer.
 
-        A second answer must not become the answer to the next request;
-        broken ones are asked for again on a new connection.
+        An engine that answers twice must not have its second answer taken
+        for the answer to the next request. After invalid HTTP the entry
+        retries on a new connection.
         """
         async with start_loopback() as loopback:
             address = await loopback.group.start(serve_script, SCRIPTS[name])
@@ -182,7 +183,7 @@
 
 class TestMalformedEvents:
     async def ask(self, loopback: Loopback, event: bytes) -> Answer:
-        """Ask an engine whose first answer holds this event."""
+        """Call an engine whose first answer contains this event."""
 
         def script(count: int, request: bytes) -> bytes:
             if count > 1:
@@ -198,13 +199,13 @@
         return await loopback.chat(Idempotency_Key="k")
 
     @pytest.mark.parametrize("event", MALFORMED_EVENTS)
-    async def test_plain_answer_is_refused_unbilled(
+    async def test_plain_answer_of_invalid_events_is_an_error_unbilled(
         self, event: bytes
     ) -> None:
-        """The engine's events hold JSON of another form.
+        """Guard against a crash on events whose JSON has another schema.
 
-        No answer can be made of them: the caller hears so, nothing is
-        billed, and the process serves the next request.
+        The entry cannot assemble an answer from them. It returns an error,
+        bills nothing, and serves the next request.
         """
         async with start_loopback() as loopback:
             answer = await self.ask(loopback, event)
@@ -213,7 +214,7 @@
             assert (await loopback.chat()).status == 200
 
     @pytest.mark.parametrize("event", NON_OBJECT_EVENTS)
-    async def test_event_without_an_object_is_asked_for_again(
+    async def test_event_without_a_json_object_is_retried(
         self, event: bytes
     ) -> None:
         async with start_loopback() as loopback:
--- a/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
@@ -1,4 +1,4 @@
-"""The planner with its channel, a weight store and engines that load."""
+"""Test the load planner with a weight store and engines."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class PlannerHarness:
-    """A leader's planner, and what it reads."""
+    """A leader's load planner with the inputs that tests set."""
 
     def __init__(self, store_address: str) -> None:
         self.cluster = Cluster()
@@ -71,7 +71,7 @@
         self.cluster.now_s += WARM_UP_S
 
     async def run_rounds(self, count: int = 1) -> list[Any]:
-        """Plan so often, with announcements between, and return all."""
+        """Plan ``count`` times, announce engines, and return all orders."""
         given = []
         for _ in range(count):
             self.announce()
@@ -85,12 +85,12 @@
 
 
 class TestModelLoads:
-    async def test_from_empty_engines_to_a_roll_out(self) -> None:
-        """Two empty engines, then a roll-out whose weights come late.
+    async def test_stable_versions_load_before_a_rollout(self) -> None:
+        """Guard against orders for weights that are missing or refused.
 
-        Both stable versions are loaded, the second not before the store
-        has room for it. The new version is asked for while its weights
-        are missing, which gives no order, and loaded when they are there.
+        Two empty engines load both stable versions once the weight store
+        no longer refuses. A rollout then wants a version whose weights are
+        missing: the planner gives no order until they exist.
         """
         fake = FakeWeightStore({**WEIGHTS, "nest-small/2": 0})
         engines = [FakeOrderedEngine(name) for name in "ab"]
@@ -124,11 +124,12 @@
             assert await world.run_rounds(3) == []
             assert len(world.cluster.machine.orders()) == orders
 
-    async def test_a_withdrawn_version_with_requests_stays(self) -> None:
-        """Full engines; a version is withdrawn while its sessions run.
+    async def test_withdrawn_version_stays_while_requests_run(self) -> None:
+        """Guard against cutting running requests of a withdrawn version.
 
-        Its room is wanted at once. Unloaded now, its running requests are
-        cut; it goes when none is left, and then the other is loaded.
+        The engine has no room for another version. The planner unloads the
+        withdrawn version only after its last request, and then loads the
+        other one.
         """
         fake = FakeWeightStore(WEIGHTS)
         engine = FakeOrderedEngine("a", (SMALL,), max_versions=1)
@@ -147,11 +148,12 @@
         assert given == [("unload", "a", SMALL), ("load", "a", LARGE)]
         assert engine.versions == (LARGE,)
 
-    async def test_an_engine_that_was_restarted_is_asked_again(self) -> None:
-        """An engine loads a version, announces it, and is restarted empty.
+    async def test_restarted_engine_gets_its_load_again(self) -> None:
+        """Guard against counting a lost version as loading.
 
-        Its order is done and young, so it would count as loading for a
-        quarter of an hour, with nobody answering in that time.
+        An engine loads a version, announces it, and restarts empty. Its
+        order is done and recent, so the version would count as loading for
+        a quarter of an hour in which no engine serves it.
         """
         fake = FakeWeightStore(WEIGHTS)
         engine = FakeOrderedEngine("a", (LARGE,))
@@ -166,10 +168,11 @@
             engine.versions = (LARGE,)
             assert await world.run_rounds(1) == [("load", "a", SMALL)]
 
-    async def test_a_new_leader_learns_first(self) -> None:
-        """A leader is elected and has heard of one server of two.
+    async def test_new_leader_waits_before_planning(self) -> None:
+        """Guard against loading a version that another server holds.
 
-        Planning at once would load on it what the other one holds.
+        A new leader knows only one of two servers. Planning at once would
+        load on it a version that the other server already holds.
         """
         world = PlannerHarness("127.0.0.1:1")
         world.engines = {"a": FakeOrderedEngine("a")}
--- a/packages/sycamorestand-bench/tests/fakes/test_order_races.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_order_races.py
@@ -1,4 +1,4 @@
-"""Leaders that overlap, and an engine that ignores fencing numbers."""
+"""Test overlapping leaders with an engine that ignores fencing."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 from .order_leaders import Cluster
 from .order_leaders import Leader
 
-# One server and two leaders, so that orders meet in most runs.
+# One server and two leaders make conflicting orders likely in each run.
 SERVERS = ("a",)
-# For so long an old leader may still believe to have its quorum.
+# A deposed leader may assume for this time that it has its quorum.
 OLD_LEASE_S = 0.7
 Delivery = Literal["answered", "refused", "lost", "late"]
 
@@ -43,18 +43,19 @@
 
 
 class LateOrder(NamedTuple):
-    """An order that the engine may act on until ``until_s``."""
+    """An order that the engine may still apply until ``until_s``."""
 
     until_s: float
     record: RecordOrder
 
 
 class OrderRaces(RuleBasedStateMachine):
-    """Two processes that lead in turn and learn late that they do not.
+    """Two processes that lead in turn and detect their deposition late.
 
-    A deposed leader can still commit (its proposals are passed on to the
-    new one) and believes in its quorum for a while. What is sent may be
-    lost, or acted on at any time within flight and engine delay.
+    A deposed leader can still commit, because its proposals are forwarded
+    to the new leader, and assumes its quorum until its lease expires. A
+    sent order may be lost, or applied at any time within the order timeout
+    plus the engine's delay.
     """
 
     def __init__(self) -> None:
@@ -108,7 +109,7 @@
         pause_s: float,
         replaced: bool,
     ) -> None:
-        """Give an order; between record and sending the process pauses."""
+        """Give an order with a pause between its record and its sending."""
         leader = self.processes[who]
 
         async def pause() -> None:
--- a/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_ordered_engine.py
@@ -1,4 +1,4 @@
-"""Contract of engines that take orders, with a table of their faults."""
+"""Test the order channel against the faults of an engine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 V1 = "nest-small@1"
 V2 = "nest-small@2"
 FLIGHT_S = 10.0
-# A fault, the phase that is recorded, and whether the engine acted.
+# A fault, the phase that the leader records, and whether the engine applied
+# the order.
 CASES = [
     (Fault(), "done", True),
     (Fault("garbage"), "done", True),
@@ -45,7 +46,7 @@
     @pytest.mark.parametrize("honours_fencing", [True, False])
     @pytest.mark.parametrize("deliveries", [1, 2])
     @pytest.mark.parametrize(("fault", "phase", "acted"), CASES)
-    async def test_faults(
+    async def test_recorded_phase_matches_the_effect(
         self,
         fault: Fault,
         phase: str,
@@ -53,11 +54,11 @@
         honours_fencing: bool,
         deliveries: int,
     ) -> None:
-        """The engine shows one fault of the table, then none.
+        """Guard against ``done`` for an order that the engine did not apply.
 
-        The leader records what it may believe, never ``done`` of an order
-        that the engine did not take. An order without an answer goes again
-        after its time of flight and ends as done.
+        An order without an answer stays ``unknown``. The leader sends it
+        again after the order timeout, when the engine has no fault any
+        more, and records ``done``.
         """
         engine = FakeOrderedEngine(
             "a", honours_fencing=honours_fencing, deliveries=deliveries
@@ -79,7 +80,7 @@
         assert cluster.phases() == [phase.replace("unknown", "done")]
         assert engine.versions == ((V1,) if phase != "failed" else ())
 
-    async def test_nobody_there_is_a_failure_not_an_open_order(self) -> None:
+    async def test_unreachable_engine_fails_the_order(self) -> None:
         cluster = Cluster()
         leader = Leader(cluster)
         cluster.servers["a"] = FakeOrderedEngine("a").announcement(
@@ -89,7 +90,9 @@
         assert await leader.channel.give("load", "a", V1) == "failed"
         assert "not sent" in cluster.machine.orders()[0].detail
 
-    async def test_a_stale_number_is_recorded_as_superseded(self) -> None:
+    async def test_stale_fencing_number_is_recorded_as_superseded(
+        self,
+    ) -> None:
         engine = FakeOrderedEngine("a")
         engine.highest_number = 99 << 32
         cluster = Cluster()
@@ -104,12 +107,12 @@
 
 
 class TestLimits:
-    async def test_one_open_order_a_server_and_few_loads_at_once(self) -> None:
-        """Every server is asked at once to load two versions.
+    async def test_one_open_order_per_server_and_limited_loads(self) -> None:
+        """Guard against more concurrent loads than the store can serve.
 
-        The weight store serves one load. The first is on its way while
-        all others are asked for, and then accepted but not announced: no
-        other load may start before that.
+        Both servers are ordered at once to load two versions, and the
+        weight store serves one load. While the first load is in flight, or
+        accepted but not yet announced, no other load may start.
         """
         engines = [FakeOrderedEngine(name) for name in "ab"]
         engines[0].switch.fault = Fault("slow", pause_s=0.05)
@@ -134,11 +137,11 @@
             cluster.servers["a"] = engines[0].announcement(first)
             assert await leader.channel.give("load", "b", V1) == "done"
 
-    async def test_a_silent_engine_is_given_up(self) -> None:
-        """An engine never answers.
+    async def test_silent_engine_fails_the_order_after_max_sends(self) -> None:
+        """Guard against resending to a silent engine without a limit.
 
-        Without a bound each send is two records in the log, for ever. The
-        order ends as failed once the last send can have no effect.
+        Each send adds two records to the log. The order becomes ``failed``
+        once the last send can no longer have an effect.
         """
         engine = FakeOrderedEngine("a")
         engine.switch.fault = Fault("silent")
@@ -157,7 +160,7 @@
     @pytest.mark.parametrize(
         "fields", [{"leaving": True}, {"max_versions": 0}]
     )
-    async def test_no_order_to_who_takes_none(
+    async def test_no_order_to_an_engine_that_accepts_none(
         self, fields: dict[str, int]
     ) -> None:
         cluster = Cluster()
@@ -172,16 +175,16 @@
 class TestLeaderLost:
     @pytest.mark.parametrize("honours_fencing", [True, False])
     @pytest.mark.parametrize("lost_after", ["intended", "done"])
-    async def test_between_order_and_record(
+    async def test_next_leader_finishes_the_order(
         self, lost_after: str, honours_fencing: bool
     ) -> None:
-        """A leader is cut off around an order; the next one takes over.
+        """Guard against effects of a deposed leader after its successor's.
 
-        Either the intent is committed and its answer lost, so nothing was
-        sent, or the order was acted on and its outcome did not get out.
-        The new leader waits out lease and flight, sends it again under
-        its own number, and unloads afterwards. The old one, which still
-        believes to lead, must have no effect after that.
+        A leader loses its quorum around an order. Either the answer to the
+        commit of its intent is lost, so it sends nothing, or the engine
+        applies the order and the outcome is not recorded. The next leader
+        waits for the lease and the order timeout to expire, sends the order
+        again with its own fencing number, and unloads afterwards.
         """
         engine = FakeOrderedEngine("a", honours_fencing=honours_fencing)
         cluster = Cluster()
@@ -213,13 +216,13 @@
         assert terms == sorted(terms)
         assert [order.action for order in engine.applied][-1] == "unload"
 
-    async def test_suspended_between_record_and_send(self) -> None:
-        """A leader is suspended right after its intent was committed.
+    async def test_leader_suspended_before_sending_sends_nothing(self) -> None:
+        """Guard against a late send to an engine that ignores fencing.
 
-        Meanwhile another leads, waits, and finishes the order. The old
-        one wakes with a connection made; it asks again before the first
-        byte and sends nothing, so that an engine that ignores numbers is
-        safe too.
+        A leader is suspended right after the commit of its intent, and
+        another leader finishes the order meanwhile. The first one resumes
+        with an open connection; it checks its lease before the first byte
+        and sends nothing.
         """
         engine = FakeOrderedEngine("a", honours_fencing=False)
         cluster = Cluster()
@@ -228,24 +231,25 @@
             cluster.servers["a"] = engine.announcement(address)
             await old.elect()
 
-            async def others_meanwhile() -> None:
+            async def run_next_leader() -> None:
                 old.lease_until_s = 0.0
                 await new.elect()
                 cluster.now_s += FLIGHT_S
                 await new.channel.step()
                 await new.channel.give("unload", "a", V1)
 
-            old.after_intent = others_meanwhile
+            old.after_intent = run_next_leader
             assert await old.channel.give("load", "a", V1) == "failed"
         assert [order.term for order in engine.received] == [2, 2]
         assert engine.versions == ()
         assert cluster.phases() == ["done", "done"]
 
-    async def test_a_load_that_is_no_longer_wanted_is_given_up(self) -> None:
-        """A version is withdrawn while its load has no outcome.
+    async def test_unwanted_load_is_not_resent(self) -> None:
+        """Guard against resending the load of a withdrawn version.
 
-        Resumed blindly, the order would load a version that may get no
-        work. It is given up once nothing of it is on its way.
+        The version is withdrawn while the outcome of its load is unknown.
+        It may get no requests, so the next leader records ``failed`` once
+        no send of the order can still be in flight.
         """
         cluster = Cluster()
         old, new = Leader(cluster), Leader(cluster)
@@ -265,7 +269,7 @@
 
 class TestAnnouncement:
     @pytest.mark.parametrize("with_load", [True, False])
-    def test_load_and_room_for_versions_are_read_by_name(
+    def test_load_and_max_versions_are_decoded_by_name(
         self, with_load: bool
     ) -> None:
         announced = FakeOrderedEngine("a").announcement("127.0.0.1:1")
--- a/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
@@ -1,4 +1,4 @@
-"""Orders of a whole control process on loopback."""
+"""Test orders of complete control processes on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Voter(NamedTuple):
-    """A control process that a test can end at once."""
+    """A control process that a test can cancel."""
 
     process: ControlProcess
     scope: anyio.CancelScope
@@ -44,7 +44,7 @@
 
 
 class TestControlProcess:
-    async def test_an_announced_engine_is_told_to_load(
+    async def test_announced_engine_is_ordered_to_load(
         self, tmp_path: Path
     ) -> None:
         fake = FakeWeightStore({"nest-small/1": 7, "nest-large/1": 70})
@@ -75,13 +75,16 @@
 
 
 class TestLeaderLost:
-    async def test_next_voter_takes_up_the_order(self, tmp_path: Path) -> None:
-        """Three voters; the leader dies while an engine acts on its order.
+    async def test_next_leader_finishes_the_order(
+        self, tmp_path: Path
+    ) -> None:
+        """Guard against an open order when the leader of three voters ends.
 
-        The engine has loaded, the answer is on its way, and nobody
-        records it. Another voter is elected, waits out lease and flight,
-        and sends the order again under its own number; the log then says
-        done, and the engine saw no lower number after a higher one.
+        The leader is cancelled after the engine loaded the version and
+        before its answer arrives, so the outcome is not recorded. The next
+        leader waits for the lease and the order timeout to expire, sends
+        the order again with its own fencing number, and records ``done``.
+        The engine receives no lower number after a higher one.
         """
         engine = FakeOrderedEngine("a", max_versions=2)
         engine.switch.fault = Fault("late", times=1)
@@ -94,7 +97,7 @@
             with anyio.fail_after(WAIT_S):
                 while not engine.applied:
                     await anyio.sleep(0.05)
-            # Which one it is may have changed on a busy machine.
+            # The leader may have changed on a busy machine.
             voters.sort(key=_is_leader)
             leader, other = voters[-1], voters[0].process
             order_id = engine.applied[0].order_id
--- a/packages/sycamorestand-bench/tests/fakes/test_rating.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_rating.py
@@ -1,4 +1,4 @@
-"""Contract of the rating service, with a table of its faults."""
+"""Test the rating client against the faults of the rating service."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 class TestRatingFaults:
     @pytest.mark.parametrize(("fault", "expected"), CASES)
-    async def test_rating_or_none_in_bounded_time(
+    async def test_fault_gives_no_rating_and_no_error(
         self, fault: Fault, expected: float | None
     ) -> None:
-        """The rating service shows one fault of the table.
+        """Guard against a fault of the service that raises in the entry.
 
-        The entry gets a sound rating or none at all, never an error, and
-        the next rating comes.
+        The client returns a valid rating or None within its timeout, and
+        the next call returns a rating.
         """
         rating = FakeRating({SMALL: 0.75})
         rating.switch.fault = fault
@@ -47,7 +47,7 @@
             assert await client.rate(ANSWER) == 0.75
             await client.close()
 
-    async def test_nobody_there(self) -> None:
+    async def test_unreachable_service_gives_no_rating(self) -> None:
         client = RatingClient("http://127.0.0.1:1", 0.3, Metrics())
         assert await client.rate(ANSWER) is None
         await client.close()
--- a/packages/sycamorestand-bench/tests/fakes/test_relay_processes.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_relay_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the relay scenario, and what the measured one opens."""
+"""Test the processes of the relay scenario."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 class TestMeasuredProcess:
     def test_relays_and_uses_no_io_uring(self) -> None:
-        """The entry runs on asyncio's own loop, as the product must.
+        """Guard against measuring a loop that the product does not use.
 
-        It answers a stream and holds no io_uring descriptor.
+        On asyncio's own loop, the entry relays complete streams and has no
+        io_uring descriptor open.
         """
         children: list[Child] = []
         try:
--- a/packages/sycamorestand-bench/tests/fakes/test_service.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_service.py
@@ -1,4 +1,4 @@
-"""Contract of a plain service, with a table of its faults."""
+"""Test how an entry handles the faults of a plain service."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class Case(NamedTuple):
-    """A fault and what it does to an order and to a query.
+    """A fault and its effect on an order (POST) and on a query (GET).
 
-    ``run`` is what a refused order says of itself, empty if answered.
+    ``run`` is the run state in the error of a refused order, or empty if
+    the order is answered.
     """
 
     fault: Fault
@@ -41,10 +42,10 @@
 class TestServiceFaults:
     @pytest.mark.parametrize("case", CASES)
     async def test_order_runs_at_most_once(self, case: Case) -> None:
-        """The service shows one fault of the table to an order.
+        """Guard against executing an order twice.
 
-        Sent three times with one key, the order runs at most once, and
-        what a refusal says of it agrees with the service's records.
+        An order that is sent three times with one key runs at most once,
+        and the run state in a refusal agrees with the service's records.
         """
         settings = SETTINGS._replace(late_answer_s=0.5)
         async with start_loopback(settings) as loopback:
--- a/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_weight_store.py
@@ -1,4 +1,4 @@
-"""Contract of the weight store, with a table of its faults."""
+"""Test the weight store client against the faults of the store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.anyio
 
 VERSION = "nest-small@1"
-# A fault, and what the leader makes of it; the fault then ends.
+# A fault that then ends, and the readiness that the client reports.
 CASES = [
     (Fault(), "ready"),
     (Fault("slow", pause_s=0.02), "ready"),
@@ -47,13 +47,13 @@
 
 class TestWeightStoreFaults:
     @pytest.mark.parametrize(("fault", "expected"), CASES)
-    async def test_no_load_on_an_unsound_answer(
+    async def test_only_a_valid_answer_permits_a_load(
         self, fault: Fault, expected: str
     ) -> None:
-        """The store shows one fault of the table, then none.
+        """Guard against a load after a fault of the store.
 
-        Only a sound answer lets a load begin; after anything else the
-        store is left alone for a while and then asked again.
+        Only a valid answer permits a load. After a fault, the client sends
+        no request until its pause has passed, and then asks again.
         """
         fake = FakeWeightStore({"nest-small/1": 7})
         fake.switch.fault = fault
@@ -71,7 +71,9 @@
         refused = {} if expected == "ready" else {expected: 1}
         assert dict(store.refusals) == refused
 
-    async def test_asked_twice_at_once(self) -> None:
+    async def test_refusal_of_concurrent_requests_pauses_later_ones(
+        self,
+    ) -> None:
         fake = FakeWeightStore({"nest-small/1": 7})
         fake.switch.fault = Fault("refuse")
         async with serve_on_port(fake.application) as address:
@@ -83,7 +85,7 @@
             assert len(fake.requested) == 2
 
     @pytest.mark.parametrize(("header", "wait_s"), WAITS)
-    async def test_retry_after_holds_all_loads(
+    async def test_retry_after_delays_all_loads(
         self, header: str, wait_s: float
     ) -> None:
         fake = FakeWeightStore({"nest-small/1": 7, "nest-large/1": 9})
@@ -98,7 +100,7 @@
             clock.now_s += 0.02
             assert await store.readiness("nest-large@1") == "ready"
 
-    async def test_missing_weights_hold_their_version_alone(self) -> None:
+    async def test_missing_weights_delay_only_their_version(self) -> None:
         fake = FakeWeightStore({"nest-large/1": 9})
         clock = Clock()
         async with serve_on_port(fake.application) as address:
@@ -112,19 +114,19 @@
             assert await store.readiness(VERSION) == "ready"
             assert store.missing() == ()
 
-    async def test_a_name_cannot_leave_its_path(self) -> None:
+    async def test_version_name_cannot_change_the_request_path(self) -> None:
         fake = FakeWeightStore({})
         async with serve_on_port(fake.application) as address:
             store = WeightStore(f"http://{address}", 0.3, Clock())
             await store.readiness("a/../b?c@1")
         assert fake.requested == ["a/../b?c/1"]
 
-    async def test_no_store(self) -> None:
+    async def test_without_a_store_every_load_is_permitted(self) -> None:
         assert await WeightStore("").readiness(VERSION) == "ready"
 
     @pytest.mark.parametrize(
         "url", ["http://127.0.0.1:1", "store", "ftp://a", "http://a:b"]
     )
-    async def test_nobody_there(self, url: str) -> None:
+    async def test_unreachable_store_permits_no_load(self, url: str) -> None:
         store = WeightStore(url, 0.3)
         assert await store.readiness(VERSION) == "unreachable"
