--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what control costs and how fast a change is in force."""
+"""Measure the cost of control and the time until changes are in force."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
@@ -1,4 +1,4 @@
-"""What makes an entry busy towards control: announcements and requests."""
+"""Generate the load that busy entries put on control."""
 
 from __future__ import annotations
 
@@ -24,7 +24,12 @@
 
 
 class Activity:
-    """Announces servers and makes requests, as told at the moment."""
+    """Announces servers and makes requests at the current settings.
+
+    ``servers`` is the number of servers that announce themselves, and
+    ``requests_per_s`` the request rate of each link. A request reports a
+    sample and writes a charge; ``failures`` counts the failed charges.
+    """
 
     def __init__(self, name: str, links: list[ControlLink]) -> None:
         self._name = name
@@ -37,7 +42,7 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Go on until cancelled; each server announces once a second."""
+        """Run until cancelled; each server announces once a second."""
         tick = 0
         async with anyio.create_task_group() as tasks:
             while True:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/child.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/child.py
@@ -1,4 +1,4 @@
-"""Processes of the bench itself: a line of JSON asks, one answers."""
+"""Start the bench's processes, which exchange lines of JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Children:
-    """The bench's own processes; leaving it ends them."""
+    """A context manager that stops the processes started by it."""
 
     def __init__(self) -> None:
         self._children: list[Child] = []
@@ -25,7 +25,7 @@
             child.stop()
 
     def start(self, module: str, run: Any) -> Child:
-        """Start a module with its settings; return when it is ready."""
+        """Start a module with settings as JSON; wait until it is ready."""
         process = subprocess.Popen(
             [sys.executable, "-m", module, msgspec.json.encode(run).decode()],
             stdin=subprocess.PIPE,
@@ -38,7 +38,7 @@
         return child
 
     def stop(self, child: Child) -> None:
-        """End one process."""
+        """Stop one process."""
         self._children.remove(child)
         child.stop()
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
@@ -1,4 +1,4 @@
-"""What control costs its processes and an entry, and the slopes of it."""
+"""Measure the resources that control processes and an entry use."""
 
 from __future__ import annotations
 
@@ -26,20 +26,21 @@
     from sycamorestand_bench.scenarios.relay import Child
 
 SETTLE_S: Final = 1.5
-# Servers that no longer announce themselves run out, which is traffic.
+# Expiring the servers that no longer announce themselves causes traffic.
 EXPIRE_S: Final = 5.0
 MEASURE_S: Final = 4.0
 FEEDERS: Final = 3
 PROBE: Final = "probe-entry"
-# A measured cell has (entries at one control process, servers).
+# The load of a measurement: entries at one control process, and servers.
 Cell = tuple[int, int]
 
 
 class CellCost(NamedTuple):
-    """What each role used while so many entries and servers were there.
+    """The resources that each role used at a number of entries and servers.
 
-    ``hub`` is the follower that all the entries are attached to, ``link``
-    a process with a single entry's link, ``entry`` a whole entry process.
+    ``hub`` is the follower to which all entries are attached, ``follower``
+    has no entries, ``link`` is a process with the link of one entry, and
+    ``entry`` is a complete entry process.
     """
 
     entries: int
@@ -57,7 +58,10 @@
 
 
 class CostBench:
-    """Entries at one follower, feeders that announce, and two probes."""
+    """Entries at one follower, links that announce servers, and two probes.
+
+    One probe is a process with a single link, the other an entry process.
+    """
 
     def __init__(self, system: System, children: Children) -> None:
         self._system = system
@@ -82,7 +86,7 @@
     def measure(
         self, entries: int, servers: int, requests_per_s: float = 0.0
     ) -> CellCost:
-        """Bring the load to a cell, let it settle and measure it."""
+        """Set the load of a cell, wait until it is stable and measure it."""
         fewer = servers < self._servers
         self._servers = servers
         self._attach(entries)
@@ -114,7 +118,10 @@
         )
 
     def _attach(self, entries: int) -> None:
-        """Have so many entries at the hub, the probe among them."""
+        """Start or stop links so that the hub has this many entries.
+
+        The probe counts as one of them.
+        """
         wanted = entries - 1
         while self._groups and self._attached_entries() > wanted:
             count, child = self._groups.pop()
@@ -143,10 +150,10 @@
 def measure_cells(
     system: System, cells: Sequence[Cell], busy_requests_per_s: float
 ) -> list[CellCost]:
-    """Measure every cell with an idle probe, then two more.
+    """Measure every cell with an idle probe, then two further ones.
 
-    The last cell but one is the largest with a busy probe; in the last
-    one all but the probe have gone, without a word.
+    The first further cell is the last given one with a busy probe. In the
+    second, all entries except the probe were killed without leaving.
     """
     with Children() as children:
         bench = CostBench(system, children)
@@ -158,10 +165,10 @@
 
 
 def cells_of(entries: Sequence[int], servers: Sequence[int]) -> list[Cell]:
-    """Return cells that tell the slopes and their product apart.
+    """Return cells that separate the slopes from their product term.
 
-    The number of entries only grows: entries that have gone cost the
-    control process for a while too, which is measured on its own.
+    The number of entries never decreases, because lost entries still cost
+    the control process time; a cell of its own measures that.
     """
     return [
         (entries[0], servers[0]),
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/fitting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/fitting.py
@@ -1,4 +1,4 @@
-"""Slopes and percentiles of measured figures."""
+"""Fit slopes and compute percentiles of measured values."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     slope: float
 
     def at(self, x: float) -> float:
-        """Return the value that the line has at ``x``."""
+        """Return the value of the line at ``x``."""
         return self.base + self.slope * x
 
 
 class Plane(NamedTuple):
-    """A figure that depends on entries and on backend servers.
+    """A value that depends on the numbers of entries and backend servers.
 
-    ``per_pair`` is what one entry and one backend server cost together:
-    a table that goes to every entry costs their product.
+    ``per_pair`` is the coefficient of their product: sending the table of
+    backend servers to every entry has a cost in proportion to it.
     """
 
     base: float
@@ -33,7 +33,7 @@
     per_pair: float
 
     def at(self, entries: float, servers: float) -> float:
-        """Return the value at a number of entries and of servers."""
+        """Return the value at these numbers of entries and servers."""
         return (
             self.base
             + self.per_entry * entries
@@ -51,7 +51,7 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """Return the least-squares line through points of two kinds of x."""
+    """Return the least-squares line; points need two different ``x``."""
     matrix = numpy.array([(1.0, x) for x, _ in points])
     values = numpy.array([y for _, y in points])
     base, slope = numpy.linalg.lstsq(matrix, values, rcond=None)[0]
@@ -59,10 +59,10 @@
 
 
 def fit_plane(samples: Sequence[Sample], *, product: bool) -> Plane:
-    """Return the least-squares plane, with a product term or without.
+    """Return the least-squares plane, with or without a product term.
 
-    Without one where no mechanism makes a product: noise in that term
-    would count 300,000 times at the target size.
+    Omit the term if the value cannot depend on the product: the target size
+    multiplies its noise by 300,000.
     """
     matrix = numpy.array(
         [
@@ -71,7 +71,7 @@
         ]
     )
     values = numpy.array([sample.value for sample in samples])
-    # Columns of like size, or the product outweighs the others.
+    # Scale the columns to similar size; else the product dominates the fit.
     scale = numpy.maximum(numpy.abs(matrix).max(axis=0), 1.0)
     coefficients = (
         numpy.linalg.lstsq(matrix / scale, values, rcond=None)[0] / scale
@@ -80,7 +80,7 @@
 
 
 def percentile(values: Sequence[float], percent: int) -> float:
-    """Return a percentile; a single value stands for all of them."""
+    """Return a percentile, which for a single value is that value."""
     if len(values) < 2:
         return values[0]
     cuts = statistics.quantiles(values, n=100, method="inclusive")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
@@ -1,4 +1,4 @@
-"""How fast a change is in force, and accepted again after a kill."""
+"""Time changes until they are in force, and failovers of the leader."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class InForceTimes(NamedTuple):
-    """Seconds of each change, and what it cost each entry in bytes."""
+    """The seconds of each change and the bytes that it cost each entry."""
 
     accepted_s: list[float]
     in_force_s: list[float]
@@ -35,7 +35,7 @@
 
 
 def measure_in_force(system: System, changes: int) -> InForceTimes:
-    """Apply changes to 30 entries one by one."""
+    """Apply changes one by one while 30 entries are attached."""
     controls = [system.addresses(first) for first in range(3)]
     with Children() as children:
         links = [
@@ -87,12 +87,12 @@
 
 
 def measure_failover(system: System, kills: int) -> FailoverTimes:
-    """Kill the leader and change something at once, several times."""
+    """Kill the leader several times, each time applying a change at once."""
     times = FailoverTimes([], [])
     for _ in range(kills):
         old = anyio.run(system.leader)
-        # The old leader is left out: its closed port would only be passed
-        # over at once, and which address comes first would be chance.
+        # The client does not get the killed leader's address: its port
+        # refuses at once, and the order of addresses would be random.
         names = tuple(n for n in system.running_controls() if n != old)
         system.kill(old)
         anyio.run(_time_failover, system, names, times)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/links_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/links_process.py
@@ -1,7 +1,8 @@
-"""Entries' control links as tasks of one process.
+"""Run the control links of many entries as tasks of one process.
 
-It prints a line when every link holds a lease, then answers each line of
-JSON on its input with one of its own.
+The process prints a line once every link holds a lease.
+Then it answers each `Order` on its standard input with a `Report`, both as
+one line of JSON.
 """
 
 from __future__ import annotations
@@ -23,7 +24,10 @@
 
 
 class LinksRun(msgspec.Struct):
-    """Links to hold; link ``i`` asks ``controls[i % len(controls)]``."""
+    """The number of links, and the control addresses of each.
+
+    Link ``i`` uses ``controls[i % len(controls)]``.
+    """
 
     name: str
     count: int
@@ -31,9 +35,10 @@
 
 
 class Order(msgspec.Struct):
-    """What to do from now on, until the next order.
+    """The load until the next order.
 
-    ``servers`` announce each second; ``requests_per_s`` is of each link.
+    ``servers`` backend servers announce themselves each second. Each link
+    makes ``requests_per_s``.
     """
 
     servers: int = 0
@@ -41,7 +46,7 @@
 
 
 class Report(msgspec.Struct):
-    """What all links together have seen; the lowest of all revisions."""
+    """Totals over all links, but the minimum of revision and servers."""
 
     at_s: float
     leases: int
@@ -57,7 +62,7 @@
 
 
 async def serve(run: LinksRun) -> None:
-    """Hold the links until the input ends."""
+    """Run the links and answer orders until the input ends."""
     links = [_make_link(run, number) for number in range(run.count)]
     async with anyio.create_task_group() as tasks:
         for link in links:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/orders.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/orders.py
@@ -1,4 +1,4 @@
-"""Asks a process of control links for what it has seen."""
+"""Send orders to a process of control links and read its reports."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def send_order(child: Child, order: Order | None = None) -> Report:
-    """Give an order, that of being idle by default; return the totals."""
+    """Send an order, by default for no load, and return the report."""
     line = msgspec.json.encode(order or Order()).decode()
     return msgspec.convert(child.ask(line), Report)
 
 
 def transferred_bytes(before: list[Report], after: list[Report]) -> int:
-    """Return the bytes that went either way between two reports."""
+    """Return the bytes sent and received between two lists of reports."""
     return sum(map(_bytes, after)) - sum(map(_bytes, before))
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
@@ -1,4 +1,4 @@
-"""Lines and the JSON of the control bench."""
+"""Format the results of the control bench as lines and as JSON."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 class GoalResult(NamedTuple):
-    """A figure beside its goal, None where it has none."""
+    """A measured value and its upper limit, None if it has no limit."""
 
     name: str
     value: float
     goal: float | None
 
     def line(self) -> str:
-        """Return a line of the table."""
+        """Return the result as a line of the table."""
         if self.goal is None:
             return f"{self.name:38} {self.value:12.3f}"
         label = "met" if self.value <= self.goal else "NOT MET"
@@ -50,12 +50,12 @@
 
 
 def compare_with_goals(figures: dict[str, float]) -> list[GoalResult]:
-    """Set every figure beside its goal."""
+    """Return every figure with its goal."""
     return [GoalResult(n, value, GOALS.get(n)) for n, value in figures.items()]
 
 
 def in_force_figures(times: InForceTimes) -> dict[str, float]:
-    """Return the figures of changes that were applied one by one."""
+    """Return the figures of `measure_in_force`."""
     return {
         "changes": len(times.in_force_s),
         "accepted_p50_s": percentile(times.accepted_s, 50),
@@ -68,7 +68,7 @@
 
 
 def failover_figures(times: FailoverTimes) -> dict[str, float]:
-    """Return the figures of kills of the leader."""
+    """Return the figures of `measure_failover`."""
     return {
         "kills": len(times.accepted_s),
         "leader_after_kill_p50_s": percentile(times.leader_s, 50),
@@ -79,7 +79,7 @@
 
 
 def restart_figures(times: RestartTimes) -> dict[str, float]:
-    """Return the figures of restarts."""
+    """Return the figures of `measure_restart`."""
     return {
         "restart_changes": times.changes,
         "restart_fresh_s": percentile(times.fresh_s, 50),
@@ -90,7 +90,10 @@
 
 
 def probe_figures(costs: Sequence[CellCost]) -> dict[str, float]:
-    """Return what the probes cost at rest, busy, and after a loss."""
+    """Return the cost of the probes when idle, busy and after a loss.
+
+    The loss is that of all entries except the probe.
+    """
     idle, largest, busy, lost = costs[0], *costs[-3:]
     figures: dict[str, float] = {}
     for name, cell in (("idle", idle), ("largest", largest)):
@@ -115,10 +118,10 @@
 def target_figures(
     figures: Sequence[Figure], costs: Sequence[CellCost]
 ) -> dict[str, float]:
-    """Return the costs at the target size by role.
+    """Return the costs of each role at the target size.
 
-    A busy link costs what the idle one does there and what its requests
-    added in the measured cell.
+    The cost of a busy link is that of an idle link at the target size plus
+    the difference between busy and idle in the largest measured cell.
     """
     result: dict[str, float] = {}
     largest, busy = costs[-3:-1]
@@ -134,7 +137,7 @@
 
 
 def cell_lines(costs: Sequence[CellCost]) -> list[str]:
-    """Return a line for each measured cell."""
+    """Return the lines of a table of all measured cells."""
     lines = [
         "entries servers req/s | role: CPU %, MB, bytes/s out, bytes/s in"
     ]
@@ -156,7 +159,7 @@
 
 
 def slope_lines(figures: Sequence[Figure]) -> list[str]:
-    """Return the slopes of each role."""
+    """Return the lines of a table of the slopes of each role."""
     lines = ["slopes: base, per entry, per server, per entry and server"]
     for figure in figures:
         for role in ("entry", "link", "serving", "follower", "leader"):
@@ -167,7 +170,7 @@
 
 
 def json_figures(judged: Sequence[GoalResult]) -> dict[str, Any]:
-    """Return what the last line holds."""
+    """Return the figures and the missed goals for the last line."""
     missed = [
         j.name for j in judged if j.goal is not None and j.value > j.goal
     ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
@@ -1,4 +1,4 @@
-"""How long a control process needs to be ready after many changes."""
+"""Time the restart of a control process after many changes."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 MEGABYTE: Final = 1_000_000
 CALL_TIMEOUT_S: Final = 20.0
 RESTARTS: Final = 3
-# More changes than this a run would be a scenario of its own.
+# Proposing more changes would dominate the duration of a run.
 MAX_CHANGES: Final = 50_000
 
 
 class RestartTimes(NamedTuple):
-    """Seconds until ready, with no changes before and with many.
+    """Seconds until readiness, without changes and after many.
 
-    ``read_s`` is the part that reads the files and restores the state;
-    the rest is the start of Python and the wait for a lease.
+    ``read_s`` is the time to read the files and restore the state. The rest
+    of the time is Python's start and the wait for a lease.
     """
 
     fresh_s: list[float]
@@ -50,7 +50,7 @@
 
 
 def measure_restart(system: System, changes: int) -> RestartTimes:
-    """Restart a follower before and after the changes."""
+    """Time restarts of a follower before and after the changes."""
     fresh_s = [_time_restart(system) for _ in range(RESTARTS)]
     leader = anyio.run(system.leader)
     address = system.cluster.controls[leader].peer_address
@@ -108,10 +108,10 @@
 
 
 async def _propose_changes(address: str, first: int, changes: int) -> int:
-    """Propose changes through the leader's log, many on the way at once.
+    """Propose changes to the leader, up to ``IN_FLIGHT`` at once.
 
-    The operators' interface would need minutes for them. Each one names
-    the revision that the one before it makes.
+    The operators' interface would take minutes for them. Each change has as
+    its base the revision that its predecessor creates.
     """
     mesh = PeerMesh(free_address(), lambda: (CLUSTER_KEY.encode(),), _ignore)
     async with anyio.create_task_group() as tasks:
@@ -142,7 +142,7 @@
 
 
 def _ignore(sender: str, message: object) -> None:
-    """Take a message that is no reply; the bench expects none."""
+    """Ignore messages other than replies, since none are expected."""
 
 
 __all__ = ["folder_bytes", "measure_restart", "RestartTimes"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
@@ -1,4 +1,4 @@
-"""Three real control processes and an operator who talks to them."""
+"""Run three control processes and change them as an operator."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 EXAMPLE: Final = Path("examples/guild")
 CLUSTER_TIMEOUT_S: Final = 30.0
 POLL_S: Final = 0.01
-# What the bench changes to and fro: a price of the example.
+# Each change of the bench sets another price for this model.
 PRICED_MODEL: Final = "nest-small"
 
 
 class System:
-    """A running cluster and the way to change its configuration."""
+    """Three control processes and an operator's changes to them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -38,7 +38,7 @@
         self._killed: set[str] = set()
 
     def start(self, ledger_shards: int = 1) -> None:
-        """Start the control processes and wait until all of them vote."""
+        """Start the control processes and wait until all are voters."""
         for number, vm in enumerate(CONTROLS):
             self.cluster.start_control(
                 vm,
@@ -51,14 +51,14 @@
         anyio.run(self._wait_for_voters)
 
     def addresses(self, first: int) -> list[str]:
-        """Return every peer address, beginning with one process's."""
+        """Return all peer addresses, starting with process ``first``."""
         nodes = list(self.cluster.controls.values())
         return [node.peer_address for node in nodes[first:] + nodes[:first]]
 
     def client(
         self, names: tuple[str, ...] = CONTROLS, attempt_s: float = 5.0
     ) -> ControlClient:
-        """Return what ``sycactl`` talks to control processes with."""
+        """Return the client that ``sycactl`` uses, for these processes."""
         key_file = self.cluster.folder / "operator.key"
         key_file.write_text(ADMIN_KEY)
         settings = Settings(
@@ -76,7 +76,7 @@
         return ControlClient(settings, _ignore)
 
     async def leader(self) -> str:
-        """Return the VM of the leader."""
+        """Return the name of the leader, waiting until there is one."""
         with anyio.fail_after(CLUSTER_TIMEOUT_S):
             while True:
                 for name in self.running_controls():
@@ -86,10 +86,10 @@
                 await anyio.sleep(POLL_S)
 
     async def apply(self, client: ControlClient) -> int:
-        """Apply declarations with another price; return the revision.
+        """Apply declarations with a new price and return the revision.
 
-        Only the first apply has to ask for its base: nobody else makes
-        changes here.
+        Only the first call requests the base revision, because no other
+        operator makes changes.
         """
         if not self._revision:
             status = await client.ask("/status", {})
@@ -106,7 +106,7 @@
     async def wait_in_force(
         self, client: ControlClient, revision: int
     ) -> None:
-        """Ask until the leader says that a revision is in force."""
+        """Poll the leader until it reports the revision as in force."""
         with anyio.fail_after(CLUSTER_TIMEOUT_S):
             while True:
                 body = await client.ask("/in-force", {"revision": revision})
@@ -119,12 +119,12 @@
         return [name for name in CONTROLS if name not in self._killed]
 
     def kill(self, name: str) -> None:
-        """End a control process with SIGKILL."""
+        """Kill a control process with SIGKILL."""
         self._killed.add(name)
         self.cluster.kill(name)
 
     def restart(self, name: str) -> None:
-        """Start a killed control process on its folder; await readiness."""
+        """Restart a killed control process and wait until it is ready."""
         self.cluster.start_control(
             name, self.cluster.controls[name].data_centre
         )
@@ -157,7 +157,7 @@
 
 
 def _ignore(line: str) -> None:
-    """Take a notice of the client; the bench does not show it."""
+    """Ignore a notice of the client, since the bench shows none."""
 
 
 __all__ = ["ADMIN_KEY", "CONTROLS", "System"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/target.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/target.py
@@ -1,8 +1,8 @@
-"""What control costs at the target size, worked out from the slopes.
+"""Extrapolate the cost of control to the target size.
 
-Of the control processes one leads; each serves its share of the entries.
+One control process leads, and each serves an equal share of the entries.
 The measured follower ``hub`` serves all entries of a cell and the other
-one none, so their difference is the cost of serving.
+follower none, so the difference of their costs is the cost of serving.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Figure(NamedTuple):
-    """One kind of cost: its slopes by role and its value at the target."""
+    """The fitted slopes of one resource for each role."""
 
     name: str
     link: Plane
@@ -37,26 +37,26 @@
     leader: Plane
 
     def entry_at_target(self) -> float:
-        """Return what a whole entry process costs at the target."""
+        """Return the cost of a complete entry process at the target size."""
         return self.entry.at(ENTRIES, SERVERS)
 
     def link_at_target(self) -> float:
-        """Return what a process with nothing but a link costs."""
+        """Return the cost of a process with only a link at the target size."""
         return self.link.at(ENTRIES, SERVERS)
 
     def follower_at_target(self) -> float:
-        """Return what a follower costs that serves its share."""
+        """Return the cost of a follower that serves its share of entries."""
         serving = self.serving.at(ENTRIES_PER_CONTROL, SERVERS)
         return self.follower.at(ENTRIES, SERVERS) + serving
 
     def leader_at_target(self) -> float:
-        """Return what a leader costs that serves its share too."""
+        """Return the cost of a leader that serves its share of entries."""
         serving = self.serving.at(ENTRIES_PER_CONTROL, SERVERS)
         return self.leader.at(ENTRIES, SERVERS) + serving
 
 
 def fit_figures(costs: Sequence[CellCost]) -> list[Figure]:
-    """Return the slopes of processor time, memory and traffic."""
+    """Return the fitted slopes of CPU time, memory and network traffic."""
     return [_figure(name, costs, measure) for name, measure in MEASURES]
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used, from ``/proc`` and from ``ss``."""
+"""Read the resource usage of processes from ``/proc`` and ``ss``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Usage(NamedTuple):
-    """Running totals of one process, but for its resident memory."""
+    """Cumulative totals of one process, and its current resident memory."""
 
     at_s: float
     cpu_s: float
@@ -28,7 +28,7 @@
 
 
 class Rate(NamedTuple):
-    """What a process uses, each second of an interval."""
+    """The mean usage of a process during an interval."""
 
     cpu_percent: float
     resident_mb: float
@@ -37,7 +37,7 @@
 
 
 def read_usage(pids: list[int]) -> dict[int, Usage]:
-    """Return the usage of processes; one call of ``ss`` serves them all."""
+    """Return the usage of the processes, with one call of ``ss`` for all."""
     sockets = subprocess.run(
         ["ss", "-tinpHO"],
         capture_output=True,
@@ -49,7 +49,7 @@
 
 
 def rate_between(before: Usage, after: Usage) -> Rate:
-    """Return what was used a second between two readings."""
+    """Return the mean usage between two readings."""
     seconds = after.at_s - before.at_s
     return Rate(
         100 * (after.cpu_s - before.cpu_s) / seconds,
@@ -62,7 +62,7 @@
 def socket_bytes(sockets: str, pid: int) -> tuple[int, int]:
     """Return bytes sent and received on a process's open connections.
 
-    ``sockets`` is what ``ss -tinpHO`` prints, a line a connection.
+    ``sockets`` is the output of ``ss -tinpHO``, one line per connection.
     """
     mark = f"pid={pid},"
     lines = [line for line in sockets.splitlines() if mark in line]
@@ -70,12 +70,12 @@
 
 
 def parse_cpu_s(schedstat: str) -> float:
-    """Return the processor time that a line of ``schedstat`` tells."""
+    """Return the CPU seconds in a line of ``/proc/PID/schedstat``."""
     return int(schedstat.split()[0]) / NANOSECONDS
 
 
 def parse_resident_mb(status: str) -> float:
-    """Return the resident memory that ``/proc/PID/status`` tells."""
+    """Return the megabytes of resident memory in ``/proc/PID/status``."""
     for line in status.splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * KIBIBYTE / MEGABYTE
--- a/packages/sycamorestand-bench/tests/test_control_bench.py
+++ b/packages/sycamorestand-bench/tests/test_control_bench.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the control bench; nothing here is timed."""
+"""Test the computations of the control bench, without measurements."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         assert line.at(10) == pytest.approx(23.0)
 
     @pytest.mark.parametrize("per_pair", [0.0, 0.25])
-    def test_plane_finds_every_term(self, per_pair: float) -> None:
+    def test_plane_recovers_every_coefficient(self, per_pair: float) -> None:
         samples = [
             Sample(n, s, 10 + 2 * n + 0.5 * s + per_pair * n * s)
             for n, s in cells_of((5, 15, 30), (0, 100, 300))
@@ -52,11 +52,11 @@
             10 + 660 + 455 + per_pair * 330 * 910
         )
 
-    def test_plane_without_product_has_none(self) -> None:
+    def test_plane_without_product_has_zero_per_pair(self) -> None:
         samples = [Sample(1, 0, 1.0), Sample(2, 0, 2.0), Sample(2, 5, 3.0)]
         assert fit_plane(samples, product=False).per_pair == 0
 
-    def test_percentile(self) -> None:
+    def test_percentiles_of_many_values_and_of_one(self) -> None:
         values = [float(number) for number in range(101)]
         assert percentile(values, 50) == 50
         assert percentile(values, 99) == 99
@@ -64,18 +64,18 @@
 
 
 class TestUsage:
-    def test_sockets_of_one_process_only(self) -> None:
+    def test_socket_bytes_excludes_other_processes(self) -> None:
         assert socket_bytes(SOCKETS, 41) == (250, 7)
         assert socket_bytes(SOCKETS, 4) == (0, 0)
 
-    def test_proc_files(self) -> None:
+    def test_proc_files_are_parsed(self) -> None:
         assert parse_cpu_s("1500000000 77 3\n") == 1.5
         status = "Name:\tx\nVmRSS:\t   1000 kB\nThreads:\t3\n"
         assert parse_resident_mb(status) == pytest.approx(1.024)
         with pytest.raises(ValueError, match="no resident memory"):
             parse_resident_mb("Name:\tx\n")
 
-    def test_rate(self) -> None:
+    def test_rate_is_usage_per_second(self) -> None:
         found = rate_between(
             Usage(10, 1, 50, 100, 0), Usage(14, 1.2, 60, 500, 80)
         )
@@ -84,7 +84,11 @@
 
 class TestTarget:
     def test_control_serves_its_share_of_the_entries(self) -> None:
-        """A follower and the leader pay for all, and serve their share."""
+        """Guard against counting all entries as served by one process.
+
+        Costs of follower and leader depend on all entries, the cost of
+        serving only on the share of one control process.
+        """
 
         def cell(entries: int, servers: int) -> CellCost:
             follower = 1 + 0.01 * entries + 0.02 * servers
@@ -119,7 +123,7 @@
 
 
 class TestReport:
-    def test_goals(self) -> None:
+    def test_exceeded_goal_is_reported_as_missed(self) -> None:
         judged = compare_with_goals({"in_force_p50_s": 0.31, "kills": 5.0})
         assert [line.goal for line in judged] == [0.3, None]
         assert "NOT MET" in judged[0].line()
