--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
@@ -52,8 +52,11 @@
 
     def addresses(self, first: int) -> list[str]:
         """Return all peer addresses, starting with process ``first``."""
-        nodes = list(self.cluster.controls.values())
-        return [node.peer_address for node in nodes[first:] + nodes[:first]]
+        controls = list(self.cluster.controls.values())
+        return [
+            control.peer_address
+            for control in controls[first:] + controls[:first]
+        ]
 
     def client(
         self, names: tuple[str, ...] = CONTROLS, attempt_s: float = 5.0
@@ -99,7 +102,7 @@
         version["input_micros_per_mtoken"] = self._price
         answer = await client.change("/changes", self._change_request())
         if answer["outcome"] not in ("accepted", "duplicate"):
-            raise RuntimeError(f"the bench's change: {answer}")
+            raise RuntimeError(f"the change was not accepted: {answer}")
         self._revision = int(answer["revision"])
         return self._revision
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the ledger on three real voters."""
+"""Measure the ledger on three voters that are real processes."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
@@ -1,7 +1,7 @@
-"""A client of the ledger that makes charges at a rate.
+"""Run a client of the ledger that makes charges at a constant rate.
 
-It prints a line when it is ready, then runs one load for each line of
-JSON on its input and answers with what it saw.
+The process prints a line when it is ready. Then it runs one `Load` for each
+line of JSON on its standard input and prints its `LoadResult` as JSON.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from sycamorestand_state.ledger import encode_batch
 from sycamorestand_state.ledger import shard_of
 
-# A client's batches leave this far apart: as many entries together would.
+# The interval between batches, like that of many entries together.
 TICK_S: Final = 0.005
 CALL_TIMEOUT_S: Final = 4.0
 MICROSECONDS: Final = 1e6
@@ -38,10 +38,10 @@
 
 
 class ClientRun(msgspec.Struct):
-    """The client: its name, its control process and the shard count.
+    """The client's name, its control process and the number of shards.
 
-    ``as_entry`` sends through the entry's own ledger client, which holds
-    records back so that an entry's batches stay few.
+    With ``as_entry`` the client uses the `LedgerClient` of entries, which
+    delays records to send fewer batches.
     """
 
     name: str
@@ -51,14 +51,17 @@
 
 
 class Load(msgspec.Struct):
-    """Charges a second, for so many seconds, whatever the answers do."""
+    """A rate of charges and its duration, regardless of the answers."""
 
     records_per_s: float
     seconds: float
 
 
 class LoadResult(msgspec.Struct):
-    """How the records of a load ended; waits as an encoded histogram."""
+    """The outcomes of the records of a load.
+
+    ``waits`` is an encoded histogram of their wait times in microseconds.
+    """
 
     done: int
     failed: int
@@ -67,15 +70,15 @@
 
 
 class Submit(Protocol):
-    """Makes records durable or raises `LedgerUnavailable`."""
+    """Writes records to the ledger or raises `LedgerUnavailable`."""
 
     async def __call__(self, records: list[LedgerRecord]) -> object:
-        """Return once all of them are."""
+        """Return once all records are durable."""
         ...
 
 
 class Client:
-    """Makes charges at a rate and notes how long each one waited."""
+    """Makes charges at a rate and records the wait time of each."""
 
     def __init__(self, name: str, submit: Submit, shards: int) -> None:
         self._name = name
@@ -86,7 +89,7 @@
         self._failed = 0
 
     async def run(self, load: Load) -> LoadResult:
-        """Start records at the rate and wait until all have ended."""
+        """Start charges at the rate and wait until all have ended."""
         self._waits.reset()
         self._failed = 0
         begun_s = time.perf_counter()
@@ -94,8 +97,8 @@
         async with anyio.create_task_group() as tasks:
             while (passed_s := time.perf_counter() - begun_s) < load.seconds:
                 due = int(passed_s * load.records_per_s)
-                # Counted from when they were due, or a client that lags
-                # would leave the longest waits out.
+                # Waits are counted from the time at which a record was
+                # due; otherwise a client that lags omits the longest.
                 times_s = [
                     begun_s + number / load.records_per_s
                     for number in range(started, due)
@@ -114,7 +117,7 @@
     def _batch_by_shard(
         self, times_s: list[float]
     ) -> list[tuple[list[LedgerRecord], list[float]]]:
-        """Return what is due now, a batch for each shard."""
+        """Return new charges and their due times, in a batch per shard."""
         batches: dict[int, tuple[list[LedgerRecord], list[float]]] = {}
         for due_s in times_s:
             charge = self._make_charge()
@@ -145,7 +148,7 @@
 
 
 def make_batch_submit(mesh: PeerMesh, control: str, shards: int) -> Submit:
-    """Return a submit that sends one batch at once, and only once."""
+    """Return a `Submit` that sends each batch at once, without retries."""
 
     async def submit(records: list[LedgerRecord]) -> object:
         first = records[0]
@@ -165,7 +168,7 @@
 
 
 async def serve(run: ClientRun) -> None:
-    """Answer loads until the input ends."""
+    """Run loads until the input ends."""
     mesh = PeerMesh(free_address(), lambda: (CLUSTER_KEY.encode(),), _ignore)
     ledger = LedgerClient(mesh, lambda: run.control, lambda: run.shards)
     submit = make_batch_submit(mesh, run.control, run.shards)
@@ -187,7 +190,7 @@
 
 
 def _ignore(sender: str, message: object) -> None:
-    """Take a message that is no reply; a ledger client expects none."""
+    """Ignore messages other than replies, since none are expected."""
 
 
 if __name__ == "__main__":
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/disk.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/disk.py
@@ -1,7 +1,7 @@
-"""How long the disk takes to sync, without the ledger.
+"""Measure the disk's fsync time without the ledger.
 
-Three voters wait for their disks; where the disk itself pauses, a wait of
-the ledger says nothing about the ledger.
+Three voters wait for their disks. If the disk itself pauses, the waits of
+the ledger are no measure of the ledger.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class SyncTimes(NamedTuple):
-    """How long an fsync took while as many files were written as voters."""
+    """Percentiles of the fsync time with one file per voter."""
 
     p50_ms: float
     p99_ms: float
@@ -35,14 +35,14 @@
 
 
 def measure_syncs(folder: Path) -> SyncTimes:
-    """Append and sync three files at once, as three voters would."""
+    """Append to three files and sync them concurrently, like three voters."""
     with ThreadPoolExecutor(WRITERS) as pool:
         runs = list(pool.map(_sync_repeatedly, [folder] * WRITERS))
     return summarize([value for run in runs for value in run])
 
 
 def summarize(values_ms: list[float]) -> SyncTimes:
-    """Return the figures of many syncs."""
+    """Return the percentiles and the maximum of fsync times."""
     return SyncTimes(
         percentile(values_ms, 50), percentile(values_ms, 99), max(values_ms)
     )
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
@@ -1,4 +1,4 @@
-"""Loads on the ledger of a running system, and what they cost."""
+"""Put loads on the ledger of a running system and measure their cost."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Waits(NamedTuple):
-    """The waits of one load at all clients together."""
+    """The counts and waits of one load over all clients."""
 
     done: int
     failed: int
@@ -50,9 +50,10 @@
 
 
 class LoadCost(NamedTuple):
-    """One load: what was asked for, what came, what it cost.
+    """The offered rate of one load, its waits and its cost per record.
 
-    CPU is what exceeds the same process at rest, for each record.
+    ``leader_us`` and ``follower_us`` are the CPU time per record in excess
+    of that of the same process at rest.
     """
 
     shards: int
@@ -67,7 +68,7 @@
 
 
 class LedgerBench:
-    """Client processes spread over the control processes."""
+    """Clients that are distributed evenly over the control processes."""
 
     def __init__(
         self,
@@ -100,7 +101,7 @@
         self._rest_rates = self._measure_rest()
 
     def measure(self, records_per_s: float) -> LoadCost:
-        """Run one load on all clients and return its cost."""
+        """Run one load, divided among the clients, and return its cost."""
         pids = [self._leader, self._follower]
         disk_before = folder_bytes(self._folder)
         before = read_usage(pids)
@@ -148,7 +149,7 @@
 
 
 def combine(results: Sequence[LoadResult]) -> Waits:
-    """Return the waits of all clients as those of one."""
+    """Merge the results of all clients into one."""
     waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
     for result in results:
         waits.decode_and_add(result.waits)
@@ -175,10 +176,10 @@
 
 
 def median_run(runs: Sequence[LoadCost]) -> LoadCost:
-    """Return the run whose 99 % wait is the median; failures count all.
+    """Return the run with the median 99 % wait and the failures of all.
 
-    One run on a busy machine says more of its neighbours than of the
-    ledger, so a goal is judged by the middle one of several.
+    On a busy machine, other processes can dominate a single run, so the
+    goals are compared with the median of several runs.
     """
     ordered = sorted(runs, key=lambda run: run.waits.p99_ms)
     middle = ordered[len(ordered) // 2]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the scenario that measures what the relay costs."""
+"""Provide the processes of the scenario that measures the relay."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
@@ -1,6 +1,7 @@
-"""Load client: opens streams and measures their first tokens.
+"""Run a load client that measures the time to the first token.
 
-It reads one line of JSON for each run and prints one with what it saw.
+The process reads a `Run` as one line of JSON and prints its results as one
+line of JSON, repeatedly.
 """
 
 from __future__ import annotations
@@ -19,9 +20,10 @@
 
 
 class Run(msgspec.Struct):
-    """What to do: streams at once, how often each, tokens of each.
+    """The number of concurrent streams, with rounds and tokens of each.
 
-    ``pause_s`` is between the starts of two streams.
+    Each stream receives ``rounds`` answers of ``tokens`` tokens. ``pause_s``
+    is the time between the starts of two streams.
     """
 
     address: str
@@ -33,7 +35,7 @@
 
 
 class Stream(asyncio.Protocol):
-    """One connection, which reads ``rounds`` answers one by one."""
+    """A connection that requests ``rounds`` answers one after another."""
 
     def __init__(self, request: bytes, rounds: int) -> None:
         self.first_ms: list[float] = []
@@ -79,7 +81,7 @@
 
 
 async def run_streams(run: Run) -> dict[str, Any]:
-    """Open the streams, read them to their end and tell what came."""
+    """Open the streams, read them to their end and return the results."""
     host, _, port = run.address.rpartition(":")
     request = _encode_request(run)
     loop = asyncio.get_running_loop()
@@ -118,7 +120,7 @@
 
 
 def main() -> None:
-    """Do one run for each line that is read."""
+    """Execute one run for each line of standard input."""
     for line in sys.stdin:
         run = msgspec.json.decode(line, type=Run)
         result = asyncio.run(run_streams(run))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/engine_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/engine_process.py
@@ -1,9 +1,9 @@
-"""A fast fake engine: every stream gets its token at the same tick.
+"""Run a fast fake engine that sends tokens to its streams at intervals.
 
-The scenario needs thousands of tokens a second at an even pace; the
-engine of the tests, which keeps records, would be what is measured.
-Its streams tick in ``GROUPS`` groups at different moments, so that the
-measured process does not get all tokens in one burst.
+The scenario needs thousands of tokens per second at a constant rate. The
+fake engine of the tests keeps records and would be the bottleneck. The
+streams are divided into ``GROUPS`` groups that get their tokens at different
+times, so that the measured process does not receive all tokens in a burst.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class EngineConnection(asyncio.Protocol):
-    """One connection; ``ticks`` holds the streams of each group."""
+    """A connection; ``groups`` holds the active connections by group."""
 
     def __init__(self, groups: list[set[EngineConnection]]) -> None:
         self._groups = groups
@@ -79,7 +79,7 @@
         self._transport.write(HEAD + TOKEN)
 
     def send_token(self) -> bool:
-        """Send one token; tell whether more follow."""
+        """Send one token and return whether more follow."""
         self._left -= 1
         if self._left > 0:
             self._transport.write(TOKEN)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
@@ -1,8 +1,9 @@
-"""The measured process: one entry in front of one fake engine.
+"""Run the measured process: an entry in front of one fake engine.
 
-It is started with a loop, the engine's address and the way to measure.
-It prints its own address, and one line of JSON for each line that it
-reads: the CPU time that it has used and its peak memory.
+Its arguments are the event loop, the kind ("product" for the entry or any
+other for the plain relay) and the engine's address. It prints its own
+address. For each line that it reads, it prints a line of JSON with the CPU
+time that it has used and its peak memory.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 def current_usage() -> dict[str, Any]:
-    """Return what this process has used, and whether it has io_uring."""
+    """Return this process's CPU time, peak memory and use of io_uring."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "cpu_s": usage.ru_utime + usage.ru_stime,
@@ -42,7 +43,7 @@
 
 
 def open_files() -> list[str]:
-    """Return what the process's descriptors stand for."""
+    """Return the link targets of this process's file descriptors."""
     files: list[str] = []
     for descriptor in os.listdir(DESCRIPTORS):
         with contextlib.suppress(FileNotFoundError):
@@ -53,7 +54,7 @@
 async def serve_product(
     engine: str, *, task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve the entry itself, with a control process in memory."""
+    """Serve the entry with a fake control port."""
     control = FakeControlPort(guild_configuration(), FakeLedger())
     control.servers["engine"] = Announcement(
         "engine", "engine", engine, "marietta", 1, 1, (LARGE,), capacity=4096
@@ -67,7 +68,7 @@
 async def serve_plain(
     engine: str, *, task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve the plain relay that the product is compared with."""
+    """Serve the plain relay with which the product is compared."""
     async with anyio.create_task_group() as group:
         relay = make_plain_relay(engine)
         task_status.started(await group.start(serve_application, relay))
@@ -83,12 +84,12 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run on the loop that is asked for, ``asyncio`` or ``uvloop``."""
+    """Run on the given event loop, ``asyncio`` or ``uvloop``."""
     loop, kind, engine = arguments
     options: dict[str, Any] = {}
     if loop == "uvloop":
-        # For comparison only: uvloop 0.23 sets up io_uring, which the
-        # product may not use, with this variable too.
+        # For comparison only, as the product may not use io_uring: uvloop
+        # 0.23 sets it up in spite of this variable.
         os.environ["UV_USE_IO_URING"] = "0"
         options["use_uvloop"] = True
     anyio.run(_main, kind, engine, backend_options=options)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/plain.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/plain.py
@@ -1,6 +1,6 @@
-"""The plainest relay of uvicorn and httpcore, as a base to compare with.
+"""Build a minimal relay of uvicorn and httpcore as a baseline.
 
-It forwards what it reads and does nothing of what an entry must do.
+It forwards requests and answers without any of the functions of an entry.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def make_plain_relay(engine: str) -> Any:
-    """Return an application that forwards every request to the engine."""
+    """Return an ASGI application that forwards requests to the engine."""
     pool = httpcore.AsyncConnectionPool(
         max_connections=4096, max_keepalive_connections=1024
     )
--- a/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
@@ -72,16 +72,16 @@
 
     async def run_rounds(self, count: int = 1) -> list[Any]:
         """Plan ``count`` times, announce engines, and return all orders."""
-        given = []
+        planned = []
         for _ in range(count):
             self.announce()
             await self.leader.channel.step()
             for order in self.planner.plan():
                 await self.planner.carry_out(order)
-                given.append(order[:3])
+                planned.append(order[:3])
             self.cluster.now_s += PLAN_INTERVAL_S
         self.announce()
-        return given
+        return planned
 
 
 class TestModelLoads:
@@ -99,30 +99,30 @@
             serve_on_port(engines[0].application) as first,
             serve_on_port(engines[1].application) as second,
         ):
-            world = PlannerHarness(store)
-            world.engines = {engine.name: engine for engine in engines}
-            world.addresses = {"a": first, "b": second}
-            await world.elect_leader()
+            harness = PlannerHarness(store)
+            harness.engines = {engine.name: engine for engine in engines}
+            harness.addresses = {"a": first, "b": second}
+            await harness.elect_leader()
             fake.switch.fault = Fault("refuse", times=1)
-            await world.run_rounds(1)
+            await harness.run_rounds(1)
             assert not any(engine.received for engine in engines)
-            world.cluster.now_s += 10.0
-            await world.run_rounds(3)
+            harness.cluster.now_s += 10.0
+            await harness.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
             share = RolloutShare("2", 0.1, 1, "running")
-            world.in_force = world.in_force._replace(
+            harness.in_force = harness.in_force._replace(
                 shares={"nest-small": share}
             )
-            await world.run_rounds(3)
+            await harness.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
-            assert world.planner.missing() == (SMALL_NEXT,)
+            assert harness.planner.missing() == (SMALL_NEXT,)
             fake.size_bytes["nest-small/2"] = 7
-            world.cluster.now_s += 60.0
-            await world.run_rounds(2)
+            harness.cluster.now_s += 60.0
+            await harness.run_rounds(2)
             assert _loaded(engines) == [LARGE, SMALL, SMALL_NEXT]
-            orders = len(world.cluster.machine.orders())
-            assert await world.run_rounds(3) == []
-            assert len(world.cluster.machine.orders()) == orders
+            orders = len(harness.cluster.machine.orders())
+            assert await harness.run_rounds(3) == []
+            assert len(harness.cluster.machine.orders()) == orders
 
     async def test_withdrawn_version_stays_while_requests_run(self) -> None:
         """Guard against cutting running requests of a withdrawn version.
@@ -137,15 +137,15 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = PlannerHarness(store)
-            world.engines, world.addresses = {"a": engine}, {"a": address}
-            world.in_force = world.in_force._replace(withdrawn=(SMALL,))
-            world.loads["a"] = LoadReport(running=1)
-            await world.elect_leader()
-            assert await world.run_rounds(2) == []
-            del world.loads["a"]
-            given = await world.run_rounds(2)
-        assert given == [("unload", "a", SMALL), ("load", "a", LARGE)]
+            harness = PlannerHarness(store)
+            harness.engines, harness.addresses = {"a": engine}, {"a": address}
+            harness.in_force = harness.in_force._replace(withdrawn=(SMALL,))
+            harness.loads["a"] = LoadReport(running=1)
+            await harness.elect_leader()
+            assert await harness.run_rounds(2) == []
+            del harness.loads["a"]
+            planned = await harness.run_rounds(2)
+        assert planned == [("unload", "a", SMALL), ("load", "a", LARGE)]
         assert engine.versions == (LARGE,)
 
     async def test_restarted_engine_gets_its_load_again(self) -> None:
@@ -161,12 +161,12 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = PlannerHarness(store)
-            world.engines, world.addresses = {"a": engine}, {"a": address}
-            await world.elect_leader()
-            assert await world.run_rounds(2) == [("load", "a", SMALL)]
+            harness = PlannerHarness(store)
+            harness.engines, harness.addresses = {"a": engine}, {"a": address}
+            await harness.elect_leader()
+            assert await harness.run_rounds(2) == [("load", "a", SMALL)]
             engine.versions = (LARGE,)
-            assert await world.run_rounds(1) == [("load", "a", SMALL)]
+            assert await harness.run_rounds(1) == [("load", "a", SMALL)]
 
     async def test_new_leader_waits_before_planning(self) -> None:
         """Guard against loading a version that another server holds.
@@ -174,16 +174,16 @@
         A new leader knows only one of two servers. Planning at once would
         load on it a version that the other server already holds.
         """
-        world = PlannerHarness("127.0.0.1:1")
-        world.engines = {"a": FakeOrderedEngine("a")}
-        world.addresses = {"a": "127.0.0.1:1"}
-        world.announce()
-        await world.leader.elect()
-        assert world.planner.plan() == []
-        world.cluster.now_s += WARM_UP_S
-        assert world.planner.plan() != []
-        world.leader.term = None
-        assert world.planner.plan() == []
+        harness = PlannerHarness("127.0.0.1:1")
+        harness.engines = {"a": FakeOrderedEngine("a")}
+        harness.addresses = {"a": "127.0.0.1:1"}
+        harness.announce()
+        await harness.leader.elect()
+        assert harness.planner.plan() == []
+        harness.cluster.now_s += WARM_UP_S
+        assert harness.planner.plan() != []
+        harness.leader.term = None
+        assert harness.planner.plan() == []
 
 
 def _loaded(engines: list[FakeOrderedEngine]) -> list[str]:
--- a/packages/sycamorestand-bench/tests/test_ledger_bench.py
+++ b/packages/sycamorestand-bench/tests/test_ledger_bench.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the ledger bench; nothing here is timed."""
+"""Test the computations of the ledger bench, without measurements."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 
 
 class TestCombine:
-    def test_waits_of_all_clients_count(self) -> None:
-        """One slow client must show in the 99 % of all of them."""
+    def test_percentiles_include_the_waits_of_all_clients(self) -> None:
+        """Guard against a slow client that is missing in the 99 % wait."""
         waits = combine([_result([1000] * 98), _result([90_000] * 2, 1)])
         assert waits.done == 100
         assert waits.failed == 1
@@ -50,14 +50,14 @@
 
 
 class TestDisk:
-    def test_one_pause_shows(self) -> None:
+    def test_maximum_includes_a_single_pause(self) -> None:
         times = summarize([0.2] * 99 + [180.0])
         assert times.p50_ms == pytest.approx(0.2)
         assert times.longest_ms == 180.0
 
 
 class TestMedianRun:
-    def test_failures_of_every_run_are_kept(self) -> None:
+    def test_median_run_has_the_failures_of_all_runs(self) -> None:
         runs = [_cost(10, 30.0), _cost(10, 900.0, failed=2), _cost(10, 40.0)]
         middle = median_run(runs)
         assert middle.waits.p99_ms == 40.0
@@ -79,11 +79,16 @@
             ),
         ],
     )
-    def test_carried(self, cost: LoadCost, carried: bool) -> None:
+    def test_load_is_carried_within_wait_and_rate_limits(
+        self, cost: LoadCost, carried: bool
+    ) -> None:
         assert is_carried(cost) is carried
 
-    def test_goal_and_slope(self) -> None:
-        """Each second costs 50 ms whatever comes, a record 100 us."""
+    def test_missed_goals_and_slope_without_constant_cost(self) -> None:
+        """Guard against constant CPU time in the cost per record.
+
+        Each second costs 50 ms of CPU time at any load, each record 100 us.
+        """
         costs = [
             _cost(rate, 20.0, leader_us=100 + 50_000 / rate)
             for rate in (500, 1000, 2000)
