--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/system.py
@@ -52,10 +52,9 @@
 
     def addresses(self, first: int) -> list[str]:
         """Return all peer addresses, starting with process ``first``."""
-        controls = list(self.cluster.controls.values())
+        voters = list(self.cluster.controls.values())
         return [
-            control.peer_address
-            for control in controls[first:] + controls[:first]
+            voter.peer_address for voter in voters[first:] + voters[:first]
         ]
 
     def client(
