--- a/packages/sycamorestand-entry/tests/control/test_link.py
+++ b/packages/sycamorestand-entry/tests/control/test_link.py
@@ -178,11 +178,11 @@
 
     def test_message_is_sent_to_control_and_received_from_it(self) -> None:
         link = make_link(1)
-        mesh = FakeMesh()
-        link.mesh = mesh  # type: ignore[assignment]
+        fake_mesh = FakeMesh()
+        link.mesh = fake_mesh  # type: ignore[assignment]
         received: list[SessionsStay] = []
         link.add_listener(SessionsStay, received.append)
         link.send(self.STAY)
-        assert mesh.sent == [(link.control_address(), self.STAY)]
+        assert fake_mesh.sent == [(link.control_address(), self.STAY)]
         link._handle_message(link.control_address(), self.STAY)
         assert received == [self.STAY]
