--- a/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
+++ b/packages/sycamorestand/src/sycamorestand/operator/explain_request.py
@@ -1,4 +1,4 @@
-"""``sycactl explain-request``: one request's way, out of several logs."""
+"""Collect the log lines of one request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 from sycamorestand.operator.exits import FINDINGS
 from sycamorestand.operator.exits import UsageError
 
-# What changed on the same VM shortly before is often the cause: a lease is
-# lost for 2 s before it is missed, a server ejected for its last answers.
-BEFORE: Final = timedelta(seconds=3)
-# Other VMs' clocks may differ by so much; their lines are shown from that
-# much earlier and later, and in the order of their own clocks.
-SKEW: Final = timedelta(seconds=1)
+# Changes on the same VM shortly before a request often explain its outcome.
+# For example, a lease can have been lost for 2 s before a request needs it,
+# and a server is ejected because of its last answers.
+LOOKBACK: Final = timedelta(seconds=3)
+# The clocks of other VMs may differ by this much. So lines of other VMs are
+# shown from a period that is this much longer at both ends. They are sorted by
+# the times in the lines, without correction.
+MAX_CLOCK_SKEW: Final = timedelta(seconds=1)
 TIME_FORMAT: Final = "%Y-%m-%d %H:%M:%S,%f"
-# Fields that every line has, or that are told apart from the others.
-COMMON: Final = frozenset(
+# Fields that every line has, or that `LogLine` holds by themselves.
+COMMON_FIELDS: Final = frozenset(
     {"time", "level", "logger", "message", "vm", "role", "request", "number"}
 )
 
 
 class LogLine(NamedTuple):
-    """A line of a structured log."""
+    """A parsed line of a structured log."""
 
     at: datetime
     vm: str
@@ -45,7 +47,7 @@
 
 
 class Explanation(NamedTuple):
-    """The lines of a request, and what changed around it."""
+    """The lines of a request, and lines of other events around it."""
 
     request: tuple[LogLine, ...]
     around: tuple[LogLine, ...]
@@ -53,14 +55,14 @@
 
 
 def explain_request(request: str, *log_files: Path) -> Action:
-    """Show what the logs tell of one request, and what changed around it.
+    """Show the log lines of one request, and what changed around it.
 
     :param request: the id of the request, as the caller sent it
-    :param log_files: logs of entries and control processes
+    :param log_files: log files of entry and control processes
     """
 
     async def act(context: Context) -> int:
-        explanation = find_request(request, _read(log_files))
+        explanation = find_request(request, _read_lines(log_files))
         context.output.answer(explanation, explanation_lines(explanation))
         return DONE if explanation.request else FINDINGS
 
@@ -68,92 +70,110 @@
 
 
 def find_request(request: str, lines: Iterable[str]) -> Explanation:
-    """Return the lines of a request in order, and those around it."""
-    read: list[LogLine] = []
+    """Return the lines of a request in order, and other events around it.
+
+    Lines of other requests are left out. Lines that cannot be parsed are
+    counted.
+    """
+    parsed: list[LogLine] = []
     skipped = 0
     for line in lines:
-        found = parse_line(line)
-        if found is None:
+        log_line = parse_line(line)
+        if log_line is None:
             skipped += 1
         else:
-            read.append(found)
-    own = [line for line in read if line.request == request]
-    # Decisions are written when the request ends, so it began before them.
-    own.sort(key=lambda line: (line.at, line.number))
-    around = [line for line in read if not line.request and _near(line, own)]
+            parsed.append(log_line)
+    request_lines = [line for line in parsed if line.request == request]
+    # The decisions of a request are written when it ends, so their times are
+    # later than its begin. Lines with the same time are sorted by number.
+    request_lines.sort(key=lambda line: (line.at, line.number))
+    around = [
+        line
+        for line in parsed
+        if not line.request and _is_near(line, request_lines)
+    ]
     around.sort(key=lambda line: line.at)
-    return Explanation(tuple(own), tuple(around), skipped)
+    return Explanation(tuple(request_lines), tuple(around), skipped)
 
 
 def parse_line(line: str) -> LogLine | None:
-    """Return a line of a log, None where it is none.
+    """Return the parsed line, or None if it is not a log line.
 
-    What a collector puts before the object, such as a time or a name, is
-    passed over.
+    Text that a log collector puts before the JSON object, such as a time or
+    a name, is skipped.
     """
     start = line.find("{")
     if start < 0:
         return None
     try:
-        found = msgspec.json.decode(line[start:])
-        at = datetime.strptime(found["time"], TIME_FORMAT)
+        record = msgspec.json.decode(line[start:])
+        at = datetime.strptime(record["time"], TIME_FORMAT)
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
         return None
     return LogLine(
         at,
-        str(found.get("vm", "")),
-        str(found.get("role", "")),
-        str(found.get("message", "")),
-        str(found.get("request", "")),
-        _number(found),
-        {k: v for k, v in found.items() if k not in COMMON},
+        str(record.get("vm", "")),
+        str(record.get("role", "")),
+        str(record.get("message", "")),
+        str(record.get("request", "")),
+        _decision_number(record),
+        {k: v for k, v in record.items() if k not in COMMON_FIELDS},
     )
 
 
 def explanation_lines(explanation: Explanation) -> Iterator[str]:
-    """Return an explanation as lines for people."""
+    """Yield an explanation as lines for people."""
     if not explanation.request:
-        yield "no line of this request"
+        yield "no log line of this request was found"
     for line in explanation.request:
-        yield _text(line)
+        yield _line_text(line)
     if explanation.around:
-        yield "changes around it:"
+        yield "changes around the request:"
     for line in explanation.around:
-        yield "  " + _text(line)
+        yield "  " + _line_text(line)
     if explanation.skipped_lines:
-        yield f"{explanation.skipped_lines} lines are no log lines"
+        yield f"{explanation.skipped_lines} lines are not log lines"
 
 
-def _number(found: dict[str, Any]) -> int:
-    """Return the place of a decision; the line of the end is the last."""
-    number = found.get("number")
+def _decision_number(record: dict[str, Any]) -> int:
+    """Return the number of a decision, by which the lines are sorted.
+
+    The line of the request's end has no number and comes last.
+    """
+    number = record.get("number")
     return number if isinstance(number, int) else 1_000
 
 
-def _near(line: LogLine, own: list[LogLine]) -> bool:
-    if not own:
+def _is_near(line: LogLine, request_lines: list[LogLine]) -> bool:
+    if not request_lines:
         return False
-    took = max(int(entry.fields.get("took_ms", 0)) for entry in own)
-    begin = own[0].at - timedelta(milliseconds=took) - BEFORE
-    end = own[-1].at
-    if line.vm != own[0].vm:
-        begin, end = begin - SKEW, end + SKEW
+    duration_ms = max(
+        int(entry.fields.get("took_ms", 0)) for entry in request_lines
+    )
+    begin = (
+        request_lines[0].at - timedelta(milliseconds=duration_ms) - LOOKBACK
+    )
+    end = request_lines[-1].at
+    if line.vm != request_lines[0].vm:
+        begin, end = begin - MAX_CLOCK_SKEW, end + MAX_CLOCK_SKEW
     return begin <= line.at <= end
 
 
-def _text(line: LogLine) -> str:
+def _line_text(line: LogLine) -> str:
     at = line.at.strftime("%H:%M:%S.%f")[:-3]
-    fields = " ".join(f"{name}={value}" for name, value in _said(line))
+    fields = " ".join(
+        f"{name}={value}" for name, value in _nonempty_fields(line)
+    )
     return f"{at} {line.vm}/{line.role} {line.message} {fields}".rstrip()
 
 
-def _said(line: LogLine) -> Iterator[tuple[str, Any]]:
+def _nonempty_fields(line: LogLine) -> Iterator[tuple[str, Any]]:
     for name, value in line.fields.items():
         if value not in ("", None):
             yield name, value
 
 
-def _read(paths: Iterable[Path]) -> Iterator[str]:
+def _read_lines(paths: Iterable[Path]) -> Iterator[str]:
     for path in paths:
         try:
             with path.open(errors="replace") as lines:
--- a/packages/sycamorestand/tests/operator/conftest.py
+++ b/packages/sycamorestand/tests/operator/conftest.py
@@ -38,12 +38,12 @@
 
 EXAMPLES = Path(__file__).parents[4] / "examples"
 KEY = "the-operators-secret"
-BODIES = {"garbage": b"<html>", "another shape": b'{"outcome": "maybe"}'}
+BODIES = {"garbage": b"<html>", "another format": b'{"outcome": "maybe"}'}
 ANN = OperatorIdentity("ann", "admin")
 
 
 class State:
-    """What the fake control processes agree on, as if replicated."""
+    """The state that the fake control processes share, as if replicated."""
 
     def __init__(self) -> None:
         self.revision = 5
@@ -58,7 +58,7 @@
 
 
 class FakeControl:
-    """One control process; ``fault`` says how it misbehaves."""
+    """A fake control process; ``fault`` names the fault that it shows."""
 
     def __init__(self, state: State) -> None:
         self.state = state
@@ -89,7 +89,7 @@
         return DeclarationsAnswer(self.state.revision, self.state.declarations)
 
     async def in_force(self, revision: int) -> InForceAnswer:
-        if self.fault == "no word on in force":
+        if self.fault == "in force unknown":
             raise NoLeader("an election runs")
         waiting, self.state.waiting = self.state.waiting, ()
         if self.fault == "never in force":
@@ -143,19 +143,19 @@
         return True
 
 
-class Ended(NamedTuple):
-    """How a run of sycactl ended."""
+class CommandResult(NamedTuple):
+    """The exit code and the output of one run of sycactl."""
 
     code: int
     out: str
     err: str
 
 
-def _faulty(server: Server) -> Any:
-    """Wrap the real application in the faults of a bad network."""
+def _inject_faults(server: Server) -> Any:
+    """Return the real application, with the server's fault injected."""
 
     async def drop(message: Any) -> None:
-        """Lose a part of the answer."""
+        """Drop a part of the answer."""
 
     async def hang(receive: Any) -> None:
         while (await receive())["type"] != "http.disconnect":
@@ -181,7 +181,7 @@
 
 
 class Server:
-    """A fake control process on a real port."""
+    """A fake control process that listens on a real port."""
 
     def __init__(self) -> None:
         self.control = FakeControl(State())
@@ -189,7 +189,7 @@
         self._socket.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         config = uvicorn.Config(
-            _faulty(self),
+            _inject_faults(self),
             lifespan="off",
             log_level="critical",
             timeout_graceful_shutdown=0,
@@ -210,8 +210,8 @@
 
 
 @pytest.fixture(scope="session")
-def listening() -> Iterator[list[Server]]:
-    """Run two control processes on loopback for all tests."""
+def control_servers() -> Iterator[list[Server]]:
+    """Run two fake control processes on loopback for all tests."""
     started = [Server(), Server()]
     for server in started:
         server.start()
@@ -226,16 +226,16 @@
 
 
 @pytest.fixture
-def servers(listening: list[Server], state: State) -> list[Server]:
-    """Return the control processes as if they had just been started."""
-    for server in listening:
+def servers(control_servers: list[Server], state: State) -> list[Server]:
+    """Return the two control processes with fresh state and no faults."""
+    for server in control_servers:
         server.control = FakeControl(state)
-    return listening
+    return control_servers
 
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """Return a declarations folder that may be edited."""
+    """Return a copy of a declarations folder, which the test may edit."""
     return shutil.copytree(EXAMPLES / "guild", tmp_path / "declarations")
 
 
@@ -244,28 +244,28 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-) -> Callable[..., Ended]:
-    """Return a function that runs the command in this process."""
+) -> Callable[..., CommandResult]:
+    """Return a function that runs sycactl in this process."""
     key_file = tmp_path / "key"
     key_file.write_text(f"{KEY}\n")
     monkeypatch.setenv("SYCACTL_KEY_FILE", str(key_file))
 
-    def run_command(*arguments: object) -> Ended:
+    def run_command(*arguments: object) -> CommandResult:
         with pytest.raises(SystemExit) as ended:
             main([str(argument) for argument in arguments])
         out, err = capsys.readouterr()
-        return Ended(int(ended.value.code or 0), out, err)
+        return CommandResult(int(ended.value.code or 0), out, err)
 
     return run_command
 
 
 @pytest.fixture
 def online(
-    sycactl: Callable[..., Ended],
+    sycactl: Callable[..., CommandResult],
     servers: list[Server],
     monkeypatch: pytest.MonkeyPatch,
-) -> Callable[..., Ended]:
-    """Return the command with both control processes in its settings."""
+) -> Callable[..., CommandResult]:
+    """Return sycactl with both control processes in its settings."""
     addresses = ",".join(server.address for server in servers)
     monkeypatch.setenv("SYCACTL_CONTROLS", addresses)
     return sycactl
@@ -273,9 +273,9 @@
 
 @pytest.fixture
 def impatient(
-    online: Callable[..., Ended], monkeypatch: pytest.MonkeyPatch
-) -> Callable[..., Ended]:
-    """Return the command with short waits, for faults that never end."""
+    online: Callable[..., CommandResult], monkeypatch: pytest.MonkeyPatch
+) -> Callable[..., CommandResult]:
+    """Return sycactl with short timeouts, for faults that don't end."""
     monkeypatch.setenv("SYCACTL_ATTEMPT_S", "1")
     monkeypatch.setenv("SYCACTL_PATIENCE_S", "1")
     monkeypatch.setenv("SYCACTL_WAIT_S", "1")
