--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
@@ -1,4 +1,8 @@
-"""A model engine with OpenAI's streaming interface and fault switches."""
+"""Fake a model engine with OpenAI's streaming interface and faults.
+
+Run as a module, it takes a port, a token rate and versions as arguments
+and prints its address.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class EngineRecord:
-    """What one run did; a resumed run keeps its record."""
+    """The course of one run; a resumed run continues its record."""
 
     def __init__(self, headers: dict[str, str], version: str) -> None:
         self.request_key = headers.get("x-request-key", "")
@@ -41,9 +45,9 @@
 
 
 class FakeEngine:
-    """State of one engine; `application` serves it.
+    """The state of one engine; `application` is its ASGI application.
 
-    A ``tokens_per_s`` of zero sends as fast as the connection takes it.
+    With ``tokens_per_s`` at zero, tokens are sent without a pause.
     """
 
     def __init__(
@@ -63,7 +67,11 @@
         self.most_running = 0
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Answer one request.
+
+        Besides chat completions, ``/fake/fault`` sets the fault to inject
+        and ``/fake/runs`` lists the records of all runs.
+        """
         body = await read_body(receive)
         path = scope["path"]
         if path == "/fake/fault":
@@ -100,7 +108,7 @@
         self.most_running = max(self.most_running, self.running)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(_watch, receive, record, group)
+                group.start_soon(_cancel_on_disconnect, receive, record, group)
                 start = int(headers.get("x-resume-from", "0"))
                 if fault.kind == "begin_again":
                     start = 0
@@ -169,7 +177,7 @@
                 due_s = begin_s + (index - start) / rate
                 await anyio.sleep(max(0.0, due_s - anyio.current_time()))
             if index == self._fault.after:
-                await self._show_fault()
+                await self._inject_fault()
             text = token_text(self._record, index)
             await self._write(_token_event(self._record, text))
             self._record.sent_tokens += 1
@@ -180,12 +188,12 @@
             return
         ending = b"data: [DONE]\n\n"
         if self._fault.kind != "no_usage":
-            sent = prompt_tokens(self._content)
-            ending = _usage_event(self._record, sent, tokens) + ending
+            prompt_count = prompt_tokens(self._content)
+            ending = _usage_event(self._record, prompt_count, tokens) + ending
         self._record.whole = True
         await self._send({"type": "http.response.body", "body": ending})
 
-    async def _show_fault(self) -> None:
+    async def _inject_fault(self) -> None:
         match self._fault.kind:
             case "cut":
                 raise ConnectionAborted
@@ -203,29 +211,29 @@
 
 
 def token_text(record: EngineRecord, index: int) -> str:
-    """Return a token that shows whose answer it belongs to."""
+    """Return a token that names the request to which it belongs."""
     return expected_token(record.version, record.request_key, index)
 
 
 def expected_token(version: str, request_key: str, index: int) -> str:
-    """Return the token at this place of a request's answer."""
+    """Return the token at this index of the answer to a request."""
     return f"{version}/{request_key}/{index} "
 
 
 def expected_text(version: str, request_key: str, tokens: int) -> str:
-    """Return the whole answer to a request."""
+    """Return the complete text of the answer to a request."""
     return "".join(
         expected_token(version, request_key, index) for index in range(tokens)
     )
 
 
 def prompt_tokens(content: dict[str, Any]) -> int:
-    """Return how many tokens the fake counts for a request's messages."""
+    """Return the number of prompt tokens that the fake reports."""
     messages = msgspec.json.encode(content["messages"])
     return len(messages) // CHARACTERS_PER_TOKEN
 
 
-async def _watch(
+async def _cancel_on_disconnect(
     receive: Any, record: EngineRecord, group: anyio.abc.TaskGroup
 ) -> None:
     await receive()
@@ -239,24 +247,26 @@
     return _event(record, {"choices": [choice]})
 
 
-def _usage_event(record: EngineRecord, sent: int, tokens: int) -> bytes:
+def _usage_event(
+    record: EngineRecord, prompt_count: int, tokens: int
+) -> bytes:
     usage = {
-        "prompt_tokens": sent,
+        "prompt_tokens": prompt_count,
         "completion_tokens": tokens,
-        "total_tokens": sent + tokens,
+        "total_tokens": prompt_count + tokens,
     }
     return _event(record, {"choices": [], "usage": usage})
 
 
 def _event(record: EngineRecord, content: dict[str, Any]) -> bytes:
-    whole = {
+    chunk = {
         "id": f"chatcmpl-{record.run_id}",
         "object": "chat.completion.chunk",
         "created": 0,
         "model": record.version,
         **content,
     }
-    return b"data: " + msgspec.json.encode(whole) + b"\n\n"
+    return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
 async def _main(arguments: list[str]) -> None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/ordered_engine.py
@@ -1,7 +1,7 @@
-"""An engine that takes orders to load and unload versions.
+"""Fake an engine that accepts orders to load and unload versions.
 
-It keeps every order that reached it and every one that it acted on, so
-that a test compares what the sender believes with what happened.
+It records the orders that it received and those that it applied, so that
+a test can compare the state that the sender recorded with the effect.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class FakeOrderedEngine:
-    """State of one engine; `application` takes its orders.
+    """The state of one engine; `application` receives its orders.
 
-    ``deliveries`` above one acts on each order that often, as a network
-    does that delivers a request twice.
+    The engine applies each order ``deliveries`` times, to simulate a
+    network that delivers a request twice.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.highest_number = 0
 
     def announcement(self, address: str, sequence: int = 1) -> Announcement:
-        """Return what the engine announces of itself now."""
+        """Return the announcement of the engine's current state."""
         return Announcement(
             self.name,
             "engine",
@@ -72,7 +72,7 @@
         )
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Take one order."""
+        """Receive one order and inject the current fault."""
         body = await read_body(receive)
         fields = msgspec.json.decode(body, type=dict[str, Any])
         order = ReceivedOrder(**fields)
@@ -82,33 +82,33 @@
             case "refuse":
                 await send_json(send, 503, {})
             case "error":
-                self._act(order)
+                self._apply_deliveries(order)
                 await send_json(send, 500, {})
             case "garbage":
-                self._act(order)
+                self._apply_deliveries(order)
                 await send_answer(send, 200, b"\x00\xff")
             case "cut":
-                self._act(order)
+                self._apply_deliveries(order)
                 raise ConnectionAborted
             case "silent":
                 await anyio.sleep(fault.pause_s)
             case "late":
-                status = self._act(order)
+                status = self._apply_deliveries(order)
                 await anyio.sleep(fault.pause_s)
                 await send_json(send, status, {})
             case "slow":
                 await anyio.sleep(fault.pause_s)
-                await send_json(send, self._act(order), {})
+                await send_json(send, self._apply_deliveries(order), {})
             case _:
-                await send_json(send, self._act(order), {})
+                await send_json(send, self._apply_deliveries(order), {})
 
-    def _act(self, order: ReceivedOrder) -> int:
+    def _apply_deliveries(self, order: ReceivedOrder) -> int:
         status = 202
         for _ in range(self.deliveries):
-            status = self._act_once(order)
+            status = self._apply(order)
         return status
 
-    def _act_once(self, order: ReceivedOrder) -> int:
+    def _apply(self, order: ReceivedOrder) -> int:
         if self.honours_fencing and order.fencing_number < self.highest_number:
             return 409
         self.highest_number = max(self.highest_number, order.fencing_number)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/rating.py
@@ -1,4 +1,4 @@
-"""A rating service that rates versions as it was told."""
+"""Fake a rating service with a fixed rating for each version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeRating:
-    """State of the rating service; `application` serves it."""
+    """The state of a rating service; `application` serves it."""
 
     def __init__(self, ratings: dict[str, float]) -> None:
         self.ratings = ratings
@@ -24,10 +24,10 @@
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
         """Rate one answer."""
-        asked = msgspec.json.decode(await read_body(receive))
-        self.requests.append(asked)
+        request = msgspec.json.decode(await read_body(receive))
+        self.requests.append(request)
         fault = self.switch.next_fault()
-        rating = self.ratings.get(asked["version"], 0.0)
+        rating = self.ratings.get(request["version"], 0.0)
         match fault.kind:
             case "refuse":
                 await send_json(send, 503, {})
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
@@ -1,4 +1,4 @@
-"""Loads on the ledger of a running system, and what they cost."""
+"""Put loads on the ledger of a running system and measure their cost."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from sycamorestand_bench.control_bench.child import Children
 from sycamorestand_bench.control_bench.restart import folder_bytes
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import read_usage
 from sycamorestand_bench.control_bench.usage import Usage
 from sycamorestand_bench.ledger_bench.client_process import ClientRun
-from sycamorestand_bench.ledger_bench.client_process import DIGITS
 from sycamorestand_bench.ledger_bench.client_process import Load
 from sycamorestand_bench.ledger_bench.client_process import LoadResult
-from sycamorestand_bench.ledger_bench.client_process import LONGEST_US
+from sycamorestand_bench.ledger_bench.client_process import MAX_WAIT_US
+from sycamorestand_bench.ledger_bench.client_process import SIGNIFICANT_DIGITS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -40,7 +40,7 @@
 
 
 class Waits(NamedTuple):
-    """The waits of one load at all clients together."""
+    """The counts and waits of one load over all clients."""
 
     done: int
     failed: int
@@ -50,9 +50,10 @@
 
 
 class LoadCost(NamedTuple):
-    """One load: what was asked for, what came, what it cost.
+    """The offered rate of one load, its waits and its cost per record.
 
-    CPU is what exceeds the same process at rest, for each record.
+    ``leader_us`` and ``follower_us`` are the CPU time per record in excess
+    of that of the same process at rest.
     """
 
     shards: int
@@ -67,7 +68,7 @@
 
 
 class LedgerBench:
-    """Client processes spread over the control processes."""
+    """Clients that are distributed evenly over the control processes."""
 
     def __init__(
         self,
@@ -97,20 +98,20 @@
             for number in range(CLIENTS)
         ]
         self._run(Load(10.0, 0.5))
-        self._rest = self._at_rest()
+        self._rest_rates = self._measure_rest()
 
     def measure(self, records_per_s: float) -> LoadCost:
-        """Run one load on all clients and return its cost."""
+        """Run one load, divided among the clients, and return its cost."""
         pids = [self._leader, self._follower]
         disk_before = folder_bytes(self._folder)
         before = read_usage(pids)
         results = self._run(Load(records_per_s / CLIENTS, LOAD_S))
         after = read_usage(pids)
         waits = combine(results)
-        leader = rate(before[self._leader], after[self._leader])
+        leader = rate_between(before[self._leader], after[self._leader])
         seconds = after[self._leader].at_s - before[self._leader].at_s
-        rows = max(1, waits.done)
-        sent = leader.sent_bytes_per_s - self._rest[0].sent_bytes_per_s
+        records = max(1, waits.done)
+        sent = leader.sent_bytes_per_s - self._rest_rates[0].sent_bytes_per_s
         memory = (
             after[self._leader].resident_mb - before[self._leader].resident_mb
         )
@@ -118,12 +119,16 @@
             self._shards,
             records_per_s,
             waits,
-            _extra_us(before, after, self._leader, self._rest[0], rows),
-            _extra_us(before, after, self._follower, self._rest[1], rows),
+            _extra_cpu_us(
+                before, after, self._leader, self._rest_rates[0], records
+            ),
+            _extra_cpu_us(
+                before, after, self._follower, self._rest_rates[1], records
+            ),
             leader.cpu_percent,
-            memory * MEGABYTE / rows,
-            (folder_bytes(self._folder) - disk_before) / rows,
-            sent * seconds / rows,
+            memory * MEGABYTE / records,
+            (folder_bytes(self._folder) - disk_before) / records,
+            sent * seconds / records,
         )
 
     def _run(self, load: Load) -> list[LoadResult]:
@@ -132,18 +137,20 @@
             answers = pool.map(lambda child: child.ask(line), self._clients)
             return [msgspec.convert(each, LoadResult) for each in answers]
 
-    def _at_rest(self) -> tuple[Rate, Rate]:
+    def _measure_rest(self) -> tuple[Rate, Rate]:
         pids = [self._leader, self._follower]
         before = read_usage(pids)
         time.sleep(REST_S)
         after = read_usage(pids)
-        leader, follower = (rate(before[pid], after[pid]) for pid in pids)
+        leader, follower = (
+            rate_between(before[pid], after[pid]) for pid in pids
+        )
         return leader, follower
 
 
 def combine(results: Sequence[LoadResult]) -> Waits:
-    """Return the waits of all clients as those of one."""
-    waits = HdrHistogram(1, LONGEST_US, DIGITS)
+    """Merge the results of all clients into one."""
+    waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
     for result in results:
         waits.decode_and_add(result.waits)
     done = sum(result.done for result in results)
@@ -169,10 +176,10 @@
 
 
 def median_run(runs: Sequence[LoadCost]) -> LoadCost:
-    """Return the run whose 99 % wait is the median; failures count all.
+    """Return the run with the median 99 % wait and the failures of all.
 
-    One run on a busy machine says more of its neighbours than of the
-    ledger, so a goal is judged by the middle one of several.
+    On a busy machine, other processes can dominate a single run, so the
+    goals are compared with the median of several runs.
     """
     ordered = sorted(runs, key=lambda run: run.waits.p99_ms)
     middle = ordered[len(ordered) // 2]
@@ -180,17 +187,17 @@
     return middle._replace(waits=middle.waits._replace(failed=failed))
 
 
-def _extra_us(
+def _extra_cpu_us(
     before: dict[int, Usage],
     after: dict[int, Usage],
     pid: int,
     rest: Rate,
-    rows: int,
+    records: int,
 ) -> float:
     seconds = after[pid].at_s - before[pid].at_s
     used_s = after[pid].cpu_s - before[pid].cpu_s
     extra_s = used_s - rest.cpu_percent / 100 * seconds
-    return extra_s * MICROSECONDS / rows
+    return extra_s * MICROSECONDS / records
 
 
 __all__ = ["combine", "LoadCost", "measure_loads", "median_run", "Waits"]
