--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/injector.py
@@ -29,7 +29,7 @@
 # Longer than the heartbeat interval of 0.1 s, shorter than any timeout.
 LINK_DELAY_S: Final = 0.25
 SEGMENTS: Final = "log-*.seg"
-# The first part of a frame, as a write leaves it that a power loss cuts off.
+# The first part of a frame, as left by a write that a power loss interrupts.
 TORN_BYTES: Final = b"\x00\x00\x01\x7f" + b"\x5a" * 23
 # A limit on the file size of the process: every write beyond the first byte
 # of a file fails, as on a full disk.
@@ -57,7 +57,10 @@
 
 
 class PlannedStop(NamedTuple):
-    """A planned stop: times of its signal and its end, and exit status."""
+    """A planned stop of a process, with its exit status.
+
+    ``begun_s`` is the time of the signal, ``ended_s`` that of the end.
+    """
 
     process: str
     begun_s: float
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/monitor.py
@@ -20,8 +20,8 @@
     from sycamorestand_bench.soak.injector import Injector
 
 POLL_INTERVAL_S: Final = 0.25
-# A control process has a target of 128 MB. One that uses twice as much under
-# a few dozen callers has a leak.
+# The memory target of a control process is 128 MB. A process that uses twice
+# as much under a few dozen callers has a leak.
 MAX_RESIDENT_BYTES: Final = 256 * 1024 * 1024
 MAX_DESCRIPTORS: Final = 1024
 ANSWER_TIMEOUT_S: Final = 1.0
@@ -35,14 +35,14 @@
 
 
 class InForce(NamedTuple):
-    """A revision reported as in force everywhere, and the time of that."""
+    """A revision reported as in force everywhere, and the report's time."""
 
     revision: int
     at_s: float
 
 
 class Monitor:
-    """Collects findings in a separate thread until stopped."""
+    """Collects findings until stopped; `run` needs a separate thread."""
 
     def __init__(self, cluster: Cluster, injector: Injector) -> None:
         self.findings: list[Finding] = []
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/mutants/sitecustomize.py
@@ -2,7 +2,7 @@
 
 The interpreter imports this module by its name: a soak puts the folder on
 ``PYTHONPATH`` of the processes that it starts. Each mutant breaks one
-promise, so that a soak without findings has a faulty check.
+promise, so a soak that has no findings with a mutant has a faulty check.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 # Longer than the start of the system, so that the process ends under load.
 LIFETIME_S: Final = 25.0
-# The size of some records of the log: a change takes a few hundred bytes.
+# Enough to remove records from a log: a change takes a few hundred bytes.
 REMOVED_BYTES: Final = 400
 MUTANT_VARIABLE: Final = "SYCAMORESTAND_SOAK_MUTANT"
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operator.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/operator.py
@@ -25,17 +25,18 @@
     from sycamorestand_bench.system.system import System
 
 PAUSE_S: Final = 0.1
-# A request sent before the change was in force may reach its server later.
-# A delayed link adds no more than this.
+# A request that was sent to a server before the change was in force may
+# arrive this much later at most, over a delayed link.
 IN_FLIGHT_S: Final = 0.6
 OBSERVATION_S: Final = 1.0
-# Most chats run on this version; its fallback has to replace it.
+# Most chats run on this version. While it is withdrawn, its fallback has to
+# replace it.
 VERSION: Final = "nest-small@3"
 CONFLICT_STATUSES: Final = (409, 412)
 
 
 class WithdrawnPeriod(NamedTuple):
-    """A period in which a version was withdrawn, and its runs in it."""
+    """A period in which a version was withdrawn, and its runs meanwhile."""
 
     version: str
     from_s: float
@@ -67,7 +68,8 @@
     def stop_replacing(self) -> None:
         """End `replace_lost_voters`.
 
-        This comes later than `stop`: the last fault may wipe a disk.
+        Call it later than `stop`: if the last fault wipes a disk, the lost
+        voter must still be replaced.
         """
         self._stop_replacing = True
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/run.py
@@ -40,8 +40,8 @@
     from sycamorestand_bench.soak.injector import Event
     from sycamorestand_bench.soak.schedule import Schedule
 
-# The lease of an announcement (3 s), two more seconds until every entry has
-# the news, and the delay that a faulty link may add.
+# The lease of an announcement (3 s), two more seconds until every entry knows
+# that the server has left, and the delay that a faulty link may add.
 LEAVING_BOUND_S: Final = 8.0
 # Callers give up a request after twelve attempts. A call that still waits
 # after this time is a finding.
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/soak/schedule.py
@@ -16,7 +16,7 @@
 # fault. With more than two a second, no request is served.
 STEPS_PER_S: Final = 0.7
 # Share of steps after which a second fault hits the same process while it
-# recovers.
+# recovers, or a random target where the first one hit no process.
 REPEAT_PROBABILITY: Final = 0.3
 REPEAT_WITHIN_S: Final = 2.0
 # The system tolerates one lost disk of three. A second wipe has to come after
@@ -85,7 +85,8 @@
     "server_error": _FaultKind(1, "server", 0.5, 5.0),
     "server_cut": _FaultKind(1, "server", 0.5, 5.0),
     "server_silent": _FaultKind(1, "server", 0.5, 5.0),
-    # Not for plain services: no process can tell garbage from their answers.
+    # Not for plain services: their answers may be any bytes, so no process
+    # can detect garbage in them.
     "server_garbage": _FaultKind(1, "engine", 0.5, 5.0),
     "server_refuse": _FaultKind(1, "server", 0.5, 5.0),
     "server_leaves": _FaultKind(1, "engine", 0.0, 0.0),
@@ -177,7 +178,10 @@
 def _draw_repeat(
     random: Random, step: Step, at_s: float, targets: Targets
 ) -> Step:
-    """Return a fault that hits the process of ``step`` in its recovery."""
+    """Return a second fault, for the process that ``step`` has hit.
+
+    It gets a random target if ``step`` has hit a link, a group or a server.
+    """
     fault = random.choice(("kill", "freeze", "stop", "reset", "isolate"))
     drawn = _make_step(random, fault, at_s, targets)
     processes = (*targets.controls, *targets.entries)
