--- a/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/processes.py
@@ -207,8 +207,8 @@
             self._wait_port_ready(name, port)
 
     def _wait_port_ready(self, name: str, port: int) -> None:
-        until = time.monotonic() + READY_TIMEOUT_S
-        while time.monotonic() < until:
+        until_s = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < until_s:
             if self._running[name].poll() is not None:
                 raise RuntimeError(f"{name} ended: {self.log_text(name)}")
             if _is_ready(port):
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/checks.py
@@ -35,10 +35,11 @@
 
 
 class Baselines(NamedTuple):
-    """Counts of runs at a withdrawal and a server's leaving.
+    """Counts of runs when a version was withdrawn and a server had left.
 
-    A run that begins later breaks a promise. The last two fields are the
-    exit status of the planned stop and the attempts that it cut.
+    A later run on the version or the server breaks a promise. The last two
+    fields are the exit status of the planned stop and the number of
+    attempts that it cut.
     """
 
     withdrawn_version: str
@@ -57,10 +58,10 @@
     allowed: Mapping[str, frozenset[str]],
     strong_micros: int,
 ) -> dict[str, Any]:
-    """Return the figures of the quickstart's last line.
+    """Return the figures that the quickstart prints as its last line.
 
-    The charges of a request key are compared with its calls together: two
-    answered calls with one key must have one charge.
+    Two calls with one request key must both get a whole answer, and the
+    key must have one charge.
     """
     answered = [answer for answer in answers if answer.run == "answered"]
     ended = sum(answer.code in FINAL_CODES for answer in answers)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/operator.py
@@ -12,8 +12,8 @@
 import anyio
 import msgspec
 
-# The key of an admin whom the example declares. Any other operator would be
-# removed by the first apply, which the same operator runs.
+# The first apply, which this operator runs, removes every operator that the
+# example does not declare. This is the key of an admin whom it declares.
 ADMIN_KEY: Final = "demo-guild-admin"
 COMMAND_TIMEOUT_S: Final = 40
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/quickstart/run.py
@@ -49,7 +49,7 @@
 async def run_quickstart(
     examples: Path, folder: Path, requests: int, seed: int
 ) -> dict[str, Any]:
-    """Start a system, run all events and return the last line's figures."""
+    """Start a system, run all events and return the figures to print."""
     with Cluster(folder) as cluster:
         _print_progress("starting three control processes and three entries")
         _start_processes(cluster)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/changes.py
@@ -38,9 +38,9 @@
 class ChangeStream:
     """Withdraws and reinstates a version in turn.
 
-    A change goes to the operator ports in turn: on any answer that is not
-    final, the next port gets it. ``accepted`` holds the changes whose
-    acceptance the operator has seen.
+    Each change is sent to one operator port after the other until an
+    answer accepts or finally refuses it. ``accepted`` holds the changes
+    whose acceptance the operator has seen.
     """
 
     def __init__(self, prefix: str, ports: Sequence[int], base: int) -> None:
@@ -68,7 +68,7 @@
             answer = send_change(port, sent)
             if answer.status == 200:
                 return Accepted(sent, answer.body["revision"], tries)
-            # Control must never finally refuse a valid change.
+            # A final refusal of a valid change is a fault of the system.
             assert answer.status not in (409, 422), (sent, answer)
             time.sleep(RESEND_PAUSE_S)
         raise AssertionError(f"no control process accepted {sent}")
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/fault_proxy.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/fault_proxy.py
@@ -17,7 +17,7 @@
 # the first bytes of a connection.
 SENDER_SEARCH_BYTES: Final = 64
 CHUNK_BYTES: Final = 65_536
-# Interval at which held data checks whether `heal` has released it.
+# Interval at which a held connection checks whether `heal` has released it.
 HOLD_POLL_INTERVAL_S: Final = 0.02
 ALL_SENDERS: Final = ""
 UNKNOWN: Final = "unknown"
@@ -33,7 +33,8 @@
     """Forwards connections from ``listen`` to ``target`` with faults.
 
     A sender is the peer address of a process; `ALL_SENDERS` stands for
-    all of them. Call all methods in the event loop that runs the proxy.
+    the senders of all connections. Call all methods in the event loop that
+    runs the proxy.
     """
 
     def __init__(self, listen: str, target: str) -> None:
@@ -74,7 +75,7 @@
         self._delay_s = delay_s
 
     def heal(self) -> None:
-        """End every fault; blackholed connections stay silent."""
+        """End every fault, except that blackholed connections stay silent."""
         self._refused_senders.clear()
         self._held_senders[True].clear()
         self._held_senders[False].clear()
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/system/system.py
@@ -1,7 +1,7 @@
 """Run a whole system on loopback for tests.
 
-It has three control processes, all voters, three entries, and fake backend
-servers.
+The system has three control processes that are all voters, three entries and
+fake backend servers.
 """
 
 from __future__ import annotations
@@ -132,9 +132,9 @@
 
     def sycactl(self, *arguments: str) -> CommandResult:
         """Run a ``sycactl`` command and assert that it succeeds."""
-        done = sycactl(self.folder, self.ports, *arguments)
-        assert done.status == 0, (arguments, done)
-        return done
+        result = sycactl(self.folder, self.ports, *arguments)
+        assert result.status == 0, (arguments, result)
+        return result
 
     def status(self, control: str) -> dict[str, Any]:
         """Return a control process's status, or {} if it does not answer."""
@@ -171,10 +171,10 @@
         return self._portal.call(function, *arguments)
 
     def replacement_id(self, at: str, control: str) -> str:
-        """Return the id with which a process waits to replace a voter.
+        """Return the new id of a process that waits to replace its voter.
 
-        ``at`` is the control process whose alarms are read. Return "" if
-        they don't name ``control``.
+        ``control`` is the process, which has lost its disk, and ``at`` the
+        control process whose alarms name the id. Return "" if they do not.
         """
         for alarm in self.status(at).get("alarms", ()):
             if alarm.startswith(control) and "waits to replace" in alarm:
@@ -229,10 +229,10 @@
     def start_long_lease_engine(
         self, entry: str, versions: tuple[str, ...]
     ) -> None:
-        """Start an engine that stays known to an entry while it is cut off.
+        """Start an engine that an entry knows although it is cut off.
 
-        The engine announces itself once, to that entry alone, with a lease
-        of `LONG_LEASE_S`.
+        The engine announces itself once, to this entry alone, before the
+        entry loses its links. The announcement's lease is `LONG_LEASE_S`.
         """
         engine = FakeEngine("steady", versions)
         self.world.engines.append(engine)
