--- a/packages/sycamorestand/tests/test_run.py
+++ b/packages/sycamorestand/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The two kinds of process, as the program starts them."""
+"""Entry and control processes as the program starts them."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 
 class TestProcesses:
-    def test_neither_uses_io_uring_nor_starts_a_process(
+    def test_no_process_uses_io_uring_or_starts_a_child(
         self, cluster: Cluster
     ) -> None:
-        """A loop that sets up io_uring holds a descriptor for it.
+        """An event loop that sets up io_uring keeps a descriptor of it open.
 
-        uvloop does so whatever its environment says; the descriptors of
-        both processes are the proof that neither runs on it.
+        uvloop sets up io_uring whatever its environment variable says. So
+        the test reads the open descriptors of both processes.
         """
         for name in ("control-1", "entry-1"):
             pid = cluster.pid(name)
@@ -53,19 +53,17 @@
             children = Path(f"/proc/{pid}/task/{pid}/children").read_text()
             assert children == ""
 
-    def test_both_end_a_planned_stop_with_status_0(
-        self, cluster: Cluster
-    ) -> None:
+    def test_planned_stop_exits_with_status_0(self, cluster: Cluster) -> None:
         assert cluster.stop("entry-1") == 0
         assert cluster.stop("control-1") == 0
 
-    def test_a_fault_in_native_code_leaves_a_stack(
+    def test_segmentation_fault_leaves_a_stack_trace(
         self, cluster: Cluster
     ) -> None:
-        """An entry ends with a segmentation fault, as it once did.
+        """An entry ends with a segmentation fault.
 
-        Nothing in its log said where: the process is gone before a line
-        is written. Now the stack of each of its threads stands there.
+        The process ends before it can write a log line. The fault handler
+        must have written the stack of each thread, which shows the place.
         """
         cluster.send_signal("entry-1", SIGSEGV)
         while cluster.exit_status("entry-1") is None:
@@ -74,8 +72,8 @@
         assert "Fatal Python error: Segmentation fault" in log
         assert "run.py" in log
 
-    def test_each_restarts_on_what_it_has(self, cluster: Cluster) -> None:
-        """Both processes are killed; the control process has a folder."""
+    def test_killed_processes_restart(self, cluster: Cluster) -> None:
+        """Both processes are killed; the data folder outlives the restart."""
         cluster.kill("entry-1")
         cluster.kill("control-1")
         cluster.start_control("control-1", "dalton", voters_wanted=1)
@@ -84,23 +82,23 @@
 
 
 class TestMain:
-    def test_settings_that_are_missing_are_told_together(
+    def test_missing_settings_are_reported(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["control", "--vm", "c"]) == 2
-        said = capsys.readouterr().err
-        assert "--data-centre" in said
+        stderr = capsys.readouterr().err
+        assert "--data-centre" in stderr
 
-    def test_an_entry_without_control_is_a_finding(
+    def test_entry_without_a_control_address_is_refused(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """Without any address it would have nobody to ask for a lease."""
+        """Without a control address the entry could not request a lease."""
         assert main(["entry", "--vm", "e", "--control-addresses", ","]) == 2
-        assert "--control-addresses: names no" in capsys.readouterr().err
+        assert "--control-addresses: must list" in capsys.readouterr().err
 
-    def test_variables_are_named_as_well(
+    def test_missing_settings_name_their_variables(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["control", "--vm", "c"]) == 2
-        said = capsys.readouterr().err
-        assert "SYCAMORESTAND_CLUSTER_KEY_FILE" in said
+        stderr = capsys.readouterr().err
+        assert "SYCAMORESTAND_CLUSTER_KEY_FILE" in stderr
