--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/engine.py
@@ -1,4 +1,4 @@
-"""Fake a model engine with OpenAI's streaming interface and faults.
+"""Fake a model engine with OpenAI's streaming interface; inject faults.
 
 Run as a module, it takes a port, a token rate and versions as arguments
 and prints its address.
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/faults.py
@@ -23,10 +23,11 @@
 
 
 class Fault(NamedTuple):
-    """A fault that is injected after ``after`` tokens of an answer.
+    """A kind of fault and the requests that it affects.
 
     It affects the next ``times`` requests, or all of them if ``times`` is
-    negative. ``pause_s`` is the delay of the faults that delay an answer.
+    negative. A fault within a stream is injected after ``after`` tokens.
+    ``pause_s`` is the delay of the faults that delay an answer.
     """
 
     kind: FaultKind = "none"
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
@@ -31,8 +31,8 @@
 ) -> None:
     """Serve until cancelled; report ``host:port`` to ``task_status``.
 
-    Port 0 lets the operating system choose a free port. Cancelling it
-    aborts the open connections.
+    Port 0 lets the operating system choose a free port. On cancellation,
+    the open connections are aborted.
     """
     listener = socket.socket(proto=socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/raw_server.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/raw_server.py
@@ -22,7 +22,10 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Answer by the script; report ``host:port`` to ``task_status``."""
+    """Answer requests by the script until cancelled.
+
+    Reports the address as ``host:port`` to ``task_status``.
+    """
     count = 0
 
     async def handle(stream: SocketStream) -> None:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
@@ -16,9 +16,9 @@
 class FakeWeightStore:
     """The state of a weight store; `application` serves it.
 
-    ``size_bytes`` maps paths below ``/weights/`` to sizes. A refusal, which
-    means that the store is at its rate limit, sends ``retry_after`` as its
-    header unless it is empty.
+    ``size_bytes`` maps paths below ``/weights/`` to sizes. The fault
+    ``refuse`` stands for a store that is at its rate limit: the answer has
+    the header ``retry-after`` unless ``retry_after`` is empty.
     """
 
     def __init__(self, size_bytes: dict[str, int]) -> None:
--- a/packages/sycamorestand-bench/tests/fakes/order_leaders.py
+++ b/packages/sycamorestand-bench/tests/fakes/order_leaders.py
@@ -40,7 +40,7 @@
 
     ``cut_off_before`` names a phase that the process cannot commit.
     ``lost_after`` names a phase that is committed although its answer is
-    lost. Either isolates the process, which still takes itself for the
+    lost. Either isolates the process, which still considers itself the
     leader. ``after_intent`` runs between the commit of an intent and the
     sending of its order.
     """
--- a/packages/sycamorestand-bench/tests/fakes/test_engine.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_engine.py
@@ -124,7 +124,7 @@
 
 
 def fault_on_first(fault: bytes | None) -> object:
-    """Return a script that answers only the first request by the fault."""
+    """Return a script that answers only the first request with the fault."""
 
     def script(count: int, request: bytes) -> bytes | None:
         return fault if count == 1 else raw_answer(request)
@@ -199,7 +199,7 @@
         return await loopback.chat(Idempotency_Key="k")
 
     @pytest.mark.parametrize("event", MALFORMED_EVENTS)
-    async def test_plain_answer_of_invalid_events_is_an_error_unbilled(
+    async def test_invalid_events_cause_an_error_and_no_charge(
         self, event: bytes
     ) -> None:
         """Guard against a crash on events whose JSON has another schema.
--- a/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_orders_wired.py
@@ -78,13 +78,14 @@
     async def test_next_leader_finishes_the_order(
         self, tmp_path: Path
     ) -> None:
-        """Guard against an open order when the leader of three voters ends.
-
-        The leader is cancelled after the engine loaded the version and
-        before its answer arrives, so the outcome is not recorded. The next
-        leader waits for the lease and the order timeout to expire, sends
-        the order again with its own fencing number, and records ``done``.
-        The engine receives no lower number after a higher one.
+        """Guard against an order that stays open once its leader has ended.
+
+        The leader of three voters is cancelled after the engine loaded the
+        version and before its answer arrives, so the outcome is not
+        recorded. The next leader waits for the lease and the order timeout
+        to expire, sends the order again with its own fencing number, and
+        records ``done``. The engine receives no lower number after a higher
+        one.
         """
         engine = FakeOrderedEngine("a", max_versions=2)
         engine.switch.fault = Fault("late", times=1)
--- a/packages/sycamorestand-bench/tests/fakes/test_rating.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_rating.py
@@ -30,7 +30,7 @@
 
 class TestRatingFaults:
     @pytest.mark.parametrize(("fault", "expected"), CASES)
-    async def test_fault_gives_no_rating_and_no_error(
+    async def test_client_returns_a_rating_or_none_within_the_timeout(
         self, fault: Fault, expected: float | None
     ) -> None:
         """Guard against a fault of the service that raises in the entry.
