--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
@@ -26,10 +26,11 @@
     from sycamorestand_bench.scenarios.relay import Child
 
 SETTLE_S: Final = 1.5
-# Expiring the servers that no longer announce themselves causes traffic.
+# The wait after a decrease of servers: those that no longer announce
+# themselves expire, which causes traffic.
 EXPIRE_S: Final = 5.0
 MEASURE_S: Final = 4.0
-FEEDERS: Final = 3
+ANNOUNCING_LINKS: Final = 3
 PROBE: Final = "probe-entry"
 # The load of a measurement: entries at one control process, and servers.
 Cell = tuple[int, int]
@@ -74,8 +75,8 @@
         self._hub, self._follower = others
         self._at_hub = system.addresses(names.index(self._hub))
         everywhere = [system.addresses(n) for n in range(len(names))]
-        self._feeder = children.start(
-            LINKS_MODULE, LinksRun("feeder", FEEDERS, everywhere)
+        self._announcer = children.start(
+            LINKS_MODULE, LinksRun("feeder", ANNOUNCING_LINKS, everywhere)
         )
         self._probe = children.start(
             LINKS_MODULE, LinksRun("probe", 1, [self._at_hub])
@@ -90,16 +91,16 @@
         fewer = servers < self._servers
         self._servers = servers
         self._attach(entries)
-        send_order(self._feeder, Order(servers=servers))
-        busy = Order(requests_per_s=requests_per_s)
-        send_order(self._probe, busy)
+        send_order(self._announcer, Order(servers=servers))
+        probe_order = Order(requests_per_s=requests_per_s)
+        send_order(self._probe, probe_order)
         time.sleep(EXPIRE_S if fewer else SETTLE_S)
         pids = self._pids()
         before = read_usage(list(pids.values()))
-        link_before = send_order(self._probe, busy)
+        link_before = send_order(self._probe, probe_order)
         time.sleep(MEASURE_S)
         after = read_usage(list(pids.values()))
-        link_after = send_order(self._probe, busy)
+        link_after = send_order(self._probe, probe_order)
         rates = {
             role: rate_between(before[pid], after[pid])
             for role, pid in pids.items()
@@ -167,8 +168,9 @@
 def cells_of(entries: Sequence[int], servers: Sequence[int]) -> list[Cell]:
     """Return cells that separate the slopes from their product term.
 
-    The number of entries never decreases, because lost entries still cost
-    the control process time; a cell of its own measures that.
+    The number of entries never decreases, because lost entries cost the
+    control process time for a while. `measure_cells` measures that cost in
+    a separate cell.
     """
     return [
         (entries[0], servers[0]),
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
@@ -26,7 +26,11 @@
 
 
 class InForceTimes(NamedTuple):
-    """The seconds of each change and the bytes that it cost each entry."""
+    """The seconds of each change and the bytes that it cost each entry.
+
+    ``entries_behind`` counts the processes of links in which an entry lacks
+    the last revision after the changes.
+    """
 
     accepted_s: list[float]
     in_force_s: list[float]
@@ -91,8 +95,9 @@
     times = FailoverTimes([], [])
     for _ in range(kills):
         old = anyio.run(system.leader)
-        # The client does not get the killed leader's address: its port
-        # refuses at once, and the order of addresses would be random.
+        # The client does not get the killed leader's address. Its closed
+        # port refuses at once, so the client would only skip it, and which
+        # address comes first would be random.
         names = tuple(n for n in system.running_controls() if n != old)
         system.kill(old)
         anyio.run(_time_failover, system, names, times)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
@@ -90,9 +90,10 @@
 
 
 def probe_figures(costs: Sequence[CellCost]) -> dict[str, float]:
-    """Return the cost of the probes when idle, busy and after a loss.
+    """Return the cost of the idle and busy probes, and the hub's CPU use.
 
-    The loss is that of all entries except the probe.
+    The CPU use of the hub is that in the largest cell and that after the
+    loss of all entries except the probe.
     """
     idle, largest, busy, lost = costs[0], *costs[-3:]
     figures: dict[str, float] = {}
@@ -169,12 +170,12 @@
     return lines
 
 
-def json_figures(judged: Sequence[GoalResult]) -> dict[str, Any]:
-    """Return the figures and the missed goals for the last line."""
+def json_figures(results: Sequence[GoalResult]) -> dict[str, Any]:
+    """Return the figures and missed goals for the last line of output."""
     missed = [
-        j.name for j in judged if j.goal is not None and j.value > j.goal
+        r.name for r in results if r.goal is not None and r.value > r.goal
     ]
-    figures: dict[str, Any] = {j.name: round(j.value, 4) for j in judged}
+    figures: dict[str, Any] = {r.name: round(r.value, 4) for r in results}
     return figures | {"goals_missed": missed}
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
@@ -28,7 +28,10 @@
 
 
 class Rate(NamedTuple):
-    """The mean usage of a process during an interval."""
+    """The mean usage of a process during an interval.
+
+    ``resident_mb`` is no mean but the value at the end of the interval.
+    """
 
     cpu_percent: float
     resident_mb: float
@@ -49,7 +52,7 @@
 
 
 def rate_between(before: Usage, after: Usage) -> Rate:
-    """Return the mean usage between two readings."""
+    """Return the usage between two readings."""
     seconds = after.at_s - before.at_s
     return Rate(
         100 * (after.cpu_s - before.cpu_s) / seconds,
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
@@ -51,7 +51,7 @@
 
 
 class Load(msgspec.Struct):
-    """A rate of charges and its duration, regardless of the answers."""
+    """A rate of charges that is kept for a duration, whatever the answers."""
 
     records_per_s: float
     seconds: float
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/loads.py
@@ -52,8 +52,9 @@
 class LoadCost(NamedTuple):
     """The offered rate of one load, its waits and its cost per record.
 
-    ``leader_us`` and ``follower_us`` are the CPU time per record in excess
-    of that of the same process at rest.
+    Every cost but ``leader_cpu_percent`` is per record. ``leader_us`` and
+    ``follower_us`` (CPU time) and ``leader_sent_bytes`` count what exceeds
+    the usage of the same process at rest.
     """
 
     shards: int
@@ -68,7 +69,7 @@
 
 
 class LedgerBench:
-    """Clients that are distributed evenly over the control processes."""
+    """Clients that are distributed over the control processes in turn."""
 
     def __init__(
         self,
@@ -176,10 +177,11 @@
 
 
 def median_run(runs: Sequence[LoadCost]) -> LoadCost:
-    """Return the run with the median 99 % wait and the failures of all.
+    """Return the run whose 99th-percentile wait is the median.
 
-    On a busy machine, other processes can dominate a single run, so the
-    goals are compared with the median of several runs.
+    Its failures are those of all runs together. On a busy machine, other
+    processes can dominate a single run, so the goals are compared with the
+    median of several runs.
     """
     ordered = sorted(runs, key=lambda run: run.waits.p99_ms)
     middle = ordered[len(ordered) // 2]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
@@ -88,8 +88,8 @@
     loop, kind, engine = arguments
     options: dict[str, Any] = {}
     if loop == "uvloop":
-        # For comparison only, as the product may not use io_uring: uvloop
-        # 0.23 sets it up in spite of this variable.
+        # uvloop is for comparison only: with this variable too, uvloop 0.23
+        # sets up io_uring, which the product may not use.
         os.environ["UV_USE_IO_URING"] = "0"
         options["use_uvloop"] = True
     anyio.run(_main, kind, engine, backend_options=options)
--- a/packages/sycamorestand-bench/tests/test_control_bench.py
+++ b/packages/sycamorestand-bench/tests/test_control_bench.py
@@ -124,9 +124,9 @@
 
 class TestReport:
     def test_exceeded_goal_is_reported_as_missed(self) -> None:
-        judged = compare_with_goals({"in_force_p50_s": 0.31, "kills": 5.0})
-        assert [line.goal for line in judged] == [0.3, None]
-        assert "NOT MET" in judged[0].line()
-        result = json_figures(judged)
+        results = compare_with_goals({"in_force_p50_s": 0.31, "kills": 5.0})
+        assert [line.goal for line in results] == [0.3, None]
+        assert "NOT MET" in results[0].line()
+        result = json_figures(results)
         assert result["goals_missed"] == ["in_force_p50_s"]
         assert result["kills"] == 5.0
--- a/packages/sycamorestand-bench/tests/test_ledger_bench.py
+++ b/packages/sycamorestand-bench/tests/test_ledger_bench.py
@@ -40,7 +40,7 @@
 
 class TestCombine:
     def test_percentiles_include_the_waits_of_all_clients(self) -> None:
-        """Guard against a slow client that is missing in the 99 % wait."""
+        """Guard against a slow client that the 99th percentile omits."""
         waits = combine([_result([1000] * 98), _result([90_000] * 2, 1)])
         assert waits.done == 100
         assert waits.failed == 1
