--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/latency.py
@@ -96,8 +96,8 @@
     for _ in range(kills):
         old = anyio.run(system.leader)
         # The client does not get the killed leader's address. Its closed
-        # port refuses at once, so the client would only skip it, and which
-        # address comes first would be random.
+        # port refuses at once, so the client would only skip it, and whether
+        # it comes first in the client's list is chance.
         names = tuple(n for n in system.running_controls() if n != old)
         system.kill(old)
         anyio.run(_time_failover, system, names, times)
