--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/cascade_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/cascade_model.py
@@ -226,7 +226,7 @@
             step += 1
 
     def rate_late(self, answer: _Answer) -> None:
-        """Report the rating of an answer that is rated late, if it is."""
+        """Report an answer's late rating, if it has one, to the learner."""
         if answer.rated_late and self._policy == "product":
             self._learner.observe(
                 self._profile.name,
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/decision_cost.py
@@ -34,7 +34,10 @@
 
 
 def decision_cost(user: User, seed: int) -> Figures:
-    """Measure CPU microseconds a request, and the slope with each size."""
+    """Measure the CPU time of the decisions for one request.
+
+    The slopes are microseconds for each further candidate and customer.
+    """
     base_micros = _cost_micros(user, 60, 10, seed)
     row = {"cpu_us": base_micros, "refusal_us": _refusal_micros(seed)}
     for count in CANDIDATES:
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/placement_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/placement_model.py
@@ -38,7 +38,7 @@
 VERSIONS: Final = ("small@1", "large@1", "vision@1")
 PEAK_SHARE: Final = (0.55, 0.45, 0.25)
 LIMITS: Final = Limits(loads_at_once=1)
-# Limits without hysteresis: only the weight store bounds the changes.
+# Limits without a churn limit: only the weight store bounds the changes.
 UNLIMITED: Final = Limits(loads_at_once=1, max_changes=1_000)
 
 
@@ -49,7 +49,7 @@
 
 
 def placement(user: User, seed: int) -> Figures:
-    """Measure unmet demand and loads a day, with two baselines."""
+    """Compare the unmet demand and the loads of a day with two baselines."""
     return {policy: _run(user, seed, policy) for policy in POLICIES}
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/rollout_model.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/rollout_model.py
@@ -59,8 +59,8 @@
 BAD_ERROR_RATE: Final = 0.05
 SLOWDOWN: Final = 2.0
 RATING_BIAS: Final = 0.3
-# The fixed-time baseline advances a step after this time, the shortest in
-# which a person would look at the counts if nothing checked them.
+# Without automatic checks, a person looks at the counts after this time, in
+# the best case for the fixed-time baseline.
 FIXED_STEP_S: Final = 900.0
 MODEL: Final = "nest"
 OLD: Final = "nest@1"
@@ -71,7 +71,8 @@
 class Exposure(NamedTuple):
     """Result of one roll-out or watch.
 
-    ``exposed`` counts the requests that the fault can have affected.
+    ``exposed`` counts the requests of the new or watched version that the
+    fault can have affected.
     """
 
     exposed: int
@@ -91,9 +92,9 @@
 ) -> Exposure:
     """Roll out one new version that is healthy or bad from its start.
 
-    With ``interrupted``, a new monitor replaces the old one in the course of
-    each step, as after a change of leader: it starts with the committed step
-    and without counts. ``scale`` multiplies the request rate.
+    With ``interrupted``, a new monitor replaces the old one once in each
+    step, as after a change of leader. The new monitor starts with the
+    committed step and without counts. ``scale`` multiplies the request rate.
     """
     random = np.random.default_rng(seed)
     rollout = Rollout(MODEL, NEW)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -234,10 +234,10 @@
             self._waiting[request.request_id] = attempt
 
     def tick(self) -> None:
-        """Update the pool's capacity, refuse expired requests, start others.
+        """Update the pool's capacity, and refuse or start waiting requests.
 
-        Admission control decides which waiting requests cannot make their
-        deadline and which can start.
+        Admission control decides which requests cannot start in time for
+        their deadline and which can start now.
         """
         now_s = self.clock.now_s
         candidates = self.pool.candidates(now_s)
@@ -310,14 +310,14 @@
 class ConcentratingEntry(ProductEntry):
     """Product entry that fills one server before it uses the next.
 
-    This implements the advice of the paper's section 9, to concentrate the
-    traffic of one model, for comparison with spreading it.
+    Section 9 of the paper advises concentrating the traffic of one model.
+    This entry follows that advice, for comparison with spreading the traffic.
     """
 
     def choose(self, attempt: Attempt) -> str | None:
-        """Return the first server below its fill level.
+        """Return the first untried server below its fill level.
 
-        When there is none, the selector chooses.
+        If no server is below it, the selector chooses.
         """
         now_s = self.clock.now_s
         known = self.selector.metrics(now_s)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing_scenarios.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing_scenarios.py
@@ -223,7 +223,8 @@
 def _cleared_s(run: Run, user: User) -> float:
     """Return the time from the burst's start until few requests wait.
 
-    Few means at most 5 % of the slots; NaN when there were never more.
+    Few means at most 5 % of the slots. The result is NaN if the waiting
+    requests never exceeded that number.
     """
     slots = SIZES[user].servers * SERVER_CAPACITY
     since_burst = [w for w in run.waiting if w[0] >= BURST_FROM_S]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/version_scenarios.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/version_scenarios.py
@@ -59,7 +59,11 @@
 
 
 def rollout_interrupted(user: User, seed: int) -> Figures:
-    """Change the leader in each step of a healthy and a wrong version."""
+    """Change the leader in each step of two roll-outs.
+
+    One new version is healthy, the other gives wrong answers. The exposure
+    is that of the wrong one.
+    """
     healthy = run_rollout(user, "healthy", "product", seed, interrupted=True)
     wrong = run_rollout(user, "wrong", "product", seed, interrupted=True)
     figures = _exposure(wrong, user)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/checks.py
@@ -113,9 +113,10 @@
             )
 
     def check_node(self, node: NodeView, true_s: float) -> None:
-        """Check that no other node leads the same term or holds a lease.
+        """Check a leader; do nothing for any other node.
 
-        A new leader's log must also hold all committed entries.
+        No other node may lead the same term, or hold a lease while this node
+        claims one. A new leader's log must hold all committed entries.
         """
         if node.core.state.role != Role.LEADER:
             return
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/cluster.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/cluster.py
@@ -162,22 +162,22 @@
         )
 
     def admit(self, node: Node, name: str) -> None:
-        """Request a member to add a learner."""
+        """Ask a member to add a learner."""
         address = f"at-{name}"
         self._call_core(
             node, lambda: node.core.add_learner(name, address, node.local_s)
         )
 
     def promote(self, node: Node, name: str) -> None:
-        """Request a member to promote a learner."""
+        """Ask a member to promote a learner."""
         self._call_core(node, lambda: node.core.promote(name, node.local_s))
 
     def remove(self, node: Node, name: str) -> None:
-        """Request a member to remove a member."""
+        """Ask a member to remove another one or itself."""
         self._call_core(node, lambda: node.core.remove(name, node.local_s))
 
     def transfer(self, node: Node, target: str | None) -> None:
-        """Request a member to transfer leadership.
+        """Ask a member to transfer leadership.
 
         Without a target, the member chooses one.
         """
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/explore/node.py
@@ -32,7 +32,8 @@
     def sync(self, count: int) -> int:
         """Sync up to ``count`` batches.
 
-        Returns the sequence number of the last one, 0 if there is none.
+        Returns the sequence number of the last synced batch, or 0 if no
+        batch was synced.
         """
         last = 0
         while self._unsynced and count > 0:
@@ -128,9 +129,10 @@
         self.disk.lose_unsynced(kept)
 
     def sync(self, count: int) -> None:
-        """Complete the sync of up to ``count`` batches; a full disk has none.
+        """Complete the sync of up to ``count`` batches.
 
-        The core of a member that is up is told the last synced sequence.
+        A full disk completes no sync. If the member is up, its core receives
+        the sequence number of the last synced batch.
         """
         if self.disk.full:
             return
@@ -145,7 +147,7 @@
             self.core.set_blocked(full, self.local_s)
 
     def compact(self) -> None:
-        """Take a snapshot after the last applied entry."""
+        """Take a snapshot after the last applied entry and compact the log."""
         data = self._machine.snapshot()
         self._checker.check_snapshot(self, self.applied_index, data)
         self.core.compact(self.applied_index, data, self.local_s)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""The scenarios of ``dev/bench``; each module is one by its name."""
+"""One module for each scenario name that ``dev/bench`` accepts."""
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/log.py
@@ -28,8 +28,8 @@
 COMMAND: Final = b"x" * 100
 IDLE_S: Final = 3.0
 POLL_S: Final = 0.005
-# The interval is too long for a snapshot, so that a restart replays every
-# entry.
+# The interval between snapshots is so long that none is taken, and a restart
+# replays every entry.
 SETTINGS: Final = ReplicaSettings(snapshot_every_entries=10_000_000)
 
 
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/relay.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/relay.py
@@ -64,7 +64,8 @@
 def main(arguments: list[str]) -> int:
     """Print the figures as a table, and as JSON in the last line.
 
-    Returns 0 if every goal is met, otherwise 1.
+    Returns 0 if every goal is met and the entry does not use io_uring,
+    otherwise 1.
     """
     parser = argparse.ArgumentParser(prog="dev/bench relay")
     parser.add_argument("--loop", default="asyncio")
--- a/packages/sycamorestand-bench/tests/decisions/test_version_scenarios.py
+++ b/packages/sycamorestand-bench/tests/decisions/test_version_scenarios.py
@@ -91,7 +91,7 @@
 class TestTurnsBad:
     @BOTH
     @pytest.mark.parametrize("fault", ["wrong", "errors"])
-    def test_is_detected_long_after_the_roll_out(
+    def test_a_bad_version_is_detected_after_its_rollout(
         self, fault: Fault, user: User
     ) -> None:
         """A version turns bad after hours of good service.
