--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -61,7 +61,7 @@
     def candidates(self, now_s: float) -> Sequence[Candidate]: ...
 
 
-class Attempt:
+class RequestState:
     """The state of one request in an entry.
 
     ``tried`` names the servers that failed it, ``number`` counts its
@@ -99,27 +99,25 @@
 
     def arrive(self, request: Request) -> None:
         """Send a new request to a server."""
-        attempt = Attempt(request)
-        self.clock.call_at(
-            request.deadline_s, partial(self._time_out, attempt)
-        )
-        self.send(attempt)
+        state = RequestState(request)
+        self.clock.call_at(request.deadline_s, partial(self._time_out, state))
+        self.send(state)
 
     def tick(self) -> None:
         """Do nothing; subclasses do their periodic work here."""
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, state: RequestState) -> None:
         """Start an attempt on the chosen server; without one, fail."""
-        name = self.choose(attempt)
+        name = self.choose(state)
         if name is None:
-            self.end(attempt, "failed")
+            self.end(state, "failed")
             return
-        attempt.server = name
-        attempt.sent_s = self.clock.now_s
-        attempt.number += 1
-        number = attempt.number
-        request = attempt.request
-        self.on_sent(attempt)
+        state.server = name
+        state.sent_s = self.clock.now_s
+        state.number += 1
+        number = state.number
+        request = state.request
+        self.on_sent(state)
         self.pool.servers[name].submit(
             Work(
                 request.request_id,
@@ -128,61 +126,61 @@
                 request.prefix,
             ),
             Listener(
-                partial(self._first_byte, attempt, number),
-                partial(self._finished, attempt, number),
+                partial(self._first_byte, state, number),
+                partial(self._finished, state, number),
             ),
         )
 
-    def choose(self, attempt: Attempt) -> str | None:
+    def choose(self, state: RequestState) -> str | None:
         """Return the name of the server for an attempt, or None."""
         return self._choose(self.pool.candidates(self.clock.now_s))
 
-    def on_sent(self, attempt: Attempt) -> None:
+    def on_sent(self, state: RequestState) -> None:
         """Handle the start of an attempt; does nothing here."""
 
-    def on_first_byte(self, attempt: Attempt) -> None:
+    def on_first_byte(self, state: RequestState) -> None:
         """Handle the first byte of an attempt; does nothing here."""
 
-    def on_finished(self, attempt: Attempt, outcome: str) -> None:
+    def on_finished(self, state: RequestState, outcome: str) -> None:
         """Handle the end of an attempt; does nothing here."""
 
-    def may_retry(self, attempt: Attempt) -> bool:
+    def may_retry(self, state: RequestState) -> bool:
         """Return whether a failed attempt may be retried; always true."""
         return True
 
-    def end(self, attempt: Attempt, outcome: str) -> None:
+    def end(self, state: RequestState, outcome: str) -> None:
         """Record the final outcome of a request."""
-        attempt.ended = True
-        self.results.append(Result(attempt.request, outcome, self.clock.now_s))
+        state.ended = True
+        self.results.append(Result(state.request, outcome, self.clock.now_s))
 
-    def _first_byte(self, attempt: Attempt, number: int) -> None:
-        if not attempt.ended and number == attempt.number:
-            self.on_first_byte(attempt)
+    def _first_byte(self, state: RequestState, number: int) -> None:
+        if not state.ended and number == state.number:
+            self.on_first_byte(state)
 
     def _finished(
-        self, attempt: Attempt, number: int, succeeded: bool
+        self, state: RequestState, number: int, succeeded: bool
     ) -> None:
-        if attempt.ended or number != attempt.number:
+        if state.ended or number != state.number:
             return
         if succeeded:
-            self.on_finished(attempt, "ok")
-            self.end(attempt, "ok")
+            self.on_finished(state, "ok")
+            self.end(state, "ok")
             return
-        self.on_finished(attempt, "error")
-        attempt.tried |= {attempt.server}
-        if attempt.number < MAX_ATTEMPTS and self.may_retry(attempt):
-            self.send(attempt)
+        self.on_finished(state, "error")
+        state.tried |= {state.server}
+        if state.number < MAX_ATTEMPTS and self.may_retry(state):
+            self.send(state)
         else:
-            self.end(attempt, "failed")
+            self.end(state, "failed")
 
-    def _time_out(self, attempt: Attempt) -> None:
-        if attempt.ended:
+    def _time_out(self, state: RequestState) -> None:
+        if state.ended:
             return
-        if attempt.number:
-            server = self.pool.servers[attempt.server]
-            server.cancel(attempt.request.request_id)
-            self.on_finished(attempt, "timeout")
-        self.end(attempt, "late")
+        if state.number:
+            server = self.pool.servers[state.server]
+            server.cancel(state.request.request_id)
+            self.on_finished(state, "timeout")
+        self.end(state, "late")
 
 
 class ProductEntry(BaselineEntry):
@@ -200,7 +198,7 @@
         self.admission = Admission()
         self.selector = ServerSelector(random)
         self.retries = RetryBudget()
-        self._waiting: dict[int, Attempt] = {}
+        self._waiting: dict[int, RequestState] = {}
         self._entries = entries
         self.tick()
 
@@ -211,7 +209,7 @@
 
     def arrive(self, request: Request) -> None:
         """Offer a new request to admission control."""
-        attempt = Attempt(request)
+        state = RequestState(request)
         ticket = Ticket(
             ticket_id=request.request_id,
             customer=request.customer,
@@ -223,15 +221,13 @@
         )
         answer = self.admission.offer(ticket, self.clock.now_s)
         if isinstance(answer, Refused):
-            self.end(attempt, "refused")
+            self.end(state, "refused")
             return
-        self.clock.call_at(
-            request.deadline_s, partial(self._time_out, attempt)
-        )
+        self.clock.call_at(request.deadline_s, partial(self._time_out, state))
         if isinstance(answer, Started):
-            self.send(attempt)
+            self.send(state)
         else:
-            self._waiting[request.request_id] = attempt
+            self._waiting[request.request_id] = state
 
     def tick(self) -> None:
         """Update the pool's capacity, and refuse or start waiting requests.
@@ -244,57 +240,57 @@
         slots = self.selector.capacity(candidates, now_s)
         self.admission.set_capacity(POOL, slots)
         for ticket, _ in self.admission.expire(now_s):
-            attempt = self._waiting.pop(ticket.ticket_id)
-            self.end(attempt, "refused")
+            state = self._waiting.pop(ticket.ticket_id)
+            self.end(state, "refused")
         self._start_ready()
 
-    def choose(self, attempt: Attempt) -> str | None:
+    def choose(self, state: RequestState) -> str | None:
         """Return the selector's choice among the servers not yet tried."""
         now_s = self.clock.now_s
         return self.selector.choose(
             self.pool.candidates(now_s),
             now_s,
-            attempt.request.prefix,
-            attempt.tried,
+            state.request.prefix,
+            state.tried,
         )
 
-    def on_sent(self, attempt: Attempt) -> None:
+    def on_sent(self, state: RequestState) -> None:
         """Record the start of the attempt in the selector."""
-        self.selector.record_start(attempt.server, self.clock.now_s)
+        self.selector.record_start(state.server, self.clock.now_s)
 
-    def on_first_byte(self, attempt: Attempt) -> None:
+    def on_first_byte(self, state: RequestState) -> None:
         """Record the latency of the first byte in the selector."""
         now_s = self.clock.now_s
-        latency_s = now_s - attempt.sent_s
-        self.selector.record_first_byte(attempt.server, now_s, latency_s)
+        latency_s = now_s - state.sent_s
+        self.selector.record_first_byte(state.server, now_s, latency_s)
 
-    def on_finished(self, attempt: Attempt, outcome: str) -> None:
+    def on_finished(self, state: RequestState, outcome: str) -> None:
         """Record the outcome in the selector and the retry budget."""
         now_s = self.clock.now_s
-        latency_s = now_s - attempt.sent_s
+        latency_s = now_s - state.sent_s
         self.selector.record_finish(
-            attempt.server,
+            state.server,
             now_s,
             latency_s,
             outcome,  # type: ignore[arg-type]
         )
         if outcome == "ok":
-            self.retries.record_success(attempt.request.customer, now_s)
+            self.retries.record_success(state.request.customer, now_s)
 
-    def may_retry(self, attempt: Attempt) -> bool:
+    def may_retry(self, state: RequestState) -> bool:
         """Return whether the customer's retry budget allows a retry."""
-        customer = attempt.request.customer
+        customer = state.request.customer
         return self.retries.spend_retry(customer, self.clock.now_s, "error")
 
-    def end(self, attempt: Attempt, outcome: str) -> None:
+    def end(self, state: RequestState, outcome: str) -> None:
         """Record the final outcome and free the request's slot."""
-        super().end(attempt, outcome)
-        request_id = attempt.request.request_id
+        super().end(state, outcome)
+        request_id = state.request.request_id
         if outcome == "refused":
             return
-        if attempt.number:
+        if state.number:
             now_s = self.clock.now_s
-            latency_s = now_s - attempt.sent_s
+            latency_s = now_s - state.sent_s
             failed = outcome != "ok"
             self.admission.finish(request_id, now_s, latency_s, failed)
         else:
@@ -314,7 +310,7 @@
     This entry follows that advice, for comparison with spreading the traffic.
     """
 
-    def choose(self, attempt: Attempt) -> str | None:
+    def choose(self, state: RequestState) -> str | None:
         """Return the first untried server below its fill level.
 
         If no server is below it, the selector chooses.
@@ -322,14 +318,14 @@
         now_s = self.clock.now_s
         known = self.selector.metrics(now_s)
         for candidate in self.pool.candidates(now_s):
-            state = known.get(candidate.name)
-            if candidate.name in attempt.tried:
+            metrics = known.get(candidate.name)
+            if candidate.name in state.tried:
                 continue
             # All entries fill the same servers, each entry an equal part.
             filled = FILL_SHARE * candidate.capacity / self._entries
-            if state is None or state.in_flight < filled:
+            if metrics is None or metrics.in_flight < filled:
                 return candidate.name
-        return super().choose(attempt)
+        return super().choose(state)
 
 
 __all__ = [
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/ledger.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/ledger.py
@@ -28,8 +28,8 @@
 SHARDS: Final = (1, 2, 4)
 GOAL_RECORDS_PER_S: Final = 2000
 GOAL_P99_MS: Final = 50.0
-# An open load counts as carried if at least this share of the offered records
-# a second is done.
+# An open-loop load counts as carried if at least this share of the offered
+# records a second is done.
 CARRIED_SHARE: Final = 0.95
 
 
