--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -318,12 +318,12 @@
         now_s = self.clock.now_s
         known = self.selector.metrics(now_s)
         for candidate in self.pool.candidates(now_s):
-            metrics = known.get(candidate.name)
+            server_metrics = known.get(candidate.name)
             if candidate.name in state.tried:
                 continue
             # All entries fill the same servers, each entry an equal part.
             filled = FILL_SHARE * candidate.capacity / self._entries
-            if metrics is None or metrics.in_flight < filled:
+            if server_metrics is None or server_metrics.in_flight < filled:
                 return candidate.name
         return super().choose(state)
 
