--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/activity.py
@@ -1,4 +1,4 @@
-"""What makes an entry busy towards control: announcements and requests."""
+"""Generate the load that busy entries put on control."""
 
 from __future__ import annotations
 
@@ -18,13 +18,18 @@
     from sycamorestand_entry.control.link import ControlLink
 
 TICK_S: Final = 0.05
-TICKS_A_SECOND: Final = 20
+TICKS_PER_S: Final = 20
 VERSION: Final = "nest-small@3"
 INCARNATION: Final = 1
 
 
 class Activity:
-    """Announces servers and makes requests, as told at the moment."""
+    """Announces servers and makes requests at the current settings.
+
+    ``servers`` is the number of servers that announce themselves, and
+    ``requests_per_s`` the request rate of each link. A request reports a
+    sample and writes a charge; ``failures`` counts the failed charges.
+    """
 
     def __init__(self, name: str, links: list[ControlLink]) -> None:
         self._name = name
@@ -37,7 +42,7 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Go on until cancelled; each server announces once a second."""
+        """Run until cancelled; each server announces once a second."""
         tick = 0
         async with anyio.create_task_group() as tasks:
             while True:
@@ -51,8 +56,8 @@
                         tasks.start_soon(self._request, link)
 
     async def _announce(self, tick: int) -> None:
-        turn = tick % TICKS_A_SECOND
-        for number in range(turn, self.servers, TICKS_A_SECOND):
+        slot = tick % TICKS_PER_S
+        for number in range(slot, self.servers, TICKS_PER_S):
             self._sequence += 1
             link = self._links[number % len(self._links)]
             await link.announce(self._announcement(number))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/cost.py
@@ -1,4 +1,4 @@
-"""What control costs its processes and an entry, and the slopes of it."""
+"""Measure the resources that control processes and an entry use."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from sycamorestand_bench.control_bench.links_process import LinksRun
 from sycamorestand_bench.control_bench.links_process import Order
 from sycamorestand_bench.control_bench.links_process import Report
-from sycamorestand_bench.control_bench.orders import ask
 from sycamorestand_bench.control_bench.orders import LINKS_MODULE
+from sycamorestand_bench.control_bench.orders import send_order
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import read_usage
 
 if TYPE_CHECKING:
@@ -26,20 +26,22 @@
     from sycamorestand_bench.scenarios.relay import Child
 
 SETTLE_S: Final = 1.5
-# Servers that no longer announce themselves run out, which is traffic.
+# The wait after a decrease of servers: those that no longer announce
+# themselves expire, which causes traffic.
 EXPIRE_S: Final = 5.0
 MEASURE_S: Final = 4.0
-FEEDERS: Final = 3
+ANNOUNCING_LINKS: Final = 3
 PROBE: Final = "probe-entry"
-# A measured cell has (entries at one control process, servers).
+# The load of a measurement: entries at one control process, and servers.
 Cell = tuple[int, int]
 
 
 class CellCost(NamedTuple):
-    """What each role used while so many entries and servers were there.
+    """The resources that each role used at a number of entries and servers.
 
-    ``hub`` is the follower that all the entries are attached to, ``link``
-    a process with a single entry's link, ``entry`` a whole entry process.
+    ``hub`` is the follower to which all entries are attached, ``follower``
+    has no entries, ``link`` is a process with the link of one entry, and
+    ``entry`` is a complete entry process.
     """
 
     entries: int
@@ -56,8 +58,11 @@
     moves: int
 
 
-class Bench:
-    """Entries at one follower, feeders that announce, and two probes."""
+class CostBench:
+    """Entries at one follower, links that announce servers, and two probes.
+
+    One probe is a process with a single link, the other an entry process.
+    """
 
     def __init__(self, system: System, children: Children) -> None:
         self._system = system
@@ -70,8 +75,8 @@
         self._hub, self._follower = others
         self._at_hub = system.addresses(names.index(self._hub))
         everywhere = [system.addresses(n) for n in range(len(names))]
-        self._feeder = children.start(
-            LINKS_MODULE, LinksRun("feeder", FEEDERS, everywhere)
+        self._announcer = children.start(
+            LINKS_MODULE, LinksRun("feeder", ANNOUNCING_LINKS, everywhere)
         )
         self._probe = children.start(
             LINKS_MODULE, LinksRun("probe", 1, [self._at_hub])
@@ -82,49 +87,54 @@
     def measure(
         self, entries: int, servers: int, requests_per_s: float = 0.0
     ) -> CellCost:
-        """Bring the load to a cell, let it settle and measure it."""
+        """Set the load of a cell, wait until it is stable and measure it."""
         fewer = servers < self._servers
         self._servers = servers
         self._attach(entries)
-        ask(self._feeder, Order(servers=servers))
-        busy = Order(requests_per_s=requests_per_s)
-        ask(self._probe, busy)
+        send_order(self._announcer, Order(servers=servers))
+        probe_order = Order(requests_per_s=requests_per_s)
+        send_order(self._probe, probe_order)
         time.sleep(EXPIRE_S if fewer else SETTLE_S)
         pids = self._pids()
         before = read_usage(list(pids.values()))
-        link_before = ask(self._probe, busy)
+        link_before = send_order(self._probe, probe_order)
         time.sleep(MEASURE_S)
         after = read_usage(list(pids.values()))
-        link_after = ask(self._probe, busy)
+        link_after = send_order(self._probe, probe_order)
         rates = {
-            role: rate(before[pid], after[pid]) for role, pid in pids.items()
+            role: rate_between(before[pid], after[pid])
+            for role, pid in pids.items()
         }
-        reports = [ask(child) for _, child in self._groups]
+        reports = [send_order(child) for _, child in self._groups]
         return CellCost(
             entries,
             servers,
             requests_per_s,
             **rates,
-            link_frames_per_s=_frames(link_before, link_after) / MEASURE_S,
+            link_frames_per_s=_transferred_frames(link_before, link_after)
+            / MEASURE_S,
             servers_seen=link_after.servers_seen,
             leases=sum(report.leases for report in reports),
             moves=sum(report.moves for report in reports),
         )
 
     def _attach(self, entries: int) -> None:
-        """Have so many entries at the hub, the probe among them."""
+        """Start or stop links so that the hub has this many entries.
+
+        The probe counts as one of them.
+        """
         wanted = entries - 1
-        while self._groups and self._count() > wanted:
+        while self._groups and self._attached_entries() > wanted:
             count, child = self._groups.pop()
             self._children.stop(child)
-        missing = wanted - self._count()
+        missing = wanted - self._attached_entries()
         if missing > 0:
             name = f"vm-{len(self._groups)}"
             run = LinksRun(name, missing, [self._at_hub])
             child = self._children.start(LINKS_MODULE, run)
             self._groups.append((missing, child))
 
-    def _count(self) -> int:
+    def _attached_entries(self) -> int:
         return sum(count for count, _ in self._groups)
 
     def _pids(self) -> dict[str, int]:
@@ -141,13 +151,13 @@
 def measure_cells(
     system: System, cells: Sequence[Cell], busy_requests_per_s: float
 ) -> list[CellCost]:
-    """Measure every cell with an idle probe, then two more.
+    """Measure every cell with an idle probe, then two further ones.
 
-    The last cell but one is the largest with a busy probe; in the last
-    one all but the probe have gone, without a word.
+    The first further cell is the last given one with a busy probe. In the
+    second, all entries except the probe were killed without leaving.
     """
     with Children() as children:
-        bench = Bench(system, children)
+        bench = CostBench(system, children)
         costs = [bench.measure(*cell) for cell in cells]
         costs.append(bench.measure(*cells[-1], busy_requests_per_s))
         costs.append(bench.measure(1, 0))
@@ -156,10 +166,11 @@
 
 
 def cells_of(entries: Sequence[int], servers: Sequence[int]) -> list[Cell]:
-    """Return cells that tell the slopes and their product apart.
+    """Return cells that separate the slopes from their product term.
 
-    The number of entries only grows: entries that have gone cost the
-    control process for a while too, which is measured on its own.
+    The number of entries never decreases, because lost entries cost the
+    control process time for a while. `measure_cells` measures that cost in
+    a separate cell.
     """
     return [
         (entries[0], servers[0]),
@@ -169,7 +180,7 @@
     ]
 
 
-def _frames(before: Report, after: Report) -> int:
+def _transferred_frames(before: Report, after: Report) -> int:
     return (
         after.sent_frames
         + after.received_frames
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/report.py
@@ -1,4 +1,4 @@
-"""Lines and the JSON of the control bench."""
+"""Format the results of the control bench as lines and as JSON."""
 
 from __future__ import annotations
 
@@ -34,28 +34,28 @@
 }
 
 
-class Judged(NamedTuple):
-    """A figure beside its goal, None where it has none."""
+class GoalResult(NamedTuple):
+    """A measured value and its upper limit, None if it has no limit."""
 
     name: str
     value: float
     goal: float | None
 
     def line(self) -> str:
-        """Return a line of the table."""
+        """Return the result as a line of the table."""
         if self.goal is None:
             return f"{self.name:38} {self.value:12.3f}"
-        word = "met" if self.value <= self.goal else "NOT MET"
-        return f"{self.name:38} {self.value:12.3f}  goal {self.goal:g} {word}"
+        label = "met" if self.value <= self.goal else "NOT MET"
+        return f"{self.name:38} {self.value:12.3f}  goal {self.goal:g} {label}"
 
 
-def judge(figures: dict[str, float]) -> list[Judged]:
-    """Set every figure beside its goal."""
-    return [Judged(n, value, GOALS.get(n)) for n, value in figures.items()]
+def compare_with_goals(figures: dict[str, float]) -> list[GoalResult]:
+    """Return every figure with its goal."""
+    return [GoalResult(n, value, GOALS.get(n)) for n, value in figures.items()]
 
 
 def in_force_figures(times: InForceTimes) -> dict[str, float]:
-    """Return the figures of changes that were applied one by one."""
+    """Return the figures of `measure_in_force`."""
     return {
         "changes": len(times.in_force_s),
         "accepted_p50_s": percentile(times.accepted_s, 50),
@@ -68,7 +68,7 @@
 
 
 def failover_figures(times: FailoverTimes) -> dict[str, float]:
-    """Return the figures of kills of the leader."""
+    """Return the figures of `measure_failover`."""
     return {
         "kills": len(times.accepted_s),
         "leader_after_kill_p50_s": percentile(times.leader_s, 50),
@@ -79,7 +79,7 @@
 
 
 def restart_figures(times: RestartTimes) -> dict[str, float]:
-    """Return the figures of restarts."""
+    """Return the figures of `measure_restart`."""
     return {
         "restart_changes": times.changes,
         "restart_fresh_s": percentile(times.fresh_s, 50),
@@ -90,15 +90,19 @@
 
 
 def probe_figures(costs: Sequence[CellCost]) -> dict[str, float]:
-    """Return what the probes cost at rest, busy, and after a loss."""
+    """Return the cost of the idle and busy probes, and the hub's CPU use.
+
+    The CPU use of the hub is that in the largest cell and that after the
+    loss of all entries except the probe.
+    """
     idle, largest, busy, lost = costs[0], *costs[-3:]
     figures: dict[str, float] = {}
     for name, cell in (("idle", idle), ("largest", largest)):
         rate = cell.entry
-        moved = rate.sent_bytes_per_s + rate.received_bytes_per_s
+        traffic = rate.sent_bytes_per_s + rate.received_bytes_per_s
         figures[f"{name}_entry_cpu_percent"] = rate.cpu_percent
         figures[f"{name}_entry_resident_mb"] = rate.resident_mb
-        figures[f"{name}_entry_bytes_per_s"] = moved
+        figures[f"{name}_entry_bytes_per_s"] = traffic
     link = busy.link
     figures["busy_link_requests_per_s"] = busy.requests_per_s
     figures["busy_link_cpu_percent"] = link.cpu_percent
@@ -115,26 +119,26 @@
 def target_figures(
     figures: Sequence[Figure], costs: Sequence[CellCost]
 ) -> dict[str, float]:
-    """Return the costs at the target size by role.
+    """Return the costs of each role at the target size.
 
-    A busy link costs what the idle one does there and what its requests
-    added in the measured cell.
+    The cost of a busy link is that of an idle link at the target size plus
+    the difference between busy and idle in the largest measured cell.
     """
-    found: dict[str, float] = {}
+    result: dict[str, float] = {}
     largest, busy = costs[-3:-1]
     for figure, (name, measure) in zip(figures, MEASURES, strict=True):
         added = measure(busy.link) - measure(largest.link)
-        found[f"target_busy_link_{name}"] = figure.link_at_target() + added
+        result[f"target_busy_link_{name}"] = figure.link_at_target() + added
     for figure in figures:
-        found[f"target_entry_{figure.name}"] = figure.entry_at_target()
-        found[f"target_link_{figure.name}"] = figure.link_at_target()
-        found[f"target_follower_{figure.name}"] = figure.follower_at_target()
-        found[f"target_leader_{figure.name}"] = figure.leader_at_target()
-    return found
+        result[f"target_entry_{figure.name}"] = figure.entry_at_target()
+        result[f"target_link_{figure.name}"] = figure.link_at_target()
+        result[f"target_follower_{figure.name}"] = figure.follower_at_target()
+        result[f"target_leader_{figure.name}"] = figure.leader_at_target()
+    return result
 
 
 def cell_lines(costs: Sequence[CellCost]) -> list[str]:
-    """Return a line for each measured cell."""
+    """Return the lines of a table of all measured cells."""
     lines = [
         "entries servers req/s | role: CPU %, MB, bytes/s out, bytes/s in"
     ]
@@ -146,17 +150,17 @@
             " link"
         )
         for role in ("hub", "follower", "leader", "link", "entry"):
-            used = getattr(cost, role)
+            rate = getattr(cost, role)
             lines.append(
-                f"{'':22}| {role:8} {used.cpu_percent:6.2f}"
-                f" {used.resident_mb:7.1f} {used.sent_bytes_per_s:11.0f}"
-                f" {used.received_bytes_per_s:11.0f}"
+                f"{'':22}| {role:8} {rate.cpu_percent:6.2f}"
+                f" {rate.resident_mb:7.1f} {rate.sent_bytes_per_s:11.0f}"
+                f" {rate.received_bytes_per_s:11.0f}"
             )
     return lines
 
 
 def slope_lines(figures: Sequence[Figure]) -> list[str]:
-    """Return the slopes of each role."""
+    """Return the lines of a table of the slopes of each role."""
     lines = ["slopes: base, per entry, per server, per entry and server"]
     for figure in figures:
         for role in ("entry", "link", "serving", "follower", "leader"):
@@ -166,22 +170,22 @@
     return lines
 
 
-def json_figures(judged: Sequence[Judged]) -> dict[str, Any]:
-    """Return what the last line holds."""
+def json_figures(results: Sequence[GoalResult]) -> dict[str, Any]:
+    """Return the figures and missed goals for the last line of output."""
     missed = [
-        j.name for j in judged if j.goal is not None and j.value > j.goal
+        r.name for r in results if r.goal is not None and r.value > r.goal
     ]
-    figures: dict[str, Any] = {j.name: round(j.value, 4) for j in judged}
+    figures: dict[str, Any] = {r.name: round(r.value, 4) for r in results}
     return figures | {"goals_missed": missed}
 
 
 __all__ = [
     "cell_lines",
+    "compare_with_goals",
     "failover_figures",
+    "GoalResult",
     "in_force_figures",
     "json_figures",
-    "judge",
-    "Judged",
     "probe_figures",
     "restart_figures",
     "slope_lines",
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/restart.py
@@ -1,4 +1,4 @@
-"""How long a control process needs to be ready after many changes."""
+"""Time the restart of a control process after many changes."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 IN_FLIGHT: Final = 100
 MEGABYTE: Final = 1_000_000
-CALL_BOUND_S: Final = 20.0
+CALL_TIMEOUT_S: Final = 20.0
 RESTARTS: Final = 3
-# More changes than this a run would be a scenario of its own.
+# Proposing more changes would dominate the duration of a run.
 MAX_CHANGES: Final = 50_000
 
 
 class RestartTimes(NamedTuple):
-    """Seconds until ready, with no changes before and with many.
+    """Seconds until readiness, without changes and after many.
 
-    ``read_s`` is the part that reads the files and restores the state;
-    the rest is the start of Python and the wait for a lease.
+    ``read_s`` is the time to read the files and restore the state. The rest
+    of the time is Python's start and the wait for a lease.
     """
 
     fresh_s: list[float]
@@ -50,18 +50,20 @@
 
 
 def measure_restart(system: System, changes: int) -> RestartTimes:
-    """Restart a follower before and after the changes."""
-    fresh_s = [_restart(system) for _ in range(RESTARTS)]
+    """Time restarts of a follower before and after the changes."""
+    fresh_s = [_time_restart(system) for _ in range(RESTARTS)]
     leader = anyio.run(system.leader)
     address = system.cluster.controls[leader].peer_address
     client = system.client()
     first = anyio.run(system.apply, client)
-    revision = anyio.run(_change, address, first, min(changes, MAX_CHANGES))
-    changed_s = [_restart(system) for _ in range(RESTARTS)]
+    revision = anyio.run(
+        _propose_changes, address, first, min(changes, MAX_CHANGES)
+    )
+    changed_s = [_time_restart(system) for _ in range(RESTARTS)]
     name = _follower(system)
     folder = system.cluster.controls[name].data_folder
     system.kill(name)
-    read_s = _read_folder(folder)
+    read_s = _time_folder_read(folder)
     system.restart(name)
     return RestartTimes(
         fresh_s,
@@ -77,22 +79,22 @@
     return sum(p.stat().st_size for p in folder.rglob("*") if p.is_file())
 
 
-def _read_folder(folder: Path) -> float:
+def _time_folder_read(folder: Path) -> float:
     begun_s = time.monotonic()
     storage = Storage(
         folder / f"group-{CONFIGURATION_GROUP}",
         ReplicaSettings().segment_bytes,
     )
-    found = storage.open(had_log=True)
+    recovered = storage.open(had_log=True)
     machine = ConfigurationMachine()
-    if found.snapshot.data:
-        machine.restore(found.snapshot.data)
+    if recovered.snapshot.data:
+        machine.restore(recovered.snapshot.data)
     seconds = time.monotonic() - begun_s
     storage.close()
     return seconds
 
 
-def _restart(system: System) -> float:
+def _time_restart(system: System) -> float:
     name = _follower(system)
     system.kill(name)
     begun_s = time.monotonic()
@@ -105,11 +107,11 @@
     return next(name for name in CONTROLS if name != leader)
 
 
-async def _change(address: str, first: int, changes: int) -> int:
-    """Propose changes through the leader's log, many on the way at once.
+async def _propose_changes(address: str, first: int, changes: int) -> int:
+    """Propose changes to the leader, up to ``IN_FLIGHT`` at once.
 
-    The operators' interface would need minutes for them. Each one names
-    the revision that the one before it makes.
+    The operators' interface would take minutes for them. Each change has as
+    its base the revision that its predecessor creates.
     """
     mesh = PeerMesh(free_address(), lambda: (CLUSTER_KEY.encode(),), _ignore)
     async with anyio.create_task_group() as tasks:
@@ -134,13 +136,13 @@
     message = ProposalForward(
         call_id, CONFIGURATION_GROUP, encode_command(command)
     )
-    reply = await mesh.call(address, call_id, message, CALL_BOUND_S)
+    reply = await mesh.call(address, call_id, message, CALL_TIMEOUT_S)
     if reply.failure or b"applied" not in reply.payload:
         raise RuntimeError(f"{reply.failure} {reply.payload!r}")
 
 
 def _ignore(sender: str, message: object) -> None:
-    """Take a message that is no reply; the bench expects none."""
+    """Ignore messages other than replies, since none are expected."""
 
 
 __all__ = ["folder_bytes", "measure_restart", "RestartTimes"]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/control_bench/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used, from ``/proc`` and from ``ss``."""
+"""Read the resource usage of processes from ``/proc`` and ``ss``."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 MEGABYTE: Final = 1_000_000
 NANOSECONDS: Final = 1e9
 KIBIBYTE: Final = 1024
-SS_BOUND_S: Final = 10
+SS_TIMEOUT_S: Final = 10
 SENT: Final = re.compile(r"\bbytes_sent:(\d+)")
 RECEIVED: Final = re.compile(r"\bbytes_received:(\d+)")
 
 
 class Usage(NamedTuple):
-    """Running totals of one process, but for its resident memory."""
+    """Cumulative totals of one process, and its current resident memory."""
 
     at_s: float
     cpu_s: float
@@ -28,7 +28,10 @@
 
 
 class Rate(NamedTuple):
-    """What a process uses, each second of an interval."""
+    """The mean usage of a process during an interval.
+
+    ``resident_mb`` is no mean but the value at the end of the interval.
+    """
 
     cpu_percent: float
     resident_mb: float
@@ -37,19 +40,19 @@
 
 
 def read_usage(pids: list[int]) -> dict[int, Usage]:
-    """Return the usage of processes; one call of ``ss`` serves them all."""
+    """Return the usage of the processes, with one call of ``ss`` for all."""
     sockets = subprocess.run(
         ["ss", "-tinpHO"],
         capture_output=True,
         text=True,
-        timeout=SS_BOUND_S,
+        timeout=SS_TIMEOUT_S,
         check=True,
     ).stdout
-    return {pid: _read_one(pid, sockets) for pid in pids}
+    return {pid: _read_process(pid, sockets) for pid in pids}
 
 
-def rate(before: Usage, after: Usage) -> Rate:
-    """Return what was used a second between two readings."""
+def rate_between(before: Usage, after: Usage) -> Rate:
+    """Return the usage between two readings."""
     seconds = after.at_s - before.at_s
     return Rate(
         100 * (after.cpu_s - before.cpu_s) / seconds,
@@ -62,45 +65,45 @@
 def socket_bytes(sockets: str, pid: int) -> tuple[int, int]:
     """Return bytes sent and received on a process's open connections.
 
-    ``sockets`` is what ``ss -tinpHO`` prints, a line a connection.
+    ``sockets`` is the output of ``ss -tinpHO``, one line per connection.
     """
     mark = f"pid={pid},"
     lines = [line for line in sockets.splitlines() if mark in line]
-    return _sum(SENT, lines), _sum(RECEIVED, lines)
+    return _sum_matches(SENT, lines), _sum_matches(RECEIVED, lines)
 
 
-def run_time_s(schedstat: str) -> float:
-    """Return the processor time that a line of ``schedstat`` tells."""
+def parse_cpu_s(schedstat: str) -> float:
+    """Return the CPU seconds in a line of ``/proc/PID/schedstat``."""
     return int(schedstat.split()[0]) / NANOSECONDS
 
 
-def resident_mb(status: str) -> float:
-    """Return the resident memory that ``/proc/PID/status`` tells."""
+def parse_resident_mb(status: str) -> float:
+    """Return the megabytes of resident memory in ``/proc/PID/status``."""
     for line in status.splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * KIBIBYTE / MEGABYTE
     raise ValueError("the process has no resident memory")
 
 
-def _read_one(pid: int, sockets: str) -> Usage:
+def _read_process(pid: int, sockets: str) -> Usage:
     folder = Path(f"/proc/{pid}")
     threads = (folder / "task").glob("*/schedstat")
-    cpu_s = sum(run_time_s(path.read_text()) for path in threads)
-    memory_mb = resident_mb((folder / "status").read_text())
+    cpu_s = sum(parse_cpu_s(path.read_text()) for path in threads)
+    memory_mb = parse_resident_mb((folder / "status").read_text())
     sent, received = socket_bytes(sockets, pid)
     return Usage(time.monotonic(), cpu_s, memory_mb, sent, received)
 
 
-def _sum(pattern: re.Pattern[str], lines: list[str]) -> int:
+def _sum_matches(pattern: re.Pattern[str], lines: list[str]) -> int:
     return sum(int(found) for line in lines for found in pattern.findall(line))
 
 
 __all__ = [
+    "parse_cpu_s",
+    "parse_resident_mb",
     "Rate",
-    "rate",
+    "rate_between",
     "read_usage",
-    "resident_mb",
-    "run_time_s",
     "socket_bytes",
     "Usage",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/decisions/routing.py
@@ -1,7 +1,7 @@
-"""Entries that route a workload to model servers in virtual time.
+"""Entries that route a workload to model servers on a virtual clock.
 
-`ProductEntry` runs the decisions of the product; `BaselineEntry` sends
-every request on at once to the server that a plain rule names.
+`ProductEntry` uses the product's decision code. `BaselineEntry` forwards
+every request immediately to the server that a baseline rule chooses.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 POOL: Final = "model@1"
 TICK_S: Final = 0.1
 MAX_ATTEMPTS: Final = 3
-FILLED: Final = 0.75
+FILL_SHARE: Final = 0.75
 
 
 class Result(NamedTuple):
-    """What the caller of one request got, and when."""
+    """The final outcome of one request, and the time of it."""
 
     request: Request
     outcome: str
@@ -46,20 +46,27 @@
 
     @property
     def latency_s(self) -> float:
-        """Time from arrival to the end."""
+        """Time from the arrival to the final outcome."""
         return self.ended_s - self.request.arrival_s
 
 
 class Pool(Protocol):
-    """What entries know of the servers: late reports."""
+    """The servers, and the candidates that entries see.
+
+    Candidates are built from load reports, which arrive late.
+    """
 
     servers: dict[str, ModelServer]
 
     def candidates(self, now_s: float) -> Sequence[Candidate]: ...
 
 
-class Attempt:
-    """One request on its way."""
+class RequestState:
+    """The state of one request in an entry.
+
+    ``tried`` names the servers that failed it, ``number`` counts its
+    attempts, and ``server`` and ``sent_s`` belong to the latest attempt.
+    """
 
     def __init__(self, request: Request) -> None:
         self.request = request
@@ -71,7 +78,7 @@
 
 
 class BaselineEntry:
-    """Sends each request at once to the server that the rule names."""
+    """Sends each request immediately to the server that a rule chooses."""
 
     def __init__(
         self,
@@ -87,30 +94,30 @@
 
     @property
     def waiting(self) -> int:
-        """Nothing waits in the entry."""
+        """Number of waiting requests; always zero, as none is queued."""
         return 0
 
     def arrive(self, request: Request) -> None:
-        """Send the request on."""
-        attempt = Attempt(request)
-        self.clock.at(request.deadline_s, partial(self._give_up, attempt))
-        self.send(attempt)
+        """Send a new request to a server."""
+        state = RequestState(request)
+        self.clock.call_at(request.deadline_s, partial(self._time_out, state))
+        self.send(state)
 
     def tick(self) -> None:
-        """Do nothing from time to time."""
+        """Do nothing; subclasses do their periodic work here."""
 
-    def send(self, attempt: Attempt) -> None:
-        """Start one attempt on the chosen server."""
-        name = self.choose(attempt)
+    def send(self, state: RequestState) -> None:
+        """Start an attempt on the chosen server; without one, fail."""
+        name = self.choose(state)
         if name is None:
-            self.end(attempt, "failed")
+            self.end(state, "failed")
             return
-        attempt.server = name
-        attempt.sent_s = self.clock.now_s
-        attempt.number += 1
-        number = attempt.number
-        request = attempt.request
-        self.on_sent(attempt)
+        state.server = name
+        state.sent_s = self.clock.now_s
+        state.number += 1
+        number = state.number
+        request = state.request
+        self.on_sent(state)
         self.pool.servers[name].submit(
             Work(
                 request.request_id,
@@ -119,59 +126,61 @@
                 request.prefix,
             ),
             Listener(
-                partial(self._first_byte, attempt, number),
-                partial(self._finished, attempt, number),
+                partial(self._first_byte, state, number),
+                partial(self._finished, state, number),
             ),
         )
 
-    def choose(self, attempt: Attempt) -> str | None:
-        """Return the server for an attempt."""
+    def choose(self, state: RequestState) -> str | None:
+        """Return the name of the server for an attempt, or None."""
         return self._choose(self.pool.candidates(self.clock.now_s))
 
-    def on_sent(self, attempt: Attempt) -> None:
-        """Hear of an attempt sent."""
+    def on_sent(self, state: RequestState) -> None:
+        """Handle the start of an attempt; does nothing here."""
 
-    def on_first_byte(self, attempt: Attempt) -> None:
-        """Hear of a first byte."""
+    def on_first_byte(self, state: RequestState) -> None:
+        """Handle the first byte of an attempt; does nothing here."""
 
-    def on_finished(self, attempt: Attempt, outcome: str) -> None:
-        """Hear of the end of an attempt."""
+    def on_finished(self, state: RequestState, outcome: str) -> None:
+        """Handle the end of an attempt; does nothing here."""
 
-    def may_retry(self, attempt: Attempt) -> bool:
-        """Tell whether a failed attempt is followed by another."""
+    def may_retry(self, state: RequestState) -> bool:
+        """Return whether a failed attempt may be retried; always true."""
         return True
 
-    def end(self, attempt: Attempt, outcome: str) -> None:
-        """Give the caller its final answer."""
-        attempt.ended = True
-        self.results.append(Result(attempt.request, outcome, self.clock.now_s))
+    def end(self, state: RequestState, outcome: str) -> None:
+        """Record the final outcome of a request."""
+        state.ended = True
+        self.results.append(Result(state.request, outcome, self.clock.now_s))
 
-    def _first_byte(self, attempt: Attempt, number: int) -> None:
-        if not attempt.ended and number == attempt.number:
-            self.on_first_byte(attempt)
+    def _first_byte(self, state: RequestState, number: int) -> None:
+        if not state.ended and number == state.number:
+            self.on_first_byte(state)
 
-    def _finished(self, attempt: Attempt, number: int, good: bool) -> None:
-        if attempt.ended or number != attempt.number:
+    def _finished(
+        self, state: RequestState, number: int, succeeded: bool
+    ) -> None:
+        if state.ended or number != state.number:
             return
-        if good:
-            self.on_finished(attempt, "ok")
-            self.end(attempt, "ok")
+        if succeeded:
+            self.on_finished(state, "ok")
+            self.end(state, "ok")
             return
-        self.on_finished(attempt, "error")
-        attempt.tried |= {attempt.server}
-        if attempt.number < MAX_ATTEMPTS and self.may_retry(attempt):
-            self.send(attempt)
+        self.on_finished(state, "error")
+        state.tried |= {state.server}
+        if state.number < MAX_ATTEMPTS and self.may_retry(state):
+            self.send(state)
         else:
-            self.end(attempt, "failed")
+            self.end(state, "failed")
 
-    def _give_up(self, attempt: Attempt) -> None:
-        if attempt.ended:
+    def _time_out(self, state: RequestState) -> None:
+        if state.ended:
             return
-        if attempt.number:
-            server = self.pool.servers[attempt.server]
-            server.cancel(attempt.request.request_id)
-            self.on_finished(attempt, "timeout")
-        self.end(attempt, "late")
+        if state.number:
+            server = self.pool.servers[state.server]
+            server.cancel(state.request.request_id)
+            self.on_finished(state, "timeout")
+        self.end(state, "late")
 
 
 class ProductEntry(BaselineEntry):
@@ -189,18 +198,18 @@
         self.admission = Admission()
         self.selector = ServerSelector(random)
         self.retries = RetryBudget()
-        self._waiting: dict[int, Attempt] = {}
+        self._waiting: dict[int, RequestState] = {}
         self._entries = entries
         self.tick()
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def arrive(self, request: Request) -> None:
-        """Offer the request to admission."""
-        attempt = Attempt(request)
+        """Offer a new request to admission control."""
+        state = RequestState(request)
         ticket = Ticket(
             ticket_id=request.request_id,
             customer=request.customer,
@@ -212,72 +221,76 @@
         )
         answer = self.admission.offer(ticket, self.clock.now_s)
         if isinstance(answer, Refused):
-            self.end(attempt, "refused")
+            self.end(state, "refused")
             return
-        self.clock.at(request.deadline_s, partial(self._give_up, attempt))
+        self.clock.call_at(request.deadline_s, partial(self._time_out, state))
         if isinstance(answer, Started):
-            self.send(attempt)
+            self.send(state)
         else:
-            self._waiting[request.request_id] = attempt
+            self._waiting[request.request_id] = state
 
     def tick(self) -> None:
-        """Follow the limits, refuse the hopeless, start the ready."""
+        """Update the pool's capacity, and refuse or start waiting requests.
+
+        Admission control decides which requests cannot start in time for
+        their deadline and which can start now.
+        """
         now_s = self.clock.now_s
         candidates = self.pool.candidates(now_s)
         slots = self.selector.capacity(candidates, now_s)
         self.admission.set_capacity(POOL, slots)
         for ticket, _ in self.admission.expire(now_s):
-            attempt = self._waiting.pop(ticket.ticket_id)
-            self.end(attempt, "refused")
+            state = self._waiting.pop(ticket.ticket_id)
+            self.end(state, "refused")
         self._start_ready()
 
-    def choose(self, attempt: Attempt) -> str | None:
-        """Ask the selector."""
+    def choose(self, state: RequestState) -> str | None:
+        """Return the selector's choice among the servers not yet tried."""
         now_s = self.clock.now_s
         return self.selector.choose(
             self.pool.candidates(now_s),
             now_s,
-            attempt.request.prefix,
-            attempt.tried,
+            state.request.prefix,
+            state.tried,
         )
 
-    def on_sent(self, attempt: Attempt) -> None:
-        """Count the attempt."""
-        self.selector.record_start(attempt.server, self.clock.now_s)
+    def on_sent(self, state: RequestState) -> None:
+        """Record the start of the attempt in the selector."""
+        self.selector.record_start(state.server, self.clock.now_s)
 
-    def on_first_byte(self, attempt: Attempt) -> None:
-        """Learn from the first byte."""
+    def on_first_byte(self, state: RequestState) -> None:
+        """Record the latency of the first byte in the selector."""
         now_s = self.clock.now_s
-        latency_s = now_s - attempt.sent_s
-        self.selector.record_first_byte(attempt.server, now_s, latency_s)
+        latency_s = now_s - state.sent_s
+        self.selector.record_first_byte(state.server, now_s, latency_s)
 
-    def on_finished(self, attempt: Attempt, outcome: str) -> None:
-        """Learn from the end of the attempt."""
+    def on_finished(self, state: RequestState, outcome: str) -> None:
+        """Record the outcome in the selector and the retry budget."""
         now_s = self.clock.now_s
-        latency_s = now_s - attempt.sent_s
+        latency_s = now_s - state.sent_s
         self.selector.record_finish(
-            attempt.server,
+            state.server,
             now_s,
             latency_s,
             outcome,  # type: ignore[arg-type]
         )
         if outcome == "ok":
-            self.retries.record_success(attempt.request.customer, now_s)
+            self.retries.record_success(state.request.customer, now_s)
 
-    def may_retry(self, attempt: Attempt) -> bool:
-        """Ask the retry budget."""
-        customer = attempt.request.customer
-        return self.retries.may_retry(customer, self.clock.now_s, "error")
+    def may_retry(self, state: RequestState) -> bool:
+        """Return whether the customer's retry budget allows a retry."""
+        customer = state.request.customer
+        return self.retries.spend_retry(customer, self.clock.now_s, "error")
 
-    def end(self, attempt: Attempt, outcome: str) -> None:
-        """Free the slot as well."""
-        super().end(attempt, outcome)
-        request_id = attempt.request.request_id
+    def end(self, state: RequestState, outcome: str) -> None:
+        """Record the final outcome and free the request's slot."""
+        super().end(state, outcome)
+        request_id = state.request.request_id
         if outcome == "refused":
             return
-        if attempt.number:
+        if state.number:
             now_s = self.clock.now_s
-            latency_s = now_s - attempt.sent_s
+            latency_s = now_s - state.sent_s
             failed = outcome != "ok"
             self.admission.finish(request_id, now_s, latency_s, failed)
         else:
@@ -291,25 +304,28 @@
 
 
 class ConcentratingEntry(ProductEntry):
-    """As the product, but fills one server before it uses the next.
+    """Product entry that fills one server before it uses the next.
 
-    The paper's advice (concentrate one model's traffic, section 9) as a
-    rule of choice, to compare with spreading.
+    Section 9 of the paper advises concentrating the traffic of one model.
+    This entry follows that advice, for comparison with spreading the traffic.
     """
 
-    def choose(self, attempt: Attempt) -> str | None:
-        """Take the first server that is not filled up."""
+    def choose(self, state: RequestState) -> str | None:
+        """Return the first untried server below its fill level.
+
+        If no server is below it, the selector chooses.
+        """
         now_s = self.clock.now_s
         known = self.selector.metrics(now_s)
         for candidate in self.pool.candidates(now_s):
-            state = known.get(candidate.name)
-            if candidate.name in attempt.tried:
+            server_metrics = known.get(candidate.name)
+            if candidate.name in state.tried:
                 continue
-            # The entries fill the same servers, each its part of them.
-            filled = FILLED * candidate.capacity / self._entries
-            if state is None or state.in_flight < filled:
+            # All entries fill the same servers, each entry an equal part.
+            filled = FILL_SHARE * candidate.capacity / self._entries
+            if server_metrics is None or server_metrics.in_flight < filled:
                 return candidate.name
-        return super().choose(attempt)
+        return super().choose(state)
 
 
 __all__ = [
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/hosting.py
@@ -1,4 +1,4 @@
-"""Serves the ASGI application of a fake on a port of the system's choice."""
+"""Serve the ASGI application of a fake on a loopback port."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 import uvicorn
 
 
-class Stopped(Exception):
-    """Raised by a fake to end a connection in the middle."""
+class ConnectionAborted(Exception):
+    """Raised by a fake to close a connection in the middle of an answer."""
 
 
 class _Server(uvicorn.Server):
@@ -29,7 +29,11 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; starts with the address as ``host:port``."""
+    """Serve until cancelled; report ``host:port`` to ``task_status``.
+
+    Port 0 lets the operating system choose a free port. On cancellation,
+    the open connections are aborted.
+    """
     listener = socket.socket(proto=socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(("127.0.0.1", port))
@@ -50,11 +54,11 @@
         timeout_graceful_shutdown=0,
     )
     server = _Server(config)
-    host, bound = listener.getsockname()
+    host, bound_port = listener.getsockname()
     try:
         async with anyio.create_task_group() as group:
             group.start_soon(server.serve, [listener])
-            task_status.started(f"{host}:{bound}")
+            task_status.started(f"{host}:{bound_port}")
     finally:
         listener.close()
         for connection in list(server.server_state.connections):
@@ -64,13 +68,16 @@
 
 
 async def read_body(receive: Any) -> bytes:
-    """Return the whole body of a request."""
+    """Return the complete body of a request.
+
+    Raises `ConnectionAborted` if the client disconnects before its end.
+    """
     parts: list[bytes] = []
     more = True
     while more:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise Stopped
+            raise ConnectionAborted
         parts.append(message["body"])
         more = message["more_body"]
     return b"".join(parts)
@@ -83,7 +90,7 @@
     kind: bytes = b"application/json",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send an answer with headers and body."""
     await send(
         {
             "type": "http.response.start",
@@ -99,14 +106,14 @@
 
 
 async def send_json(send: Any, status: int, content: Any) -> None:
-    """Send a whole answer of JSON."""
+    """Send an answer whose body is the content encoded as JSON."""
     await send_answer(send, status, msgspec.json.encode(content))
 
 
 __all__ = [
+    "ConnectionAborted",
     "read_body",
     "send_answer",
     "send_json",
     "serve_application",
-    "Stopped",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/service.py
@@ -1,4 +1,4 @@
-"""A plain service; its POST calls must not be repeated."""
+"""Fake a plain service whose POST calls are not idempotent."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from sycamorestand_bench.fakes.faults import Fault
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 
 
 class ServiceRecord(NamedTuple):
-    """One call that ran."""
+    """A call that the service executed."""
 
     request_key: str
     customer: str
@@ -27,7 +27,7 @@
 
 
 class FakeService:
-    """State of one plain service; `application` serves it."""
+    """The state of one plain service; `application` serves it."""
 
     def __init__(self, name: str, services: tuple[str, ...]) -> None:
         self.name = name
@@ -36,7 +36,7 @@
         self.records: list[ServiceRecord] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Run one call."""
+        """Execute one call, or set the fault through ``/fake/fault``."""
         body = await read_body(receive)
         headers = {
             name.decode(): value.decode("latin-1")
@@ -49,7 +49,7 @@
             )
             await send_json(send, 200, {})
             return
-        fault = self.switch.take()
+        fault = self.switch.next_fault()
         if fault.kind == "refuse":
             refusal = ((b"x-not-run", b"1"),)
             await send_answer(send, 503, b"{}", headers=refusal)
@@ -77,7 +77,7 @@
                 await anyio.sleep(fault.pause_s)
             case "cut":
                 await _send_half(send, body)
-                raise Stopped
+                raise ConnectionAborted
             case "garbage":
                 body = b"\x00\xff\x00"
         await send_answer(send, 200, body)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/fakes/weight_store.py
@@ -1,4 +1,4 @@
-"""A weight store that says whether a load may begin."""
+"""Fake a weight store, which answers whether a load may begin."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 import anyio
 
 from sycamorestand_bench.fakes.faults import FaultSwitch
+from sycamorestand_bench.fakes.hosting import ConnectionAborted
 from sycamorestand_bench.fakes.hosting import read_body
 from sycamorestand_bench.fakes.hosting import send_answer
 from sycamorestand_bench.fakes.hosting import send_json
-from sycamorestand_bench.fakes.hosting import Stopped
 
 
 class FakeWeightStore:
-    """State of the weight store; `application` serves it.
+    """The state of a weight store; `application` serves it.
 
-    ``size_bytes`` is by path below ``/weights/``. ``retry_after`` is the
-    header's value of a store that is at its rate.
+    ``size_bytes`` maps paths below ``/weights/`` to sizes. The fault
+    ``refuse`` stands for a store that is at its rate limit: the answer has
+    the header ``retry-after`` unless ``retry_after`` is empty.
     """
 
     def __init__(self, size_bytes: dict[str, int]) -> None:
         self.size_bytes = size_bytes
         self.switch = FaultSwitch()
         self.retry_after = ""
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     async def application(self, scope: Any, receive: Any, send: Any) -> None:
-        """Tell of one version's weights."""
+        """Return the size of one version's weights, or status 404."""
         await read_body(receive)
         name = scope["path"].removeprefix("/weights/")
-        self.asked.append(name)
-        fault = self.switch.take()
+        self.requested.append(name)
+        fault = self.switch.next_fault()
         match fault.kind:
             case "refuse":
                 header = (b"retry-after", self.retry_after.encode())
@@ -44,7 +45,7 @@
             case "wrong_type":
                 await send_json(send, 200, {"bytes": "many"})
             case "cut":
-                raise Stopped
+                raise ConnectionAborted
             case "silent" | "late" | "slow":
                 await anyio.sleep(fault.pause_s)
                 await self._answer(name, send)
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/ledger_bench/client_process.py
@@ -1,7 +1,7 @@
-"""A client of the ledger that makes charges at a rate.
+"""Run a client of the ledger that makes charges at a constant rate.
 
-It prints a line when it is ready, then runs one load for each line of
-JSON on its input and answers with what it saw.
+The process prints a line when it is ready. Then it runs one `Load` for each
+line of JSON on its standard input and prints its `LoadResult` as JSON.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 from sycamorestand_state.ledger import encode_batch
 from sycamorestand_state.ledger import shard_of
 
-# A client's batches leave this far apart: as many entries together would.
+# The interval between batches, like that of many entries together.
 TICK_S: Final = 0.005
-CALL_BOUND_S: Final = 4.0
+CALL_TIMEOUT_S: Final = 4.0
 MICROSECONDS: Final = 1e6
-LONGEST_US: Final = 60_000_000
-DIGITS: Final = 3
+MAX_WAIT_US: Final = 60_000_000
+SIGNIFICANT_DIGITS: Final = 3
 
 
 class ClientRun(msgspec.Struct):
-    """The client: its name, its control process and the shard count.
+    """The client's name, its control process and the number of shards.
 
-    ``as_entry`` sends through the entry's own ledger client, which holds
-    records back so that an entry's batches stay few.
+    With ``as_entry`` the client uses the `LedgerClient` of entries, which
+    delays records to send fewer batches.
     """
 
     name: str
@@ -51,14 +51,17 @@
 
 
 class Load(msgspec.Struct):
-    """Charges a second, for so many seconds, whatever the answers do."""
+    """A rate of charges that is kept for a duration, whatever the answers."""
 
     records_per_s: float
     seconds: float
 
 
 class LoadResult(msgspec.Struct):
-    """How the records of a load ended; waits as an encoded histogram."""
+    """The outcomes of the records of a load.
+
+    ``waits`` is an encoded histogram of their wait times in microseconds.
+    """
 
     done: int
     failed: int
@@ -67,26 +70,26 @@
 
 
 class Submit(Protocol):
-    """Makes records durable or raises `LedgerUnavailable`."""
+    """Writes records to the ledger or raises `LedgerUnavailable`."""
 
     async def __call__(self, records: list[LedgerRecord]) -> object:
-        """Return once all of them are."""
+        """Return once all records are durable."""
         ...
 
 
 class Client:
-    """Makes charges at a rate and notes how long each one waited."""
+    """Makes charges at a rate and records the wait time of each."""
 
     def __init__(self, name: str, submit: Submit, shards: int) -> None:
         self._name = name
         self._submit = submit
         self._shards = shards
-        self._number = 0
-        self._waits = HdrHistogram(1, LONGEST_US, DIGITS)
+        self._charge_count = 0
+        self._waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
         self._failed = 0
 
     async def run(self, load: Load) -> LoadResult:
-        """Start records at the rate and wait until all have ended."""
+        """Start charges at the rate and wait until all have ended."""
         self._waits.reset()
         self._failed = 0
         begun_s = time.perf_counter()
@@ -94,14 +97,14 @@
         async with anyio.create_task_group() as tasks:
             while (passed_s := time.perf_counter() - begun_s) < load.seconds:
                 due = int(passed_s * load.records_per_s)
-                # Counted from when they were due, or a client that lags
-                # would leave the longest waits out.
+                # Waits are counted from the time at which a record was
+                # due; otherwise a client that lags omits the longest.
                 times_s = [
                     begun_s + number / load.records_per_s
                     for number in range(started, due)
                 ]
                 started = due
-                for records, due_s in self._batches(times_s):
+                for records, due_s in self._batch_by_shard(times_s):
                     tasks.start_soon(self._send, records, due_s)
                 await anyio.sleep(TICK_S)
         return LoadResult(
@@ -111,22 +114,22 @@
             self._waits.encode().decode(),
         )
 
-    def _batches(
+    def _batch_by_shard(
         self, times_s: list[float]
     ) -> list[tuple[list[LedgerRecord], list[float]]]:
-        """Return what is due now, a batch for each shard."""
+        """Return new charges and their due times, in a batch per shard."""
         batches: dict[int, tuple[list[LedgerRecord], list[float]]] = {}
         for due_s in times_s:
-            charge = self._charge()
+            charge = self._make_charge()
             shard = shard_of(charge.customer, charge.request_key, self._shards)
             records, due = batches.setdefault(shard, ([], []))
             records.append(charge)
             due.append(due_s)
         return list(batches.values())
 
-    def _charge(self) -> Charge:
-        self._number += 1
-        key = f"{self._name}-{self._number:024x}"
+    def _make_charge(self) -> Charge:
+        self._charge_count += 1
+        key = f"{self._name}-{self._charge_count:024x}"
         now_s = time.time()
         return Charge("bench", key, "nest-small@3", 1234, 900, 238, now_s)
 
@@ -144,8 +147,8 @@
             self._waits.record_value(max(1, wait_us))
 
 
-def batch_submit(mesh: PeerMesh, control: str, shards: int) -> Submit:
-    """Return a submit that sends one batch at once, and only once."""
+def make_batch_submit(mesh: PeerMesh, control: str, shards: int) -> Submit:
+    """Return a `Submit` that sends each batch at once, without retries."""
 
     async def submit(records: list[LedgerRecord]) -> object:
         first = records[0]
@@ -154,7 +157,7 @@
         call_id = mesh.next_call_id()
         message = LedgerBatch(call_id, shard, encode_batch(records, 0.0))
         try:
-            reply = await mesh.call(control, call_id, message, CALL_BOUND_S)
+            reply = await mesh.call(control, call_id, message, CALL_TIMEOUT_S)
         except PeerTimeout as error:
             raise LedgerUnavailable("no answer") from error
         if reply.failure:
@@ -165,10 +168,10 @@
 
 
 async def serve(run: ClientRun) -> None:
-    """Answer loads until the input ends."""
+    """Run loads until the input ends."""
     mesh = PeerMesh(free_address(), lambda: (CLUSTER_KEY.encode(),), _ignore)
     ledger = LedgerClient(mesh, lambda: run.control, lambda: run.shards)
-    submit = batch_submit(mesh, run.control, run.shards)
+    submit = make_batch_submit(mesh, run.control, run.shards)
     if run.as_entry:
         submit = ledger.submit
     client = Client(run.name, submit, run.shards)
@@ -187,18 +190,18 @@
 
 
 def _ignore(sender: str, message: object) -> None:
-    """Take a message that is no reply; a ledger client expects none."""
+    """Ignore messages other than replies, since none are expected."""
 
 
 if __name__ == "__main__":
     anyio.run(serve, msgspec.json.decode(sys.argv[1], type=ClientRun))
 
 __all__ = [
-    "batch_submit",
     "Client",
     "ClientRun",
     "Load",
     "LoadResult",
+    "make_batch_submit",
     "serve",
     "Submit",
 ]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/client_process.py
@@ -1,6 +1,7 @@
-"""Load client: opens streams and measures their first tokens.
+"""Run a load client that measures the time to the first token.
 
-It reads one line of JSON for each run and prints one with what it saw.
+The process reads a `Run` as one line of JSON and prints its results as one
+line of JSON, repeatedly.
 """
 
 from __future__ import annotations
@@ -19,9 +20,10 @@
 
 
 class Run(msgspec.Struct):
-    """What to do: streams at once, how often each, tokens of each.
+    """The number of concurrent streams, with rounds and tokens of each.
 
-    ``pause_s`` is between the starts of two streams.
+    Each stream receives ``rounds`` answers of ``tokens`` tokens. ``pause_s``
+    is the time between the starts of two streams.
     """
 
     address: str
@@ -33,12 +35,12 @@
 
 
 class Stream(asyncio.Protocol):
-    """One connection, which reads ``rounds`` answers one by one."""
+    """A connection that requests ``rounds`` answers one after another."""
 
     def __init__(self, request: bytes, rounds: int) -> None:
         self.first_ms: list[float] = []
         self.tokens = 0
-        self.whole = 0
+        self.complete_answers = 0
         self.finished = asyncio.get_running_loop().create_future()
         self._request = request
         self._rounds = rounds
@@ -61,9 +63,9 @@
         self._tail = (self._tail + data)[-32:]
         if DONE not in self._tail or not self._tail.endswith(b"0\r\n\r\n"):
             return
-        self.whole += 1
+        self.complete_answers += 1
         self._tail = b""
-        if self.whole < self._rounds:
+        if self.complete_answers < self._rounds:
             self._send()
             return
         self._transport.close()
@@ -79,7 +81,7 @@
 
 
 async def run_streams(run: Run) -> dict[str, Any]:
-    """Open the streams, read them to their end and tell what came."""
+    """Open the streams, read them to their end and return the results."""
     host, _, port = run.address.rpartition(":")
     request = _encode_request(run)
     loop = asyncio.get_running_loop()
@@ -96,7 +98,7 @@
     return {
         "first_ms": [ms for stream in streams for ms in stream.first_ms],
         "tokens": sum(stream.tokens for stream in streams),
-        "whole": sum(stream.whole for stream in streams),
+        "whole": sum(stream.complete_answers for stream in streams),
         "seconds": time.perf_counter() - begin_s,
     }
 
@@ -118,7 +120,7 @@
 
 
 def main() -> None:
-    """Do one run for each line that is read."""
+    """Execute one run for each line of standard input."""
     for line in sys.stdin:
         run = msgspec.json.decode(line, type=Run)
         result = asyncio.run(run_streams(run))
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/relay/entry_process.py
@@ -1,8 +1,9 @@
-"""The measured process: one entry in front of one fake engine.
+"""Run the measured process: an entry in front of one fake engine.
 
-It is started with a loop, the engine's address and the way to measure.
-It prints its own address, and one line of JSON for each line that it
-reads: the CPU time that it has used and its peak memory.
+Its arguments are the event loop, the kind ("product" for the entry or any
+other for the plain relay) and the engine's address. It prints its own
+address. For each line that it reads, it prints a line of JSON with the CPU
+time that it has used and its peak memory.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 DESCRIPTORS: Final = "/proc/self/fd"
 
 
-def usage_now() -> dict[str, Any]:
-    """Return what this process has used, and whether it has io_uring."""
+def current_usage() -> dict[str, Any]:
+    """Return this process's CPU time, peak memory and use of io_uring."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "cpu_s": usage.ru_utime + usage.ru_stime,
@@ -42,7 +43,7 @@
 
 
 def open_files() -> list[str]:
-    """Return what the process's descriptors stand for."""
+    """Return the link targets of this process's file descriptors."""
     files: list[str] = []
     for descriptor in os.listdir(DESCRIPTORS):
         with contextlib.suppress(FileNotFoundError):
@@ -53,7 +54,7 @@
 async def serve_product(
     engine: str, *, task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve the entry itself, with a control process in memory."""
+    """Serve the entry with a fake control port."""
     control = FakeControlPort(guild_configuration(), FakeLedger())
     control.servers["engine"] = Announcement(
         "engine", "engine", engine, "marietta", 1, 1, (LARGE,), capacity=4096
@@ -67,7 +68,7 @@
 async def serve_plain(
     engine: str, *, task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve the plain relay that the product is compared with."""
+    """Serve the plain relay with which the product is compared."""
     async with anyio.create_task_group() as group:
         relay = make_plain_relay(engine)
         task_status.started(await group.start(serve_application, relay))
@@ -78,17 +79,17 @@
     async with anyio.create_task_group() as group:
         print(await group.start(serve, engine), flush=True)
         while await anyio.to_thread.run_sync(sys.stdin.readline):
-            print(msgspec.json.encode(usage_now()).decode(), flush=True)
+            print(msgspec.json.encode(current_usage()).decode(), flush=True)
         group.cancel_scope.cancel()
 
 
 def main(arguments: list[str]) -> None:
-    """Run on the loop that is asked for, ``asyncio`` or ``uvloop``."""
+    """Run on the given event loop, ``asyncio`` or ``uvloop``."""
     loop, kind, engine = arguments
     options: dict[str, Any] = {}
     if loop == "uvloop":
-        # For comparison only: uvloop 0.23 sets up io_uring, which the
-        # product may not use, with this variable too.
+        # uvloop is for comparison only: with this variable too, uvloop 0.23
+        # sets up io_uring, which the product may not use.
         os.environ["UV_USE_IO_URING"] = "0"
         options["use_uvloop"] = True
     anyio.run(_main, kind, engine, backend_options=options)
@@ -98,4 +99,10 @@
     main(sys.argv[1:])
 
 
-__all__ = ["main", "open_files", "serve_plain", "serve_product", "usage_now"]
+__all__ = [
+    "current_usage",
+    "main",
+    "open_files",
+    "serve_plain",
+    "serve_product",
+]
--- a/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
+++ b/packages/sycamorestand-bench/src/sycamorestand_bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each name that dev/bench takes."""
+"""One module for each scenario name that ``dev/bench`` accepts."""
--- a/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
+++ b/packages/sycamorestand-bench/tests/fakes/test_model_loads.py
@@ -1,4 +1,4 @@
-"""The planner with its channel, a weight store and engines that load."""
+"""Test the load planner with a weight store and engines."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from sycamorestand_model.in_force import InForce
 from sycamorestand_model.in_force import RolloutShare
 
-from .leading import Cluster
-from .leading import Leader
+from .order_leaders import Cluster
+from .order_leaders import Leader
 
 pytestmark = pytest.mark.anyio
 
@@ -30,8 +30,8 @@
 WEIGHTS = {"nest-small/1": 7, "nest-small/2": 7, "nest-large/1": 70}
 
 
-class World:
-    """A leader's planner, and what it reads."""
+class PlannerHarness:
+    """A leader's load planner with the inputs that tests set."""
 
     def __init__(self, store_address: str) -> None:
         self.cluster = Cluster()
@@ -65,32 +65,32 @@
             announced = engine.announcement(self.addresses[name])
             self.cluster.servers[name] = announced
 
-    async def lead(self) -> None:
+    async def elect_leader(self) -> None:
         self.cluster.now_s = 5_000.0
         await self.leader.elect()
         self.cluster.now_s += WARM_UP_S
 
-    async def rounds(self, count: int = 1) -> list[Any]:
-        """Plan so often, with announcements between, and return all."""
-        given = []
+    async def run_rounds(self, count: int = 1) -> list[Any]:
+        """Plan ``count`` times, announce engines, and return all orders."""
+        planned = []
         for _ in range(count):
             self.announce()
             await self.leader.channel.step()
             for order in self.planner.plan():
                 await self.planner.carry_out(order)
-                given.append(order[:3])
+                planned.append(order[:3])
             self.cluster.now_s += PLAN_INTERVAL_S
         self.announce()
-        return given
+        return planned
 
 
 class TestModelLoads:
-    async def test_from_empty_engines_to_a_roll_out(self) -> None:
-        """Two empty engines, then a roll-out whose weights come late.
+    async def test_stable_versions_load_before_a_rollout(self) -> None:
+        """Guard against orders for weights that are missing or refused.
 
-        Both stable versions are loaded, the second not before the store
-        has room for it. The new version is asked for while its weights
-        are missing, which gives no order, and loaded when they are there.
+        Two empty engines load both stable versions once the weight store
+        no longer refuses. A rollout then wants a version whose weights are
+        missing: the planner gives no order until they exist.
         """
         fake = FakeWeightStore({**WEIGHTS, "nest-small/2": 0})
         engines = [FakeOrderedEngine(name) for name in "ab"]
@@ -99,36 +99,37 @@
             serve_on_port(engines[0].application) as first,
             serve_on_port(engines[1].application) as second,
         ):
-            world = World(store)
-            world.engines = {engine.name: engine for engine in engines}
-            world.addresses = {"a": first, "b": second}
-            await world.lead()
+            harness = PlannerHarness(store)
+            harness.engines = {engine.name: engine for engine in engines}
+            harness.addresses = {"a": first, "b": second}
+            await harness.elect_leader()
             fake.switch.fault = Fault("refuse", times=1)
-            await world.rounds(1)
+            await harness.run_rounds(1)
             assert not any(engine.received for engine in engines)
-            world.cluster.now_s += 10.0
-            await world.rounds(3)
+            harness.cluster.now_s += 10.0
+            await harness.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
             share = RolloutShare("2", 0.1, 1, "running")
-            world.in_force = world.in_force._replace(
+            harness.in_force = harness.in_force._replace(
                 shares={"nest-small": share}
             )
-            await world.rounds(3)
+            await harness.run_rounds(3)
             assert _loaded(engines) == [LARGE, SMALL]
-            assert world.planner.missing() == (SMALL_NEXT,)
+            assert harness.planner.missing() == (SMALL_NEXT,)
             fake.size_bytes["nest-small/2"] = 7
-            world.cluster.now_s += 60.0
-            await world.rounds(2)
+            harness.cluster.now_s += 60.0
+            await harness.run_rounds(2)
             assert _loaded(engines) == [LARGE, SMALL, SMALL_NEXT]
-            orders = len(world.cluster.machine.orders())
-            assert await world.rounds(3) == []
-            assert len(world.cluster.machine.orders()) == orders
+            orders = len(harness.cluster.machine.orders())
+            assert await harness.run_rounds(3) == []
+            assert len(harness.cluster.machine.orders()) == orders
 
-    async def test_a_withdrawn_version_with_requests_stays(self) -> None:
-        """Full engines; a version is withdrawn while its sessions run.
+    async def test_withdrawn_version_stays_while_requests_run(self) -> None:
+        """Guard against cutting running requests of a withdrawn version.
 
-        Its room is wanted at once. Unloaded now, its running requests are
-        cut; it goes when none is left, and then the other is loaded.
+        The engine has no room for another version. The planner unloads the
+        withdrawn version only after its last request, and then loads the
+        other one.
         """
         fake = FakeWeightStore(WEIGHTS)
         engine = FakeOrderedEngine("a", (SMALL,), max_versions=1)
@@ -136,22 +137,23 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = World(store)
-            world.engines, world.addresses = {"a": engine}, {"a": address}
-            world.in_force = world.in_force._replace(withdrawn=(SMALL,))
-            world.loads["a"] = LoadReport(running=1)
-            await world.lead()
-            assert await world.rounds(2) == []
-            del world.loads["a"]
-            given = await world.rounds(2)
-        assert given == [("unload", "a", SMALL), ("load", "a", LARGE)]
+            harness = PlannerHarness(store)
+            harness.engines, harness.addresses = {"a": engine}, {"a": address}
+            harness.in_force = harness.in_force._replace(withdrawn=(SMALL,))
+            harness.loads["a"] = LoadReport(running=1)
+            await harness.elect_leader()
+            assert await harness.run_rounds(2) == []
+            del harness.loads["a"]
+            planned = await harness.run_rounds(2)
+        assert planned == [("unload", "a", SMALL), ("load", "a", LARGE)]
         assert engine.versions == (LARGE,)
 
-    async def test_an_engine_that_was_restarted_is_asked_again(self) -> None:
-        """An engine loads a version, announces it, and is restarted empty.
+    async def test_restarted_engine_gets_its_load_again(self) -> None:
+        """Guard against counting a lost version as loading.
 
-        Its order is done and young, so it would count as loading for a
-        quarter of an hour, with nobody answering in that time.
+        An engine loads a version, announces it, and restarts empty. Its
+        order is done and recent, so the version would count as loading for
+        a quarter of an hour in which no engine serves it.
         """
         fake = FakeWeightStore(WEIGHTS)
         engine = FakeOrderedEngine("a", (LARGE,))
@@ -159,28 +161,29 @@
             serve_on_port(fake.application) as store,
             serve_on_port(engine.application) as address,
         ):
-            world = World(store)
-            world.engines, world.addresses = {"a": engine}, {"a": address}
-            await world.lead()
-            assert await world.rounds(2) == [("load", "a", SMALL)]
+            harness = PlannerHarness(store)
+            harness.engines, harness.addresses = {"a": engine}, {"a": address}
+            await harness.elect_leader()
+            assert await harness.run_rounds(2) == [("load", "a", SMALL)]
             engine.versions = (LARGE,)
-            assert await world.rounds(1) == [("load", "a", SMALL)]
+            assert await harness.run_rounds(1) == [("load", "a", SMALL)]
 
-    async def test_a_new_leader_learns_first(self) -> None:
-        """A leader is elected and has heard of one server of two.
+    async def test_new_leader_waits_before_planning(self) -> None:
+        """Guard against loading a version that another server holds.
 
-        Planning at once would load on it what the other one holds.
+        A new leader knows only one of two servers. Planning at once would
+        load on it a version that the other server already holds.
         """
-        world = World("127.0.0.1:1")
-        world.engines = {"a": FakeOrderedEngine("a")}
-        world.addresses = {"a": "127.0.0.1:1"}
-        world.announce()
-        await world.leader.elect()
-        assert world.planner.plan() == []
-        world.cluster.now_s += WARM_UP_S
-        assert world.planner.plan() != []
-        world.leader.term = None
-        assert world.planner.plan() == []
+        harness = PlannerHarness("127.0.0.1:1")
+        harness.engines = {"a": FakeOrderedEngine("a")}
+        harness.addresses = {"a": "127.0.0.1:1"}
+        harness.announce()
+        await harness.leader.elect()
+        assert harness.planner.plan() == []
+        harness.cluster.now_s += WARM_UP_S
+        assert harness.planner.plan() != []
+        harness.leader.term = None
+        assert harness.planner.plan() == []
 
 
 def _loaded(engines: list[FakeOrderedEngine]) -> list[str]:
--- a/packages/sycamorestand-bench/tests/test_control_bench.py
+++ b/packages/sycamorestand-bench/tests/test_control_bench.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the control bench; nothing here is timed."""
+"""Test the computations of the control bench, without measurements."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from sycamorestand_bench.control_bench.fitting import fit_plane
 from sycamorestand_bench.control_bench.fitting import percentile
 from sycamorestand_bench.control_bench.fitting import Sample
+from sycamorestand_bench.control_bench.report import compare_with_goals
 from sycamorestand_bench.control_bench.report import json_figures
-from sycamorestand_bench.control_bench.report import judge
 from sycamorestand_bench.control_bench.target import CONTROLS
-from sycamorestand_bench.control_bench.target import NODES
+from sycamorestand_bench.control_bench.target import ENTRIES
+from sycamorestand_bench.control_bench.target import fit_figures
 from sycamorestand_bench.control_bench.target import SERVERS
-from sycamorestand_bench.control_bench.target import work_out
+from sycamorestand_bench.control_bench.usage import parse_cpu_s
+from sycamorestand_bench.control_bench.usage import parse_resident_mb
 from sycamorestand_bench.control_bench.usage import Rate
-from sycamorestand_bench.control_bench.usage import rate
-from sycamorestand_bench.control_bench.usage import resident_mb
-from sycamorestand_bench.control_bench.usage import run_time_s
+from sycamorestand_bench.control_bench.usage import rate_between
 from sycamorestand_bench.control_bench.usage import socket_bytes
 from sycamorestand_bench.control_bench.usage import Usage
 
@@ -41,7 +41,7 @@
         assert line.at(10) == pytest.approx(23.0)
 
     @pytest.mark.parametrize("per_pair", [0.0, 0.25])
-    def test_plane_finds_every_term(self, per_pair: float) -> None:
+    def test_plane_recovers_every_coefficient(self, per_pair: float) -> None:
         samples = [
             Sample(n, s, 10 + 2 * n + 0.5 * s + per_pair * n * s)
             for n, s in cells_of((5, 15, 30), (0, 100, 300))
@@ -52,11 +52,11 @@
             10 + 660 + 455 + per_pair * 330 * 910
         )
 
-    def test_plane_without_product_has_none(self) -> None:
+    def test_plane_without_product_has_zero_per_pair(self) -> None:
         samples = [Sample(1, 0, 1.0), Sample(2, 0, 2.0), Sample(2, 5, 3.0)]
         assert fit_plane(samples, product=False).per_pair == 0
 
-    def test_percentile(self) -> None:
+    def test_percentiles_of_many_values_and_of_one(self) -> None:
         values = [float(number) for number in range(101)]
         assert percentile(values, 50) == 50
         assert percentile(values, 99) == 99
@@ -64,25 +64,31 @@
 
 
 class TestUsage:
-    def test_sockets_of_one_process_only(self) -> None:
+    def test_socket_bytes_excludes_other_processes(self) -> None:
         assert socket_bytes(SOCKETS, 41) == (250, 7)
         assert socket_bytes(SOCKETS, 4) == (0, 0)
 
-    def test_proc_files(self) -> None:
-        assert run_time_s("1500000000 77 3\n") == 1.5
+    def test_proc_files_are_parsed(self) -> None:
+        assert parse_cpu_s("1500000000 77 3\n") == 1.5
         status = "Name:\tx\nVmRSS:\t   1000 kB\nThreads:\t3\n"
-        assert resident_mb(status) == pytest.approx(1.024)
+        assert parse_resident_mb(status) == pytest.approx(1.024)
         with pytest.raises(ValueError, match="no resident memory"):
-            resident_mb("Name:\tx\n")
+            parse_resident_mb("Name:\tx\n")
 
-    def test_rate(self) -> None:
-        found = rate(Usage(10, 1, 50, 100, 0), Usage(14, 1.2, 60, 500, 80))
+    def test_rate_is_usage_per_second(self) -> None:
+        found = rate_between(
+            Usage(10, 1, 50, 100, 0), Usage(14, 1.2, 60, 500, 80)
+        )
         assert tuple(found) == pytest.approx((5.0, 60.0, 100.0, 20.0))
 
 
 class TestTarget:
     def test_control_serves_its_share_of_the_entries(self) -> None:
-        """A follower and the leader pay for all, and serve their share."""
+        """Guard against counting all entries as served by one process.
+
+        Costs of follower and leader depend on all entries, the cost of
+        serving only on the share of one control process.
+        """
 
         def cell(entries: int, servers: int) -> CellCost:
             follower = 1 + 0.01 * entries + 0.02 * servers
@@ -104,10 +110,10 @@
             )
 
         cells = cells_of((5, 15, 30), (0, 100, 300))
-        figure = work_out([cell(*each) for each in cells])[0]
-        share = NODES / CONTROLS
+        figure = fit_figures([cell(*each) for each in cells])[0]
+        share = ENTRIES / CONTROLS
         serving = 0.5 + 0.1 * share + 0.001 * share * SERVERS
-        follower = 1 + 0.01 * NODES + 0.02 * SERVERS
+        follower = 1 + 0.01 * ENTRIES + 0.02 * SERVERS
         assert figure.name == "cpu_percent"
         assert figure.entry_at_target() == pytest.approx(0.4)
         assert figure.follower_at_target() == pytest.approx(follower + serving)
@@ -117,10 +123,10 @@
 
 
 class TestReport:
-    def test_goals(self) -> None:
-        judged = judge({"in_force_p50_s": 0.31, "kills": 5.0})
-        assert [line.goal for line in judged] == [0.3, None]
-        assert "NOT MET" in judged[0].line()
-        result = json_figures(judged)
+    def test_exceeded_goal_is_reported_as_missed(self) -> None:
+        results = compare_with_goals({"in_force_p50_s": 0.31, "kills": 5.0})
+        assert [line.goal for line in results] == [0.3, None]
+        assert "NOT MET" in results[0].line()
+        result = json_figures(results)
         assert result["goals_missed"] == ["in_force_p50_s"]
         assert result["kills"] == 5.0
--- a/packages/sycamorestand-bench/tests/test_ledger_bench.py
+++ b/packages/sycamorestand-bench/tests/test_ledger_bench.py
@@ -1,13 +1,13 @@
-"""The arithmetic of the ledger bench; nothing here is timed."""
+"""Test the computations of the ledger bench, without measurements."""
 
 from __future__ import annotations
 
 from hdrh.histogram import HdrHistogram
 import pytest
 
-from sycamorestand_bench.ledger_bench.client_process import DIGITS
 from sycamorestand_bench.ledger_bench.client_process import LoadResult
-from sycamorestand_bench.ledger_bench.client_process import LONGEST_US
+from sycamorestand_bench.ledger_bench.client_process import MAX_WAIT_US
+from sycamorestand_bench.ledger_bench.client_process import SIGNIFICANT_DIGITS
 from sycamorestand_bench.ledger_bench.disk import summarize
 from sycamorestand_bench.ledger_bench.loads import combine
 from sycamorestand_bench.ledger_bench.loads import LoadCost
@@ -18,7 +18,7 @@
 
 
 def _result(waits_us: list[int], failed: int = 0) -> LoadResult:
-    waits = HdrHistogram(1, LONGEST_US, DIGITS)
+    waits = HdrHistogram(1, MAX_WAIT_US, SIGNIFICANT_DIGITS)
     for wait_us in waits_us:
         waits.record_value(wait_us)
     return LoadResult(len(waits_us), failed, 2.0, waits.encode().decode())
@@ -39,8 +39,8 @@
 
 
 class TestCombine:
-    def test_waits_of_all_clients_count(self) -> None:
-        """One slow client must show in the 99 % of all of them."""
+    def test_percentiles_include_the_waits_of_all_clients(self) -> None:
+        """Guard against a slow client that the 99th percentile omits."""
         waits = combine([_result([1000] * 98), _result([90_000] * 2, 1)])
         assert waits.done == 100
         assert waits.failed == 1
@@ -50,14 +50,14 @@
 
 
 class TestDisk:
-    def test_one_pause_shows(self) -> None:
+    def test_maximum_includes_a_single_pause(self) -> None:
         times = summarize([0.2] * 99 + [180.0])
         assert times.p50_ms == pytest.approx(0.2)
         assert times.longest_ms == 180.0
 
 
 class TestMedianRun:
-    def test_failures_of_every_run_are_kept(self) -> None:
+    def test_median_run_has_the_failures_of_all_runs(self) -> None:
         runs = [_cost(10, 30.0), _cost(10, 900.0, failed=2), _cost(10, 40.0)]
         middle = median_run(runs)
         assert middle.waits.p99_ms == 40.0
@@ -79,11 +79,16 @@
             ),
         ],
     )
-    def test_carried(self, cost: LoadCost, carried: bool) -> None:
+    def test_load_is_carried_within_wait_and_rate_limits(
+        self, cost: LoadCost, carried: bool
+    ) -> None:
         assert is_carried(cost) is carried
 
-    def test_goal_and_slope(self) -> None:
-        """Each second costs 50 ms whatever comes, a record 100 us."""
+    def test_missed_goals_and_slope_without_constant_cost(self) -> None:
+        """Guard against constant CPU time in the cost per record.
+
+        Each second costs 50 ms of CPU time at any load, each record 100 us.
+        """
         costs = [
             _cost(rate, 20.0, leader_us=100 + 50_000 / rate)
             for rate in (500, 1000, 2000)
--- a/packages/sycamorestand/src/sycamorestand/start.py
+++ b/packages/sycamorestand/src/sycamorestand/start.py
@@ -1,8 +1,9 @@
-"""The ``sycamorestand`` program from its first instruction on.
+"""Entry point of ``sycamorestand``, which handles SIGTERM while loading.
 
-Loading takes from a third of a second to seconds on a busy machine. A planned
-stop that came meanwhile ended the process by the signal, as if it had failed;
-so the signal is handled before anything else is loaded.
+Importing the program takes a third of a second, or seconds on a busy
+machine. Python's default action for a SIGTERM in that time ends the process
+by the signal, which a supervisor takes for a crash. So the handler is
+installed before the other modules are imported.
 """
 
 from __future__ import annotations
@@ -13,16 +14,20 @@
 
 
 def main() -> int:
-    """Run one process; a stop before it serves anybody ends it at once."""
-    signal.signal(signal.SIGTERM, _end)
+    """Run one process and return its exit status.
+
+    A SIGTERM that arrives before the role starts ends the process with
+    status 0.
+    """
+    signal.signal(signal.SIGTERM, _exit_on_sigterm)
     from sycamorestand.run import main as run
 
     return run()
 
 
-def _end(number: int, frame: FrameType | None) -> None:
-    # Nobody is served yet, so there is nothing to finish. Once there is, the
-    # process handles the signal by itself.
+def _exit_on_sigterm(signal_number: int, frame: FrameType | None) -> None:
+    # The process serves no requests yet, so none have to be finished.
+    # `sycamorestand.run` replaces this handler before the role starts.
     sys.exit(0)
 
 
