--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/comparison.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/comparison.py
@@ -1,12 +1,10 @@
-"""Compares what a version did with a reference, signal by signal.
+"""Compare the counts of a version with those of a reference, by signal.
 
-Each signal counts bad ones out of a total: failed requests, answers slower
-than nine of ten of the reference, ratings not passed. The rate expected
-of a healthy version is the reference's, weighed with the version's own mix
-of classes and blocks of time, plus a margin that is no harm, plus what the
-reference's own count leaves uncertain.
-
-Shown by ``dev/bench decisions --scenario rollout`` and ``turns-bad``.
+Each signal counts bad results out of a total: failed requests, answers slower
+than nine of ten answers of the reference, and ratings that did not pass. The
+expected rate of a healthy version is the rate of the reference, weighted with
+the version's own mix of classes and blocks of time, plus a harmless margin,
+plus the uncertainty of the reference's own counts.
 """
 
 from __future__ import annotations
@@ -30,8 +28,9 @@
 Signal = Literal["errors", "ratings", "latency", "typical latency"]
 CountFunction: TypeAlias = "Callable[[str, ClassStats], tuple[int, int]]"
 
-# What a version's own past can be compared by. The load was another one
-# then, and moves the median of all answers further than the slow ones.
+# Signals that can be compared with a version's own past. The load was
+# different then, which changes the median of all answers more than the share
+# of slow ones.
 PAST_SIGNALS: Final[tuple[Signal, ...]] = ("errors", "ratings", "latency")
 SIGNALS: Final[tuple[Signal, ...]] = (*PAST_SIGNALS, "typical latency")
 # Differences that no user would act on: half an error in a hundred, two
@@ -43,16 +42,18 @@
     "latency": 0.05,
     "typical latency": 0.15,
 }
-# Standard deviations added for the reference's own uncertainty. An error
-# in the reference is the same at every look, so the test does not average
-# it out: at 1.6 a watch of healthy versions stopped one of five.
+# Standard deviations added for the uncertainty of the reference. An error in
+# the reference is the same at every evaluation, so the sequential test does
+# not average it out. With 1.6, a watch of healthy versions stopped one of
+# five.
 REFERENCE_DEVIATIONS: Final = 3.0
 MIN_VARIANCE: Final = 1e-4
-# A stratum with few requests leans on its class with this weight.
+# Weight, in requests, with which the counts of its class are added to a
+# stratum that has few requests.
 CLASS_WEIGHT: Final = 50.0
-# The shares of a reference's answers that count as slow. Nine of ten are
-# faster than the slow ones; where prompts and queues spread them widely,
-# a version twice as slow is lost among them, and shows at the median.
+# Shares of a reference's answers that count as slow. Prompts and queues spread
+# the slowest tenth so widely that a version twice as slow may not show there,
+# but it does at the median.
 SLOW_SHARES: Final[dict[Signal, float]] = {
     "latency": 0.1,
     "typical latency": 0.5,
@@ -61,10 +62,10 @@
 
 
 class Evidence(NamedTuple):
-    """What one comparison found.
+    """The result of one comparison.
 
-    ``log_evidence`` is the natural logarithm of how many times better a
-    worse version explains the counts than a healthy one.
+    ``log_evidence`` is the natural logarithm of the likelihood ratio of a
+    worse version to a healthy one.
     """
 
     signal: Signal
@@ -93,12 +94,12 @@
     by_block: bool = True,
     deviations: float = REFERENCE_DEVIATIONS,
 ) -> list[Evidence]:
-    """Return the evidence in one signal, overall first, then by class.
+    """Return the evidence in one signal, first overall, then by class.
 
-    With ``by_block`` only blocks in which the reference has counts are
-    compared: in others nothing tells a worse version from a changed
-    rating service. Else the reference is another time, and ``extra`` is
-    what the other versions show of such a change; it is added to the
+    With ``by_block``, only blocks in which the reference has counts are
+    compared, since in other blocks a worse version cannot be told apart from a
+    changed rating service. Without it, the reference is from another time, and
+    ``extra`` is the change that other versions show since; it is added to the
     expected rate.
     """
     count = _count_function(reference, signal)
@@ -155,7 +156,7 @@
 def rate_increase(
     reference: VersionStats, recent: VersionStats, signal: Signal
 ) -> tuple[float, int]:
-    """Return how much a signal's rate rose since, and out of how many."""
+    """Return the increase of a signal's rate, and the smaller total."""
     count = _count_function(reference, signal)
     before = _totals(reference, count)
     after = _totals(recent, count)
@@ -171,7 +172,7 @@
 
 
 class _Expected(NamedTuple):
-    """A reference's counts; they need not be whole."""
+    """Counts of a reference; they need not be integers."""
 
     bad: float
     total: float
@@ -180,9 +181,9 @@
 class _Sums(NamedTuple):
     """Sums over strata.
 
-    Blocks compared with their own reference err each by itself, and
-    ``variance`` sums their squares. Those compared with one reference all
-    err the same way, and ``unsure`` sums their deviations.
+    Blocks that are compared with their own reference have independent errors;
+    ``variance`` sums their squares. Strata that are compared with the same
+    reference have the same error; ``unsure`` sums their deviations.
     """
 
     bad: int
@@ -207,7 +208,7 @@
 
 
 def _shrink_to_class(own: tuple[int, int], class_counts: _Count) -> _Expected:
-    """Return a block's counts, its class added with a bounded weight."""
+    """Return a block's counts plus those of its class, with bounded weight."""
     weight = min(CLASS_WEIGHT, class_counts.total)
     bad = own[0] + weight * class_counts.bad / class_counts.total
     return _Expected(bad, own[1] + weight)
@@ -276,7 +277,7 @@
 
 
 def _slow_edges(reference: VersionStats, slow_share: float) -> dict[str, int]:
-    """Return by class the first bucket that is slow for the reference."""
+    """Return by class the first latency bucket that counts as slow."""
     sums: dict[str, list[int]] = {}
     for stratum, counts in reference.strata.items():
         known = sums.setdefault(
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/demand.py
@@ -1,16 +1,16 @@
-"""How much work each version has, from reports that are late and coarse.
-
-The load pattern is work that shifts between versions over minutes, seen
-through servers' reports: one number for all versions of a server, seconds
-old, missing for some. Taken as they come, one late burst asks for a load
-of minutes that nobody needs when it ends, and a server that stops to
-report looks idle and has its versions unloaded under its requests.
-
-So a server's requests are split among its versions by their shares of the
-recent requests; a server without a fresh report counts as used as the
-others; and the sum is averaged over time. The leader does this, and it
-alone places, so nothing of it is kept in the log: a new leader begins
-with the first reports that it hears.
+"""Estimate the demand for each version from late and coarse reports.
+
+Demand shifts between versions over minutes. A server's report gives one number
+for all its versions, is seconds old, and may be missing. Without correction,
+one late report of a burst requests a load of minutes that is of no use when
+the burst has ended, and a server that stops reporting looks idle, so its
+versions are unloaded under running requests.
+
+The requests of a server are therefore split among its versions by their shares
+of the recent requests. A server without a fresh report counts as loaded as the
+average of the others, and the sum is averaged over time. Only the leader
+estimates demand and places versions, so nothing of this is kept in the log: a
+new leader starts with the first reports that it receives.
 """
 
 from __future__ import annotations
@@ -33,27 +33,27 @@
     from sycamorestand_model.declarations import Model
     from sycamorestand_model.in_force import InForce
 
-# Reports come each second and are two seconds late on a bad day; one of
-# this age tells of another burst than the one that runs.
+# Reports arrive every second and are up to two seconds late. A report of this
+# age may describe an earlier burst.
 FRESH_S: Final = 10.0
-# A load takes minutes and a bounded burst ten seconds: averaged over two
-# minutes, a burst of five times the work for ten seconds adds a third.
+# A load takes minutes, a bounded burst ten seconds. Averaged over two minutes,
+# a burst of five times the demand for ten seconds adds a third.
 AVERAGE_S: Final = 120.0
-# Shares follow a roll-out's steps within minutes, and a version with a few
-# requests a minute still has some in the count.
+# Shares follow the steps of a roll-out within minutes, and a version with a
+# few requests a minute still has some in the count.
 REQUESTS_DECAY_S: Final = 300.0
-# A count that has faded to this says that the version is not in use.
+# A version whose decayed count is below this is not in use.
 MIN_COUNT: Final = 0.05
-# A mean fades for ever; below one request in a hundred looks a version has
-# no work, else its last replica would never be unloaded.
+# A mean decays without reaching zero. Below one request in a hundred reports,
+# a version counts as idle, so that its last replica can be unloaded.
 MIN_DEMAND: Final = 0.01
 RUNNING: Final = "running"
 
 
 class ServerReport(NamedTuple):
-    """A server's versions and its load; ``age_s`` None: never heard.
+    """A server's versions and load; ``age_s`` is None without a report.
 
-    ``busy`` counts running and queued requests of all its versions.
+    ``busy`` counts the running and queued requests of all its versions.
     """
 
     name: str
@@ -64,19 +64,19 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether the load tells of now."""
+        """Whether the report is recent enough to show the current load."""
         return self.age_s is not None and self.age_s <= FRESH_S
 
 
 class RecentRequests:
-    """Requests by version, the older the less they count."""
+    """Exponentially decaying counts of requests by version."""
 
     def __init__(self) -> None:
         self._counts: dict[str, float] = {}
         self._at_s = 0.0
 
     def add(self, version: str, requests: int, now_s: float) -> None:
-        """Count what an entry reported."""
+        """Add the requests that an entry reported."""
         self._decay(now_s)
         self._counts[version] = self._counts.get(version, 0.0) + requests
 
@@ -87,7 +87,7 @@
         return {v: count / total for v, count in self._counts.items()}
 
     def _decay(self, now_s: float) -> None:
-        # A wall clock may be set back; then nothing fades.
+        # The wall clock may be set back; then nothing decays.
         keep = exp(-max(0.0, now_s - self._at_s) / REQUESTS_DECAY_S)
         self._at_s = now_s
         self._counts = {
@@ -98,14 +98,14 @@
 
 
 class AverageDemand:
-    """Mean requests running by version, over the last minutes."""
+    """Mean number of running requests by version, over the last minutes."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
         self._at_s: float | None = None
 
     def add(self, latest: Mapping[str, float], now_s: float) -> None:
-        """Take an estimate of now; the first one counts whole."""
+        """Add a current estimate; the first one becomes the mean."""
         if self._at_s is None:
             self._means, self._at_s = dict(latest), now_s
             return
@@ -117,7 +117,7 @@
             self._means[version] = known + weight * (new - known)
 
     def means(self) -> dict[str, float]:
-        """Return the means of the versions that have work."""
+        """Return the means of the versions that have demand."""
         return {
             v: mean for v, mean in self._means.items() if mean > MIN_DEMAND
         }
@@ -143,8 +143,8 @@
 ) -> dict[str, float]:
     """Split a server's requests among its versions by their shares.
 
-    Without a share for any of them they count alike: a new leader has no
-    counts yet.
+    If none of them has a share, all count equally: a new leader has no counts
+    yet.
     """
     weights = {v: shares.get(v, 0.0) for v in report.versions}
     total = sum(weights.values())
@@ -157,9 +157,9 @@
 def versions_in_use(in_force: InForce) -> dict[str, int]:
     """Return the versions that get or may get new work, with their pins.
 
-    These are each model's stable version, the one that a running roll-out
-    brings, and the fallback: it must be loaded before it is needed, as it
-    takes all the work at once. None that is withdrawn or quarantined.
+    These are each model's stable version, the version of a running roll-out,
+    and the fallback, which must be loaded in advance as it takes over all the
+    work at once. Withdrawn and quarantined versions are excluded.
     """
     pins: dict[str, int] = {}
     for model in in_force.declarations.models.values():
@@ -174,7 +174,7 @@
     pins: Mapping[str, int],
     reports: Sequence[ServerReport],
 ) -> dict[str, Demand]:
-    """Return what `plan_orders` takes, for all versions known."""
+    """Return the demand of all known versions, for `plan_orders`."""
     mean_capacity = _capacity(reports)
     demand: dict[str, Demand] = {}
     for version in {*means, *pins}:
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/evidence.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/evidence.py
@@ -1,13 +1,11 @@
-"""A sequential test of a rate against a reference, on counts alone.
-
-A roll-out is judged again after every few requests. A fixed-sample test
-read that often stops healthy versions: at 5 % it does so for most of them.
-This test may be read at any time. It compares how well a higher rate
-explains the counts with how well the reference does (a likelihood ratio
-averaged over alternatives); while the true rate is at most the reference,
-the chance that it ever reaches 1/p is at most p.
-
-Shown by ``dev/bench decisions --scenario rollout-healthy``.
+"""Sequential test of a rate against a reference rate.
+
+A roll-out is evaluated again after every few requests. A fixed-sample test
+that is read so often stops healthy versions: at a level of 5 %, it stops most
+of them. This sequential test may be read at any time. It is a likelihood
+ratio, averaged over several higher rates, that compares how well a higher rate
+and the reference explain the counts. While the true rate is at most the
+reference, the probability that the ratio ever reaches 1/p is at most p.
 """
 
 from __future__ import annotations
@@ -16,8 +14,9 @@
 from math import log
 from typing import Final
 
-# Rises over the reference that are looked for, in shares of what is left
-# up to one: from a small harm that shows late to a total failure.
+# Alternatives to the reference rate, as shares of the distance from the
+# reference to 1: from a small degradation, which takes long to detect, to a
+# total failure.
 RISES: Final = (0.01, 0.03, 0.06, 0.12, 0.25, 0.5, 0.9)
 
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/placement.py
@@ -1,13 +1,11 @@
-"""Which backend servers are asked to load or unload which versions.
-
-The load pattern is demand that shifts between versions while a load takes
-minutes and the weight store is rate-limited. Without hysteresis normal
-variation moves versions to and fro, and without a churn limit a burst of
-moves leaves servers loading in place of answering. Demand-proportional
-counts with a benefit threshold, a churn limit and pins follow the usual
-answer for medium platforms (PAPER-scheduling-placement-inference-b6ad,
-sections 4 and 8), as far as ``dev/bench decisions --scenario placement``
-bears it out.
+"""Choice of the versions that backend servers load or unload.
+
+Demand shifts between versions, while a load takes minutes and the weight store
+is rate-limited. Without hysteresis, normal variation moves versions back and
+forth. Without a churn limit, a burst of moves makes servers load instead of
+answering. Replica counts proportional to demand, with a benefit threshold, a
+churn limit and pins, are the usual solution for platforms of medium size
+(PAPER-scheduling-placement-inference-b6ad, sections 4 and 8).
 """
 
 from __future__ import annotations
@@ -23,26 +21,26 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-# Replicas are added above the high and taken away below the low mark. The
-# gap is wider than one replica of three, so that a version whose demand
-# stands at a mark does not gain and lose the same replica.
+# Replicas are added above the high watermark and removed below the low one.
+# The gap is wider than one replica of three, so that a version whose demand is
+# at a watermark does not gain and lose the same replica in turn.
 TARGET_UTILISATION: Final = 0.7
 HIGH_UTILISATION: Final = 0.85
 LOW_UTILISATION: Final = 0.45
-# At most so many changes in the window: with loads of minutes, more would
-# keep most of a pool of nine busy loading.
+# Changes allowed in the window. Loads take minutes, so more changes would keep
+# most of a pool of nine servers busy with loading.
 MAX_CHANGES: Final = 4
 CHURN_WINDOW_S: Final = 600.0
-# A replica stays at least this long: a load that is undone within ten
-# minutes cost more than it served.
+# A replica is kept for at least this time. A load that is undone within ten
+# minutes costs more than the replica has served.
 MIN_REPLICA_AGE_S: Final = 600.0
 
 
 class ServerSlots(NamedTuple):
-    """A server's room for versions and what is loaded or loading.
+    """A server's capacity for versions, and those loaded or loading.
 
-    ``loaded_since_s`` is by version identity; ``in_flight`` counts the
-    requests running on each.
+    ``loaded_since_s`` is by version identity; ``in_flight`` counts the running
+    requests of each version.
     """
 
     name: str
@@ -53,7 +51,7 @@
 
 
 class Demand(NamedTuple):
-    """Mean requests running for a version, and one replica's capacity.
+    """Mean number of a version's running requests, and a replica's capacity.
 
     ``pinned_servers`` is the least number of replicas.
     """
@@ -64,7 +62,7 @@
 
 
 class Limits(NamedTuple):
-    """The weight store's limit on loads at once, and the churn limit."""
+    """The weight store's limit on simultaneous loads, and the churn limit."""
 
     loads_at_once: int = 1
     max_changes: int = MAX_CHANGES
@@ -74,7 +72,7 @@
 
 
 class Order(NamedTuple):
-    """One change to ask a server for."""
+    """One load or unload to request from a server."""
 
     kind: Literal["load", "unload"]
     server: str
@@ -92,10 +90,10 @@
 ) -> list[Order]:
     """Return the orders to give now, most urgent first.
 
-    ``changed_at_s`` are the times of earlier orders. A withdrawn version
-    is never loaded, and unloaded after all others and only without
-    running requests: its sessions finish, and a withdrawal that is taken
-    back needs no load.
+    ``changed_at_s`` are the times of earlier orders. A withdrawn version is
+    never loaded. It is unloaded after all other versions and only without
+    running requests, so that its sessions finish and a reverted withdrawal
+    needs no load.
     """
     recent = [t for t in changed_at_s if now_s - t < CHURN_WINDOW_S]
     allowed = limits.max_changes - len(recent)
@@ -177,7 +175,10 @@
     withdrawn: Collection[str],
     now_s: float,
 ) -> tuple[str, str] | None:
-    """Return a replica that nobody needs, withdrawn versions last."""
+    """Return the server and version of a spare replica, None if none is.
+
+    Withdrawn versions come last, then the version with the least demand wins.
+    """
     options: list[tuple[bool, float, str, str]] = []
     for server in others:
         for version, since_s in server.loaded_since_s.items():
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/rollout.py
@@ -1,20 +1,19 @@
-"""How a roll-out goes on: wait, next step, or stop and quarantine.
-
-The load pattern is a new version that is worse than the old one: wrong
-answers, errors, slow, or bad for one class of requests only. A roll-out by
-time alone shows it to everybody before anyone looks. Here the new version
-is compared with the old one on the same classes in the same blocks of
-time, after every batch of counts, with a test that may be read at any
-time; it advances only on enough healthy evidence.
-
-A rating service that is down gives no ratings: the roll-out holds. One
-that is biased lowers the old version's ratings in the same blocks: no
-difference, no stop.
-
-Thresholds, shown by ``dev/bench decisions --scenario rollout``: the chance
-of a false stop of the whole roll-out comes from the profile's weight of
-exposure (`objective.false_stop_probability`, at most 8 in 10,000) and is
-shared by all signals and classes.
+"""Roll-out control: wait, advance to the next step, or stop the version.
+
+A new version may be worse than the old one: it may give wrong answers, fail,
+be slow, or be bad for one class of requests only. A roll-out by time alone
+exposes everyone to it before anyone looks. Here, after every batch of counts,
+the new version is compared with the old one on the same classes in the same
+blocks of time, with a sequential test that may be read at any time. The
+roll-out advances only with enough evidence that the version is healthy.
+
+A rating service that is down gives no ratings, so the roll-out waits. A biased
+one lowers the ratings of the old version in the same blocks as well, so there
+is no difference and the roll-out does not stop.
+
+The probability of a false stop of the whole roll-out follows from the
+profile's weight of exposure (`objective.false_stop_probability`, at most 8 in
+10,000) and is divided among all signals and classes.
 """
 
 from __future__ import annotations
@@ -40,34 +39,36 @@
 from sycamorestand_model.declarations import Objective
 from sycamorestand_model.declarations import Rollout
 
-# Evidence of ten to one for harm is no proof, but no time to advance.
+# Evidence of ten to one for harm does not stop the roll-out, but keeps it from
+# advancing.
 SUSPECT_LOG_EVIDENCE: Final = log(10.0)
-# Where a roll-out has to end within a time, its steps see a dozen requests:
-# evidence of five to one, with less allowed for the reference's own
-# uncertainty, is all that there will be. A sound version that is stopped
-# by it is ordered again.
+# If a roll-out must end within a time, its steps see about a dozen requests.
+# Evidence of five to one, with a smaller allowance for the uncertainty of the
+# reference, is then the most that can be expected. A healthy version that is
+# stopped by it is ordered again.
 DOUBT_LOG_EVIDENCE: Final = log(5.0)
 DOUBT_DEVIATIONS: Final = 1.0
-# A class that fails this often anyway, such as requests with a timeout
-# below what their answer takes, says little in a dozen requests: 8 of 11
-# where 3 were expected stopped a sound version.
+# A dozen requests say little about a class with a high expected rate, such as
+# requests whose timeout is shorter than their answer takes: 8 bad of 11, where
+# 3 were expected, stopped a healthy version.
 MAX_DOUBT_RATE: Final = 0.25
-# Half of the answers are beyond the median by its definition.
+# By definition, half of the answers exceed the median.
 MEDIAN_SIGNAL: Final = "typical latency"
-# Ratings that a step needs where ratings come at all: thirty show a drop
-# of 20 points to about two standard deviations.
+# Ratings that a step needs if there are ratings at all. Thirty detect a drop
+# of 20 percentage points at about two standard deviations.
 MIN_RATED: Final = 30
-# Ratings of each class that full use needs, a fourth for each step
-# before. At full use there is no old version left to compare with, so what
-# is rated then is no evidence: counted there, one roll-out of six that was
-# bad for one class was completed.
+# Ratings of each class that full use needs; each earlier step needs a fourth
+# of the next one. At full use there is no old version left to compare with, so
+# ratings from then on are no evidence. When they were counted, one roll-out of
+# six that was bad for one class was completed.
 CLASS_RATED_FOR_FULL: Final = 200
-# Classes under this share of the ratings would hold every roll-out up.
+# Classes below this share of the ratings would delay every roll-out, so they
+# are not waited for.
 SMALL_CLASS_SHARE: Final = 0.05
 
 
 class StepStart(NamedTuple):
-    """Where the counts stood when the current step began."""
+    """Time and counts at which the current step began."""
 
     step: int = 0
     started_s: float = 0.0
@@ -87,7 +88,7 @@
     start: StepStart = FROM_THE_START,
     objective: Objective = EQUAL_WEIGHTS,
 ) -> Verdict:
-    """Return what the counts say about the new version now."""
+    """Return the verdict on the new version from the current counts."""
     evidence = compare_all(old, new)
     limit = log(len(evidence) / false_stop_probability(objective))
     harmful = [e for e in evidence if e.log_evidence >= limit]
@@ -101,9 +102,8 @@
 class RolloutMonitor:
     """Counts and the current step of one running roll-out.
 
-    After an interruption a new monitor is made with the step that was
-    committed; its counts begin anew, so a step may take longer but none
-    is skipped.
+    After an interruption, a new monitor is made with the committed step. Its
+    counts start from zero, so a step may take longer, but none is skipped.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
 
     @property
     def share(self) -> float:
-        """Return the share of new work that the new version gets."""
+        """The share of new work that the new version gets."""
         return self.rollout.shares[self.step]
 
     def observe(
@@ -139,12 +139,12 @@
         add_sample(stats, request_class, now_s, failed, latency_ms, passed)
 
     def add(self, old: VersionStats, new: VersionStats) -> None:
-        """Add what an entry counted since its last report."""
+        """Add the counts since an entry's last report."""
         self.old = merge((self.old, old))
         self.new = merge((self.new, new))
 
     def check(self, now_s: float) -> Verdict:
-        """Judge the counts so far."""
+        """Return the verdict from the current counts."""
         return evaluate_rollout(
             self.old,
             self.new,
@@ -155,11 +155,11 @@
         )
 
     def comparison_lines(self) -> tuple[str, ...]:
-        """Return what each signal shows, for who asks why it went on."""
+        """Return a line of evidence for each signal, overall and by class."""
         return tuple(e.text() for e in compare_all(self.old, self.new))
 
     def advance(self, now_s: float) -> bool:
-        """Go to the next step; False when the roll-out is complete."""
+        """Go to the next step; return False if the roll-out is complete."""
         if self.step + 1 >= len(self.rollout.shares):
             return False
         self.step += 1
@@ -203,7 +203,7 @@
 
 
 def _strongest_sign_of_harm(old: VersionStats, new: VersionStats) -> Evidence:
-    """Return the strongest sign of harm, proof or not."""
+    """Return the strongest evidence of harm, whether or not it suffices."""
     evidence = compare_all(old, new, DOUBT_DEVIATIONS)
     overall = evidence[0]
     clear = [
@@ -215,10 +215,10 @@
 
 
 def _verdict_at_limit(requests: int, worst: Evidence) -> Verdict:
-    """Decide on what is there, as the step may not wait any longer.
+    """Return the verdict when the step's time limit has passed.
 
-    A roll-out with a time limit that is stopped wrongly is ordered again;
-    one that goes on with a bad version reaches every caller.
+    A roll-out with a time limit that is stopped wrongly is ordered again; one
+    that goes on with a bad version reaches every caller.
     """
     if worst.log_evidence >= DOUBT_LOG_EVIDENCE:
         return Stop("suspect at the time limit", (worst.text(),))
@@ -230,7 +230,7 @@
 def _class_lacking_ratings(
     old: VersionStats, new: VersionStats, steps: int, start: StepStart
 ) -> str | None:
-    """Return a class that is rated too little for the next step."""
+    """Return a class with too few ratings for the next step, or None."""
     needed = CLASS_RATED_FOR_FULL / 4 ** max(0, steps - 2 - start.step)
     old_rated, new_rated = rated_by_class(old), rated_by_class(new)
     total = sum(old_rated.values())
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/stats_rows.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/stats_rows.py
@@ -1,4 +1,4 @@
-"""Counts of versions as flat rows, the form in which they travel."""
+"""Statistics of versions as flat rows, the form in which they are sent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StatsRow(NamedTuple):
-    """One stratum of one version."""
+    """The counts of one stratum of one version."""
 
     version: str
     stratum: Stratum
@@ -23,7 +23,7 @@
 
 
 def to_rows(stats: Mapping[str, VersionStats]) -> tuple[StatsRow, ...]:
-    """Return the counts of all versions as rows."""
+    """Return the statistics of all versions as rows."""
     return tuple(
         StatsRow(version, stratum, counts)
         for version, part in stats.items()
@@ -32,7 +32,7 @@
 
 
 def from_rows(rows: Iterable[StatsRow]) -> dict[str, VersionStats]:
-    """Return the counts by version again."""
+    """Return the statistics by version from rows."""
     stats: dict[str, VersionStats] = {}
     for row in rows:
         part = stats.setdefault(row.version, VersionStats({}))
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/verdicts.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/verdicts.py
@@ -1,4 +1,4 @@
-"""What may be decided about a version under watch."""
+"""Verdicts about a version that is rolled out or watched."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Continue(NamedTuple):
-    """Nothing changes yet."""
+    """The version keeps its current share."""
 
     reason: str
 
 
 class Advance(NamedTuple):
-    """The roll-out goes on to its next step, or is complete."""
+    """The roll-out goes to its next step, or is complete."""
 
     reason: str
 
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_stats.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_stats.py
@@ -1,8 +1,8 @@
-"""Counts of what a version did, which entries send and the leader merges.
+"""Counts of a version's results, which entries send and the leader merges.
 
-Counts are kept by request class and by block of time. A class whose share
-changes, or a rating service that is worse for an hour, then shows in the
-old and the new version alike, and is not taken for a worse version.
+Counts are kept by request class and by block of time. If the share of a class
+changes, or the rating service degrades for an hour, the old and the new
+version show it alike, and the new version is not taken for worse.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Ten minutes: what changes within a block hits both versions by their
-# shares, which are steady within it, and a day of six classes is under a
-# thousand counts.
+# In seconds. A change within a block of ten minutes affects both versions by
+# their shares, which are constant within it; one day of six classes has fewer
+# than a thousand strata.
 BLOCK_S: Final = 600.0
-# Upper edges of latency buckets; each is about 1.4 times the one before.
+# Upper edges of the latency buckets, each about 1.4 times the previous one.
 LATENCY_EDGES_MS: Final = tuple(round(10 * 2 ** (i / 2)) for i in range(30))
 
 
@@ -31,7 +31,7 @@
 
 
 class ClassStats(NamedTuple):
-    """Counts of one stratum; latencies are of answers without error."""
+    """Counts of one stratum; latencies are those of successful answers."""
 
     requests: int = 0
     errors: int = 0
@@ -48,12 +48,12 @@
 
     @property
     def requests(self) -> int:
-        """Requests in all strata."""
+        """Number of requests in all strata."""
         return sum(counts.requests for counts in self.strata.values())
 
     @property
     def rated(self) -> int:
-        """Ratings in all strata."""
+        """Number of ratings in all strata."""
         return sum(counts.rated for counts in self.strata.values())
 
     def classes(self) -> tuple[str, ...]:
@@ -62,7 +62,7 @@
 
 
 def empty_stats() -> VersionStats:
-    """Return counts of nothing."""
+    """Return statistics without any counts."""
     return VersionStats({})
 
 
@@ -74,7 +74,7 @@
     latency_ms: float,
     passed: bool | None,
 ) -> None:
-    """Count one request in place."""
+    """Count one request, changing ``stats`` in place."""
     stratum = Stratum(request_class, int(now_s // BLOCK_S))
     known = stats.strata.get(stratum, ClassStats())
     counts = known.latency_counts
@@ -105,7 +105,7 @@
 
 
 def merge(parts: Iterable[VersionStats]) -> VersionStats:
-    """Return the sum of several counts, for example of every entry."""
+    """Return the sum of several statistics, for example of every entry."""
     strata: dict[Stratum, ClassStats] = {}
     for part in parts:
         for stratum, counts in part.strata.items():
@@ -115,7 +115,7 @@
 
 
 def rated_by_class(stats: VersionStats) -> dict[str, int]:
-    """Return the ratings of each class."""
+    """Return the number of ratings of each class."""
     rated: dict[str, int] = {}
     for stratum, counts in stats.strata.items():
         known = rated.get(stratum.request_class, 0)
@@ -129,7 +129,7 @@
     first_block: int | None = None,
     end_block: int | None = None,
 ) -> VersionStats:
-    """Return the strata of one class or of some blocks."""
+    """Return the strata of one class, or of a range of blocks."""
     return VersionStats(
         {
             stratum: counts
--- a/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
+++ b/packages/sycamorestand-decisions/src/sycamorestand_decisions/version_watch.py
@@ -1,15 +1,15 @@
-"""Finds a version that turns bad long after its roll-out.
-
-There is no old version to compare with any more. Each version's last
-minutes are compared with its own past, and with what the other versions
-did in the same minutes: where all fell alike, the rating service, the
-network or the load is the likely cause, and withdrawing versions would
-take away what still answers. Where no other version has counts, nothing
-tells these apart, and only a reason for operators is given.
-
-Thresholds, shown by ``dev/bench decisions --scenario turns-bad``: evidence
-of `LIMIT` is reached by chance about once in a million looks, which is once
-in some years for a dozen versions looked at every two minutes.
+"""Detect versions that degrade long after their roll-out.
+
+By then there is no old version left to compare with. The last minutes of each
+version are compared with its own past, and with the other versions in the same
+minutes. If all versions degrade alike, the likely cause is the rating service,
+the network or the load, and withdrawing versions would remove what still
+answers. If no other version has counts, the causes cannot be told apart, and
+operators only get a reason.
+
+By chance, evidence of `STOP_LOG_EVIDENCE` is reached about once in a million
+evaluations. That is once in several years for a dozen versions that are
+evaluated every two minutes.
 """
 
 from __future__ import annotations
@@ -34,14 +34,15 @@
 
 STOP_LOG_EVIDENCE: Final = log(1e6)
 SUSPECT_LOG_EVIDENCE: Final = log(100.0)
-# Recent blocks of ten minutes that are looked at together: one finds a
-# sudden failure, six (an hour) one under little traffic or in one class.
+# Numbers of recent ten-minute blocks that are evaluated together. One block
+# detects a sudden failure; six (an hour) detect a failure with little traffic
+# or in one class.
 WINDOWS: Final = (1, 3, 6)
-# A past of fewer requests is no measure: what is slow for a version, for
-# example, would come from a few dozen answers.
+# With fewer past requests there is no baseline: the latency that counts as
+# slow, for example, would follow from a few dozen answers.
 MIN_PAST_REQUESTS: Final = 1_000
-# The past that counts as normal. It ends before the longest window, so
-# that a slow fall does not become what is normal.
+# Size of the past that serves as baseline. The past ends before the longest
+# window, so that a slow degradation does not become part of the baseline.
 MAX_PAST_REQUESTS: Final = 20_000
 
 
@@ -53,7 +54,7 @@
         self._recent: dict[str, VersionStats] = {}
 
     def add(self, version: str, stats: VersionStats) -> None:
-        """Add what an entry counted since its last report."""
+        """Add the counts since an entry's last report."""
         known = self._recent.get(version, VersionStats({}))
         self._recent[version] = merge((known, stats))
 
@@ -91,7 +92,7 @@
     def _common_increase(
         self, version: str, signal: Signal, block: int, window: int
     ) -> float | None:
-        """Return the rise in the other versions, None where none tells."""
+        """Return the mean increase in other versions, None without counts."""
         weighted = totals = 0.0
         for other, counts in self._recent.items():
             past = self._past.get(other)
@@ -116,7 +117,7 @@
 
 
 def _one_block(stats: VersionStats) -> VersionStats:
-    """Return the counts by class alone; the past needs no times."""
+    """Return the counts by class alone; the past needs no blocks."""
     return merge(
         VersionStats({Stratum(stratum.request_class, 0): counts})
         for stratum, counts in stats.strata.items()
